--- a/internal/cookie/mechanism/doc.go
+++ b/internal/cookie/mechanism/doc.go
@@ -1,3 +1,3 @@
-// Package mechanism names the mechanisms of a balancer that can be switched off, so that
-// what each is worth under a load can be measured.
+// Package mechanism names the mechanisms of a balancer that can be disabled, so that the
+// effect of each can be measured under load.
 package mechanism
--- a/internal/cookie/mechanism/mechanism.go
+++ b/internal/cookie/mechanism/mechanism.go
@@ -8,36 +8,36 @@
 	"github.com/samber/lo"
 )
 
-// Mechanism is one of a balancer's ways to decide.
+// Mechanism is an optional part of a balancer's routing logic.
 type Mechanism uint8
 
-// The mechanisms.
 const (
-	// Admission refuses new flows of overloaded services.
+	// Admission rejects new flows to overloaded services.
 	Admission Mechanism = iota
-	// Slowness takes upstreams last that answer more slowly than others.
+	// Slowness makes upstreams that answer more slowly than others less preferred.
 	Slowness
 	// OwnZone prefers upstreams of the balancer's own availability zone.
 	OwnZone
-	// Suspicion keeps new flows from upstreams that left a packet unanswered here.
+	// Suspicion sends no new flows to upstreams that left a packet of this balancer unanswered.
 	Suspicion
-	// ColdShare gives upstreams less that have just started.
+	// ColdShare gives upstreams that have just started a smaller share of new flows.
 	ColdShare
-	// Settling refuses nothing for a while after a start.
+	// Settling suspends rejections for a period after a start.
 	Settling
-	// SharedSilence lets balancers find out together which upstreams are silent.
+	// SharedSilence reports unanswered packets to the voters, which combine the evidence of all
+	// balancers.
 	SharedSilence
-	// KeptPackets keeps packets that cannot be placed yet.
+	// KeptPackets buffers packets that cannot be placed yet.
 	KeptPackets
-	// RoomAfterStart places kept packets only as upstreams have room.
+	// RoomAfterStart places buffered packets only while upstreams have capacity.
 	RoomAfterStart
-	// UploadWait lets uploads wait a moment for room on a narrow link.
+	// UploadWait briefly queues uploads until a narrow link has capacity.
 	UploadWait
-	// Pacing limits and paces uploads on a narrow link.
+	// Pacing limits the number and the rate of uploads on a narrow link.
 	Pacing
-	// Concurrency refuses new flows beyond a balancer's share of what upstreams work on.
+	// Concurrency rejects new flows beyond a balancer's share of the upstreams' slots.
 	Concurrency
-	// SlowStart gives cold upstreams no more than their services say that they bear.
+	// SlowStart limits cold upstreams to the rate configured for their service.
 	SlowStart
 )
 
@@ -46,20 +46,20 @@
 	"KeptPackets", "RoomAfterStart", "UploadWait", "Pacing", "Concurrency", "SlowStart",
 }
 
-// String returns the mechanism's name as it stands in settings.
+// String returns the mechanism's name as used in settings.
 func (m Mechanism) String() string { return names[m] }
 
-// UnknownError says that a name is no mechanism's.
+// UnknownError reports a name that is not a mechanism.
 type UnknownError struct{ Name string }
 
 func (e *UnknownError) Error() string {
-	return fmt.Sprintf("%q is no mechanism; allowed: %s", e.Name, strings.Join(names[:], ", "))
+	return fmt.Sprintf("unknown mechanism %q; allowed: %s", e.Name, strings.Join(names[:], ", "))
 }
 
-// Off is the mechanisms that are switched off, a bit each; the zero value switches none off.
+// Off is a bit set of disabled mechanisms; its zero value disables none.
 type Off uint32
 
-// Parse reads names joined by commas.
+// Parse parses a comma-separated list of names.
 func Parse(list string) (Off, error) {
 	var o Off
 	for _, name := range lo.Compact(strings.Split(list, ",")) {
@@ -72,13 +72,13 @@
 	return o, nil
 }
 
-// Has says whether a mechanism is switched off.
+// Has reports whether a mechanism is disabled.
 func (o Off) Has(m Mechanism) bool { return o&(1<<m) != 0 }
 
-// String returns the names in order, joined by commas.
+// String returns a comma-separated list of names in the order of declaration.
 func (o Off) String() string {
 	return strings.Join(lo.Filter(names[:], func(_ string, m int) bool { return o.Has(Mechanism(m)) }), ",")
 }
 
-// MarshalText writes the names.
+// MarshalText returns the list of names.
 func (o Off) MarshalText() ([]byte, error) { return []byte(o.String()), nil }
--- a/internal/cookie/mechanism/mechanism_test.go
+++ b/internal/cookie/mechanism/mechanism_test.go
@@ -8,7 +8,7 @@
 	"wasabideal/internal/cookie/mechanism"
 )
 
-func TestNamesAreRead(t *testing.T) {
+func TestParse(t *testing.T) {
 	o, err := mechanism.Parse("Slowness, Admission")
 	require.NoError(t, err)
 	require.True(t, o.Has(mechanism.Admission))
