--- a/internal/cookie/router/evacuate.go
+++ b/internal/cookie/router/evacuate.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// Evacuations returns the revision of the evacuation orders in force.
-func (r *Router) Evacuations() uint64 { return r.evacuations.Revision }
+// EvacuationRevision returns the revision of the evacuation orders in force.
+func (r *Router) EvacuationRevision() uint64 { return r.evacuations.Revision }
 
 // allEvacuated reports whether a service has ready upstreams in evacuated zones, which
 // choose never returns. Its new flows are rejected at once if there are no others: placing
--- a/internal/cookie/router/evacuate_test.go
+++ b/internal/cookie/router/evacuate_test.go
@@ -47,7 +47,7 @@
 	r.Evacuate(epoch, first.With(evacuation.Zone{Name: "a"}))
 	r.Evacuate(epoch, first)
 	require.Equal(t, []uint64{1, 2}, r.Pool("orders"))
-	require.Equal(t, uint64(2), r.Evacuations())
+	require.Equal(t, uint64(2), r.EvacuationRevision())
 }
 
 func TestServiceWithoutAnythingElsewhereIsRefusedAtOnce(t *testing.T) {
