--- a/internal/control/agreement/agreement.go
+++ b/internal/control/agreement/agreement.go
@@ -9,130 +9,135 @@
 	"github.com/samber/lo"
 )
 
-// Settings of one voter.
+// Settings configures one voter.
 type Settings struct {
 	Self Voter
-	// Founders are the names and addresses that form the first list of voters.
+	// Founders are the names and addresses of the initial list of voters.
 	Founders []Voter
-	// Heartbeat is the time between a leader's messages.
+	// Heartbeat is the interval of the leader's heartbeats.
 	Heartbeat time.Duration
-	// Election is the least silence of a leader before a vote; the most is twice that.
+	// Election is the minimum election timeout; the maximum is twice that.
 	Election time.Duration
 	Seed     uint64
-	// EntriesPerMessage bounds an Append.
+	// EntriesPerMessage limits the entries of one AppendEntries message.
 	EntriesPerMessage int
-	// Tolerate is the number of disks that may be lost at once.
+	// Tolerate is the number of simultaneous disk losses to survive.
 	Tolerate int
-	// Meet are further voters to ask for admission.
+	// Meet are further voters that receive join requests.
 	Meet []Voter
-	// Joins forbids founding: the system is known to run already, and an empty
-	// disk here is a lost or a new one.
+	// Joins prevents bootstrapping a new cluster: the cluster already exists, so
+	// an empty disk means a replaced or additional voter.
 	Joins bool
-	// FirstElection is the most silence of a leader after a start before the
-	// first vote; Election is used where it is 0. After a loss of power
-	// everywhere nobody leads, and waiting a whole Election would only add to
-	// the outage; a voter that does hear a leader is denied by the others.
+	// FirstElection is the maximum election timeout after a start, or 0 to use
+	// Election. After a power loss of all voters there is no leader, and waiting
+	// longer prolongs the outage. If there is a leader, the other voters reject
+	// the early pre-vote.
 	FirstElection time.Duration
 }
 
-// Role is what a voter is at the moment.
+// Role is the current role of a voter.
 type Role string
 
 // The roles of a voter.
 const (
+	// Unfounded voters have no list of voters yet.
 	Unfounded Role = "Unfounded"
 	Follower  Role = "Follower"
 	Candidate Role = "Candidate"
 	Leader    Role = "Leader"
-	// ReadOnly voters have a disk that failed: they neither vote nor accept.
+	// ReadOnly voters have a failed disk: they neither vote nor store entries.
 	ReadOnly Role = "ReadOnly"
 )
 
-// NotLeaderError tells who can accept a change, as far as is known.
+// NotLeaderError rejects a change at a voter that is not the leader; Leader is
+// empty if none is known.
 type NotLeaderError struct{ Leader Voter }
 
 func (e *NotLeaderError) Error() string {
 	if e.Leader.Id == "" {
-		return "this voter is not the leader and knows of none; it may be cut off, try another"
+		return "this voter is not the leader and knows no leader; it may be partitioned, try another voter"
 	}
-	return fmt.Sprintf("the leader is %s at %s; ask there", e.Leader.Name, e.Leader.Address)
+	return fmt.Sprintf("this voter is not the leader; send the request to %s at %s", e.Leader.Name, e.Leader.Address)
 }
 
-// BrokenPromiseError is an invariant that did not hold; the voter must stop.
-type BrokenPromiseError struct{ Promise string }
+// BrokenPromiseError reports a violated invariant; the voter must stop.
+type BrokenPromiseError struct{ Invariant string }
 
-func (e *BrokenPromiseError) Error() string { return "broken promise: " + e.Promise }
+func (e *BrokenPromiseError) Error() string { return "invariant violated: " + e.Invariant }
 
+// progress is the leader's view of one follower's log.
 type progress struct {
 	match, next uint64
-	// answered is the sending time of the last message that was answered.
-	answered time.Time
-	pending  bool
-	// commit is what the follower was last told is accepted.
-	commit    uint64
-	installed time.Time
+	// ackedSendTime is the send time of the last acknowledged message.
+	ackedSendTime time.Time
+	pending       bool
+	// sentCommit is the last commit index sent to the follower.
+	sentCommit     uint64
+	snapshotSentAt time.Time
 }
 
-type hello struct {
-	voter   Voter
-	founded bool
-	heard   time.Time
+// joinRequest is the last join request of one voter.
+type joinRequest struct {
+	voter        Voter
+	bootstrapped bool
+	receivedAt   time.Time
 }
 
-// Agreement is the state of one voter; one goroutine owns it.
+// Agreement is the Raft state of one voter; it is not safe for concurrent use.
 type Agreement struct {
-	settings  Settings
-	role      Role
-	vote      Vote
-	snapshot  Snapshot
-	entries   []Entry
-	voters    []Voter
-	votersAt  uint64
-	leader    string
-	commit    uint64
-	applied   uint64
-	durable   uint64
-	votes     map[string]bool
-	preVoting bool
-	progress  map[string]*progress
-	hellos    map[string]hello
-	deadline  time.Time
-	// heardFrom is when a leader was heard last, or the start.
-	heardFrom time.Time
-	lastBeat  time.Time
-	random    *rand.Rand
-	// leaderFrom is the first entry of the own term, leaderSince its time.
-	leaderFrom  uint64
-	leaderSince time.Time
-	effects     []Effect
+	settings         Settings
+	role             Role
+	vote             Vote
+	snapshot         Snapshot
+	entries          []Entry
+	voters           []Voter
+	votersAt         uint64
+	leader           string
+	commit           uint64
+	applied          uint64
+	durableIndex     uint64
+	votes            map[string]bool
+	preVoting        bool
+	progress         map[string]*progress
+	joinRequests     map[string]joinRequest
+	electionDeadline time.Time
+	// lastLeaderContact is the time of the last leader message, or of the start.
+	lastLeaderContact time.Time
+	lastHeartbeat     time.Time
+	rng               *rand.Rand
+	// termStartIndex is the index of this leader's first entry in its term,
+	// leaderSince the time of its election.
+	termStartIndex uint64
+	leaderSince    time.Time
+	effects        []Effect
 }
 
-// New returns a voter with what its disk held.
+// New returns a voter with the state read from its disk.
 func New(s Settings, d Durable, now time.Time) *Agreement {
 	s.Tolerate = max(s.Tolerate, 1)
 	a := &Agreement{
 		settings: s, role: Follower, vote: d.Vote, snapshot: d.Snapshot, entries: d.Entries,
 		voters: d.Snapshot.Voters, votersAt: d.Snapshot.Index,
-		commit: d.Snapshot.Index, applied: d.Snapshot.Index, heardFrom: now,
-		progress: map[string]*progress{}, hellos: map[string]hello{},
-		random: rand.New(rand.NewPCG(s.Seed, uint64(len(s.Self.Id)))),
+		commit: d.Snapshot.Index, applied: d.Snapshot.Index, lastLeaderContact: now,
+		progress: map[string]*progress{}, joinRequests: map[string]joinRequest{},
+		rng: rand.New(rand.NewPCG(s.Seed, uint64(len(s.Self.Id)))),
 	}
-	a.durable = a.lastIndex()
-	a.commit = min(max(a.commit, d.Commit), a.durable)
+	a.durableIndex = a.lastIndex()
+	a.commit = min(max(a.commit, d.Commit), a.durableIndex)
 	for _, e := range a.entries {
-		a.noteVoters(e)
+		a.adoptVoters(e)
 	}
 	if len(a.voters) == 0 {
 		a.role = Unfounded
 	}
-	a.resetDeadline(now)
+	a.resetElectionDeadline(now)
 	if s.FirstElection > 0 {
-		a.deadline = now.Add(time.Duration(a.random.Int64N(int64(s.FirstElection))))
+		a.electionDeadline = now.Add(time.Duration(a.rng.Int64N(int64(s.FirstElection))))
 	}
 	return a
 }
 
-// Status is what a voter says of itself.
+// Status is the state of a voter as shown to operators.
 type Status struct {
 	Role    Role
 	Name    string
@@ -144,22 +149,22 @@
 	Voters  []Voter
 	// VotersAt is the index of the entry that holds the list of voters.
 	VotersAt uint64
-	// Current says that nothing accepted can be missing here.
+	// Current reports whether this voter has every committed entry.
 	Current bool
-	// Silence is the time since a leader was heard, 0 for the leader itself.
+	// Silence is the time since the last leader message, 0 on the leader itself.
 	Silence time.Duration
 	// Kept is the number of entries since the snapshot.
 	Kept int
 }
 
-// Status returns the state that operators see.
+// Status returns the state shown to operators.
 func (a *Agreement) Status(now time.Time) Status {
 	s := Status{
 		Role: a.role, Name: a.settings.Self.Name, Leader: a.voter(a.leader), Term: a.vote.Term, Commit: a.commit,
 		Last: a.lastIndex(), Applied: a.applied, Voters: a.voters, VotersAt: a.votersAt, Current: a.Current(now), Kept: len(a.entries),
 	}
 	if a.role != Leader {
-		s.Silence = now.Sub(a.heardFrom)
+		s.Silence = now.Sub(a.lastLeaderContact)
 	}
 	return s
 }
@@ -169,7 +174,7 @@
 	return v
 }
 
-// Reduce applies one event and returns what must be done, in order.
+// Reduce applies one event and returns the effects to execute, in order.
 func (a *Agreement) Reduce(now time.Time, e Event) []Effect {
 	a.effects = nil
 	switch {
@@ -189,15 +194,15 @@
 	return a.effects
 }
 
-// Replay returns the entries that the disk knew to be accepted at the start.
+// Replay returns effects that apply the entries known to be committed at start.
 func (a *Agreement) Replay() []Effect {
 	a.effects = nil
 	a.apply()
 	return a.effects
 }
 
-// Propose adds a command to the log and returns its place; the change is
-// accepted when that place is applied with the same term.
+// Propose appends a command to the log and returns its entry. The change is
+// committed if the entry applied at that index has the same term.
 func (a *Agreement) Propose(now time.Time, data []byte) (Entry, []Effect, error) {
 	if a.role != Leader {
 		return Entry{}, nil, &NotLeaderError{Leader: a.voter(a.leader)}
@@ -210,7 +215,8 @@
 
 func (a *Agreement) lastIndex() uint64 { return a.snapshot.Index + uint64(len(a.entries)) }
 
-// termAt returns the term of an index, and false when it is not kept.
+// termAt returns the term of the entry at an index, and false if the log does
+// not hold that entry.
 func (a *Agreement) termAt(i uint64) (uint64, bool) {
 	switch {
 	case i == a.snapshot.Index:
@@ -227,11 +233,12 @@
 	return t
 }
 
-// bytesPerMessage bounds an Append beside the number of its entries: a message
-// must get through a slow link within the time a call may take, and one of many
-// large configurations would not, again and again.
+// bytesPerMessage limits the size of an AppendEntries message. A message with
+// many large configurations would exceed the call timeout on a slow link, and so
+// would every retry.
 const bytesPerMessage = 1 << 20
 
+// entriesFrom returns entries from an index on, up to a count and a total size.
 func (a *Agreement) entriesFrom(i uint64, limit int) []Entry {
 	es := a.entries[i-a.snapshot.Index-1:]
 	n, size := 0, 0
@@ -242,9 +249,9 @@
 	return slices.Clone(es[:n])
 }
 
-func (a *Agreement) resetDeadline(now time.Time) {
-	spread := time.Duration(a.random.Int64N(int64(a.settings.Election)))
-	a.deadline = now.Add(a.settings.Election + spread)
+func (a *Agreement) resetElectionDeadline(now time.Time) {
+	spread := time.Duration(a.rng.Int64N(int64(a.settings.Election)))
+	a.electionDeadline = now.Add(a.settings.Election + spread)
 }
 
 func (a *Agreement) send(m Message) {
@@ -255,7 +262,7 @@
 	a.effects = append(a.effects, Effect{Send: &m})
 }
 
-// persist makes a vote or entries durable, and sends messages only after that.
+// persist writes a vote or entries to disk and sends the messages after that.
 func (a *Agreement) persist(p Persist) {
 	for i := range p.Then {
 		p.Then[i].From, p.Then[i].Address = a.settings.Self.Id, a.settings.Self.Address
@@ -272,15 +279,16 @@
 
 func (a *Agreement) tick(now time.Time) {
 	switch {
-	case a.role == Unfounded || !a.mayVote():
-		a.sayHello(now)
+	case a.role == Unfounded || !a.canVote():
+		a.sendJoinRequests(now)
 	case a.role == Leader:
-		a.lead(now)
-	case now.After(a.deadline):
+		a.tickLeader(now)
+	case now.After(a.electionDeadline):
 		a.startPreVote(now)
 	}
 }
 
+// apply emits an Apply effect for each newly committed entry.
 func (a *Agreement) apply() {
 	for a.applied < a.commit {
 		a.applied++
@@ -289,13 +297,13 @@
 	}
 }
 
-// compact drops the applied entries in favour of a snapshot.
+// compact replaces the applied entries by a snapshot.
 func (a *Agreement) compact(data []byte) {
 	if a.applied <= a.snapshot.Index {
 		return
 	}
 	term, _ := a.termAt(a.applied)
-	voters := a.votersUpTo(a.applied)
+	voters := a.votersAtIndex(a.applied)
 	rest := slices.Clone(a.entries[a.applied-a.snapshot.Index:])
 	a.snapshot = Snapshot{Index: a.applied, Term: term, Voters: voters, Data: data}
 	a.entries = rest
@@ -307,10 +315,10 @@
 	a.persist(Persist{Vote: &v, Snapshot: &s, Entries: a.entries, Then: then})
 }
 
-// persisted counts this voter's own disk towards the majority.
+// persisted counts this voter's own disk towards the majority once it is synced.
 func (a *Agreement) persisted(now time.Time, index uint64) {
-	a.durable = max(a.durable, min(index, a.lastIndex()))
+	a.durableIndex = max(a.durableIndex, min(index, a.lastIndex()))
 	if a.role == Leader {
-		a.advance(now)
+		a.advanceCommit(now)
 	}
 }
--- a/internal/control/agreement/agreement_test.go
+++ b/internal/control/agreement/agreement_test.go
@@ -18,28 +18,29 @@
 	"wasabideal/internal/model/configuration"
 )
 
-var steps = flag.Int("steps", 150, "random steps of each run")
+var steps = flag.Int("steps", 150, "random steps per run")
 
 const tick = 50 * time.Millisecond
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// cluster joins voters by a network that loses, repeats, delays and parts.
+// cluster connects voters by a network that drops, duplicates and delays messages
+// and partitions.
 type cluster struct {
-	t       require.TestingT
-	now     time.Time
-	random  *rand.Rand
-	nodes   map[string]*node
-	names   []string
-	wire    []letter
-	loss    float64
-	cut     map[string]bool
-	leaders map[uint64]string
-	// accepted is the one history: what any voter applied at an index.
-	accepted map[uint64]agreement.Entry
-	// answered are the keys whose proposer was told that they are accepted.
-	answered map[string]ledger.Answer
-	lives    int
+	t           require.TestingT
+	now         time.Time
+	random      *rand.Rand
+	nodes       map[string]*node
+	names       []string
+	network     []envelope
+	loss        float64
+	partitioned map[string]bool
+	leaders     map[uint64]string
+	// committed holds the entry that any voter applied at an index.
+	committed map[uint64]agreement.Entry
+	// results are the answers given to proposers, by change key.
+	results map[string]ledger.Answer
+	starts  int
 }
 
 type node struct {
@@ -51,7 +52,7 @@
 	ledger   *ledger.Ledger
 	up       bool
 	applied  uint64
-	waiting  map[uint64]proposal
+	pending  map[uint64]proposal
 	revision uint64
 }
 
@@ -60,7 +61,7 @@
 	key  string
 }
 
-type letter struct {
+type envelope struct {
 	to      string
 	due     time.Time
 	message agreement.Message
@@ -68,8 +69,8 @@
 
 func newCluster(t require.TestingT, n int, seed uint64) *cluster {
 	c := &cluster{
-		t: t, now: epoch, random: rand.New(rand.NewPCG(seed, seed)), nodes: map[string]*node{}, cut: map[string]bool{},
-		leaders: map[uint64]string{}, accepted: map[uint64]agreement.Entry{}, answered: map[string]ledger.Answer{},
+		t: t, now: epoch, random: rand.New(rand.NewPCG(seed, seed)), nodes: map[string]*node{}, partitioned: map[string]bool{},
+		leaders: map[uint64]string{}, committed: map[uint64]agreement.Entry{}, results: map[string]ledger.Answer{},
 	}
 	for i := range n {
 		name := fmt.Sprintf("v%d", i+1)
@@ -82,10 +83,10 @@
 	return c
 }
 
-// replaceDisk starts a node with an empty disk, and so with a new id.
+// replaceDisk starts a node with an empty disk and a new id.
 func (n *node) replaceDisk() {
-	n.cluster.lives++
-	n.id = fmt.Sprintf("%s-%d", n.name, n.cluster.lives)
+	n.cluster.starts++
+	n.id = fmt.Sprintf("%s-%d", n.name, n.cluster.starts)
 	n.disk.Wipe()
 	n.start()
 }
@@ -100,15 +101,15 @@
 	n.wal = w
 	n.state = agreement.New(agreement.Settings{
 		Self: agreement.Voter{Name: n.name, Id: n.id, Address: n.name}, Founders: founders,
-		Heartbeat: 200 * time.Millisecond, Election: time.Second, Seed: uint64(n.cluster.lives), EntriesPerMessage: 8,
+		Heartbeat: 200 * time.Millisecond, Election: time.Second, Seed: uint64(n.cluster.starts), EntriesPerMessage: 8,
 	}, d, n.cluster.now)
 	n.ledger = ledger.New()
 	require.NoError(n.cluster.t, n.ledger.Restore(d.Snapshot.Data))
 	n.applied = d.Snapshot.Index
 	n.revision = n.ledger.Current().Revision
-	n.waiting = map[uint64]proposal{}
+	n.pending = map[uint64]proposal{}
 	n.up = true
-	n.cluster.lives++
+	n.cluster.starts++
 }
 
 func (n *node) crash() {
@@ -118,18 +119,18 @@
 
 func (n *node) reduce(e agreement.Event) {
 	if n.up {
-		n.carryOut(n.state.Reduce(n.cluster.now, e))
+		n.execute(n.state.Reduce(n.cluster.now, e))
 	}
 }
 
-func (n *node) carryOut(effects []agreement.Effect) {
+func (n *node) execute(effects []agreement.Effect) {
 	for _, x := range effects {
 		if !n.up {
 			return
 		}
 		switch {
 		case x.Send != nil:
-			n.cluster.post(*x.Send)
+			n.cluster.send(*x.Send)
 		case x.Persist != nil:
 			n.persist(*x.Persist)
 		case x.Apply != nil:
@@ -149,7 +150,7 @@
 		return
 	}
 	for _, m := range p.Then {
-		n.cluster.post(m)
+		n.cluster.send(m)
 	}
 	last := uint64(0)
 	if p.Snapshot != nil {
@@ -163,26 +164,26 @@
 	}
 }
 
-// apply checks that all voters apply one history, in one order.
+// apply checks that all voters apply the same entries in the same order.
 func (n *node) apply(e agreement.Entry) {
 	c := n.cluster
 	require.Equal(c.t, n.applied+1, e.Index, "%s applies in order", n.name)
 	n.applied = e.Index
-	if was, ok := c.accepted[e.Index]; ok {
-		require.Equal(c.t, was, e, "%s applies another entry at %d", n.name, e.Index)
+	if previous, ok := c.committed[e.Index]; ok {
+		require.Equal(c.t, previous, e, "%s applies a different entry at %d", n.name, e.Index)
 	}
-	c.accepted[e.Index] = e
+	c.committed[e.Index] = e
 	if e.Kind != agreement.Command {
 		return
 	}
 	_, answer, _ := n.ledger.Apply(e.Data)
-	require.GreaterOrEqual(c.t, n.ledger.Current().Revision, n.revision, "a revision went back")
+	require.GreaterOrEqual(c.t, n.ledger.Current().Revision, n.revision, "the revision decreased")
 	n.revision = n.ledger.Current().Revision
-	if p, ok := n.waiting[e.Index]; ok && p.term == e.Term {
-		if first, told := c.answered[p.key]; told {
-			require.Equal(c.t, first, answer, "a change key got two answers")
+	if p, ok := n.pending[e.Index]; ok && p.term == e.Term {
+		if first, exists := c.results[p.key]; exists {
+			require.Equal(c.t, first, answer, "two answers for one change key")
 		}
-		c.answered[p.key] = answer
+		c.results[p.key] = answer
 	}
 }
 
@@ -191,25 +192,25 @@
 	if s.Role != agreement.Leader {
 		return
 	}
-	if was, ok := c.leaders[s.Term]; ok {
-		require.Equal(c.t, was, n.id, "two leaders in term %d", s.Term)
+	if previous, ok := c.leaders[s.Term]; ok {
+		require.Equal(c.t, previous, n.id, "two leaders in term %d", s.Term)
 	}
 	c.leaders[s.Term] = n.id
 }
 
-func (c *cluster) post(m agreement.Message) {
+func (c *cluster) send(m agreement.Message) {
 	if c.random.Float64() < c.loss {
 		return
 	}
 	delay := time.Duration(c.random.Int64N(int64(20 * time.Millisecond)))
 	for copies := 1 + c.random.IntN(10)/9; copies > 0; copies-- {
-		c.wire = append(c.wire, letter{to: m.To, due: c.now.Add(delay), message: m})
+		c.network = append(c.network, envelope{to: m.To, due: c.now.Add(delay), message: m})
 		delay *= 3
 	}
 }
 
-// find returns the node that a message is for: an id, or a founder's name.
-func (c *cluster) find(to string) *node {
+// nodeFor returns the node with an id or name.
+func (c *cluster) nodeFor(to string) *node {
 	for _, name := range c.names {
 		if n := c.nodes[name]; n.id == to || n.name == to {
 			return n
@@ -219,7 +220,7 @@
 }
 
 func (c *cluster) nameOf(id string) string {
-	if n := c.find(id); n != nil {
+	if n := c.nodeFor(id); n != nil {
 		return n.name
 	}
 	return ""
@@ -239,15 +240,15 @@
 
 func (c *cluster) deliver() {
 	for {
-		i := slices.IndexFunc(c.wire, func(l letter) bool { return !l.due.After(c.now) })
+		i := slices.IndexFunc(c.network, func(l envelope) bool { return !l.due.After(c.now) })
 		if i < 0 {
 			return
 		}
-		l := c.wire[i]
-		c.wire = slices.Delete(c.wire, i, i+1)
-		n := c.find(l.to)
+		l := c.network[i]
+		c.network = slices.Delete(c.network, i, i+1)
+		n := c.nodeFor(l.to)
 		from := c.nameOf(l.message.From)
-		if n == nil || n.name != from && (c.cut[n.name] || c.cut[from]) {
+		if n == nil || n.name != from && (c.partitioned[n.name] || c.partitioned[from]) {
 			continue
 		}
 		m := l.message
@@ -255,7 +256,7 @@
 	}
 }
 
-// checkLease holds that at most one voter calls itself current at any moment.
+// checkLease checks that at most one voter holds a lease at any time.
 func (c *cluster) checkLease() {
 	current := 0
 	for _, name := range c.names {
@@ -275,7 +276,7 @@
 	return nil
 }
 
-// propose sends a change to a voter, as an operator who may ask the wrong one.
+// propose sends a change to a voter, which may not be the leader.
 func (c *cluster) propose(n *node, key string, expect uint64, preset string) error {
 	if !n.up {
 		return nil
@@ -293,8 +294,8 @@
 	if err != nil {
 		return err
 	}
-	n.waiting[e.Index] = proposal{term: e.Term, key: key}
-	n.carryOut(effects)
+	n.pending[e.Index] = proposal{term: e.Term, key: key}
+	n.execute(effects)
 	return nil
 }
 
@@ -304,10 +305,10 @@
 	n.reduce(agreement.Event{Compact: data})
 }
 
-// heal brings all voters back and lets them agree.
+// heal restarts all voters, ends all partitions and checks that they converge.
 func (c *cluster) heal() {
 	c.loss = 0
-	clear(c.cut)
+	clear(c.partitioned)
 	for _, name := range c.names {
 		n := c.nodes[name]
 		n.disk.FailAt = 0
@@ -317,22 +318,22 @@
 		}
 	}
 	c.run(12 * time.Second)
-	require.NotNil(c.t, c.leader(), "no leader after all is well again")
+	require.NotNil(c.t, c.leader(), "no leader after recovery")
 	for _, name := range c.names {
 		n := c.nodes[name]
 		require.Equal(c.t, c.leader().applied, n.applied, "%s did not catch up", name)
 		require.Equal(c.t, c.leader().ledger.Current(), n.ledger.Current())
-		for key, a := range c.answered {
+		for key, a := range c.results {
 			got, ok := n.ledger.Answered(key)
-			require.True(c.t, ok, "%s forgot the accepted change %s", name, key)
+			require.True(c.t, ok, "%s lost the committed change %s", name, key)
 			require.Equal(c.t, a, got)
 		}
 	}
 }
 
-// TestVotersKeepTheirPromises plays random failures on three voters with disks
-// that lose what was not synced, and checks the promises at every step.
-func TestVotersKeepTheirPromises(t *testing.T) {
+// TestSafetyUnderRandomFailures injects random failures into three voters whose
+// disks lose unsynced data, and checks the invariants at every step.
+func TestSafetyUnderRandomFailures(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newCluster(t, 3, rapid.Uint64().Draw(t, "seed"))
 		c.run(3 * time.Second)
@@ -356,7 +357,7 @@
 			n.start()
 		}
 	case 3:
-		c.cut[n.name] = !c.cut[n.name]
+		c.partitioned[n.name] = !c.partitioned[n.name]
 	case 4:
 		c.loss = rapid.SampledFrom([]float64{0, 0.1, 0.4}).Draw(t, "loss")
 	case 5:
@@ -373,7 +374,7 @@
 		_ = c.propose(n, key, expect, rapid.SampledFrom([]string{"a", "b", "none"}).Draw(t, "preset"))
 	case 10:
 		if n.up {
-			n.carryOut(n.state.HandOver(c.now))
+			n.execute(n.state.HandOver(c.now))
 		}
 	case 11:
 		if commit := n.state.Commit(); n.up && commit > 0 {
--- a/internal/control/agreement/doc.go
+++ b/internal/control/agreement/doc.go
@@ -1,8 +1,7 @@
-// Package agreement makes the control voters agree on one log of changes.
+// Package agreement replicates one log of changes among the control voters.
 //
-// It is a replicated log with terms, pre-votes, a majority, a leader's lease,
-// snapshots and one change of voters at a time, after Raft (Ongaro, 2014). It
-// is a reducer: events in, effects out, no I/O and no clock of its own. An
-// effect that must be on disk before others may know is a Persist that carries
-// the messages to send after it.
+// It implements Raft (Ongaro, 2014) with pre-votes, a leader lease, snapshots
+// and single-server membership changes. It is a pure state machine: events in,
+// effects out, no I/O and no clock. A Persist effect carries the messages that
+// may be sent only after its data is on disk.
 package agreement
--- a/internal/control/agreement/durable.go
+++ b/internal/control/agreement/durable.go
@@ -2,20 +2,20 @@
 
 import "fmt"
 
-// EntryKind says what an entry holds.
+// EntryKind is the type of a log entry.
 type EntryKind uint8
 
 // The kinds of entries.
 const (
-	// Command is a change for the state that the log drives.
+	// Command is a change to the replicated state machine.
 	Command EntryKind = iota
 	// Voters is a new list of voters.
 	Voters
-	// Empty is what a new leader writes to learn what is accepted.
-	Empty
+	// NoOp is written by a new leader to commit the entries of earlier terms.
+	NoOp
 )
 
-// Entry is one record of the log.
+// Entry is one entry of the replicated log.
 type Entry struct {
 	_     struct{} `cbor:",toarray"`
 	Index uint64
@@ -24,14 +24,14 @@
 	Data  []byte
 }
 
-// Vote is a voter's term and whom it voted for in it.
+// Vote is a voter's current term and the candidate it voted for in that term.
 type Vote struct {
 	_    struct{} `cbor:",toarray"`
 	Term uint64
 	For  string
 }
 
-// Snapshot stands for all entries up to its index.
+// Snapshot replaces all entries up to and including its index.
 type Snapshot struct {
 	_      struct{} `cbor:",toarray"`
 	Index  uint64
@@ -46,27 +46,27 @@
 	Name    string
 	Id      string
 	Address string
-	// Learner voters get the log and have no vote.
+	// Learner voters receive the log but have no vote.
 	Learner bool
 }
 
-// Durable is what a voter finds on its disk.
+// Durable is the state that a voter reads from its disk at start.
 type Durable struct {
 	Vote     Vote
 	Snapshot Snapshot
 	Entries  []Entry
-	// Commit is the index up to which entries are known to be accepted.
+	// Commit is the highest index known to be committed.
 	Commit uint64
 }
 
-// OrderError says that an entry does not follow the one before it.
+// OrderError reports a gap in the log before an entry.
 type OrderError struct{ Index, Expected uint64 }
 
 func (e *OrderError) Error() string {
-	return fmt.Sprintf("entry %d where %d or less was expected", e.Index, e.Expected)
+	return fmt.Sprintf("log entry %d leaves a gap: expected index %d or lower", e.Index, e.Expected)
 }
 
-// Put adds an entry, in place of those from its index on.
+// Put adds an entry and drops all entries from its index on.
 func (d *Durable) Put(e Entry) error {
 	next := d.Snapshot.Index + uint64(len(d.Entries)) + 1
 	if e.Index > next {
@@ -76,14 +76,14 @@
 	return nil
 }
 
-// Persist is what must be synced before Then is sent.
+// Persist is data that must be synced to disk before Then is sent.
 type Persist struct {
 	Vote    *Vote
 	Entries []Entry
-	// Snapshot replaces the log's beginning; Entries are then the whole rest.
+	// Snapshot replaces the start of the log; Entries is then all of the rest.
 	Snapshot *Snapshot
-	// Commit is kept so that a voter that restarts cut off from the others
-	// still knows which configuration was in force.
+	// Commit is stored so that a voter that restarts in a partition still knows
+	// which configuration was in force.
 	Commit uint64
 	Then   []Message
 }
--- a/internal/control/agreement/election.go
+++ b/internal/control/agreement/election.go
@@ -8,25 +8,25 @@
 	"github.com/samber/lo"
 )
 
-// sayHello asks to be founded, or to be taken into the list.
-func (a *Agreement) sayHello(now time.Time) {
-	if now.Sub(a.lastBeat) < a.settings.Heartbeat {
+// sendJoinRequests asks to bootstrap the cluster or to be added to its voters.
+func (a *Agreement) sendJoinRequests(now time.Time) {
+	if now.Sub(a.lastHeartbeat) < a.settings.Heartbeat {
 		return
 	}
-	a.lastBeat = now
-	told := map[string]bool{a.settings.Self.Name: true}
+	a.lastHeartbeat = now
+	contacted := map[string]bool{a.settings.Self.Name: true}
 	for _, f := range slices.Concat(a.settings.Founders, a.settings.Meet, a.voters) {
-		if !told[f.Name] {
-			told[f.Name] = true
-			a.send(Message{Kind: Hello, To: f.Name, Voter: a.settings.Self, Granted: a.role != Unfounded})
+		if !contacted[f.Name] {
+			contacted[f.Name] = true
+			a.send(Message{Kind: JoinRequest, To: f.Name, Voter: a.settings.Self, Granted: a.role != Unfounded})
 		}
 	}
-	a.found(now)
+	a.bootstrap(now)
 }
 
-// found writes the first list of voters, once every founder is known to be
-// empty: a founder that is silent may hold a log already.
-func (a *Agreement) found(now time.Time) {
+// bootstrap writes the initial list of voters once all founders have reported an
+// empty disk: a founder that does not respond may already hold a log.
+func (a *Agreement) bootstrap(now time.Time) {
 	if a.role != Unfounded || a.settings.Joins {
 		return
 	}
@@ -35,8 +35,8 @@
 		if f.Name == a.settings.Self.Name {
 			continue
 		}
-		h, ok := a.hellos[f.Name]
-		if !ok || h.founded || now.Sub(h.heard) > a.settings.Election || f.Name < a.settings.Self.Name {
+		h, ok := a.joinRequests[f.Name]
+		if !ok || h.bootstrapped || now.Sub(h.receivedAt) > a.settings.Election || f.Name < a.settings.Self.Name {
 			return
 		}
 		voters = append(voters, h.voter)
@@ -44,106 +44,106 @@
 	if len(a.settings.Founders) == 0 {
 		return
 	}
-	a.foundWith(now, voters)
+	a.bootstrapWith(now, voters)
 	for _, v := range voters[1:] {
-		a.send(Message{Kind: Found, To: v.Id, Voters: voters})
+		a.send(Message{Kind: Bootstrap, To: v.Id, Voters: voters})
 	}
 }
 
-func (a *Agreement) foundWith(now time.Time, voters []Voter) {
+func (a *Agreement) bootstrapWith(now time.Time, voters []Voter) {
 	data, _ := cbor.Marshal(voters)
 	a.role = Follower
 	a.vote = Vote{Term: 1}
 	e := Entry{Index: 1, Term: 1, Kind: Voters, Data: data}
 	a.entries = []Entry{e}
-	a.noteVoters(e)
+	a.adoptVoters(e)
 	v := a.vote
 	a.persist(Persist{Vote: &v, Entries: []Entry{e}})
-	a.resetDeadline(now)
+	a.resetElectionDeadline(now)
 }
 
 func (a *Agreement) receive(now time.Time, m Message) {
 	if m.To != a.settings.Self.Id && m.To != a.settings.Self.Name {
-		// A voter whose disk was replaced is still in the list under its former
-		// id, at the same address: a leader would take its own message to that
-		// one for another leader's.
+		// A voter whose disk was replaced remains in the list under its former id
+		// and the same address. Without this check, a leader would receive its own
+		// message to the former id as another leader's.
 		return
 	}
 	switch m.Kind {
-	case Hello:
-		a.receiveHello(now, m)
+	case JoinRequest:
+		a.receiveJoinRequest(now, m)
 		return
-	case Found:
-		a.receiveFound(now, m)
+	case Bootstrap:
+		a.receiveBootstrap(now, m)
 		return
 	case PreVote:
 		a.receivePreVote(now, m)
 		return
-	case PreVoteAnswer:
-		a.receivePreVoteAnswer(now, m)
+	case PreVoteResponse:
+		a.receivePreVoteResponse(now, m)
 		return
 	}
-	if m.Kind == RequestVote && a.trustsLeader(now) && !m.Granted {
-		// A majority that still hears its leader keeps it, and so keeps the
-		// promise that the leader's lease rests on.
+	if m.Kind == RequestVote && a.hasActiveLeader(now) && !m.Granted {
+		// Voters that still hear their leader ignore vote requests; the leader's
+		// lease depends on this.
 		return
 	}
 	if m.Term > a.vote.Term {
 		a.stepDown(now, m.Term)
 	}
 	if m.Term < a.vote.Term {
-		a.rejectOld(m)
+		a.rejectStaleTerm(m)
 		return
 	}
 	switch m.Kind {
 	case RequestVote:
 		a.receiveRequestVote(now, m)
-	case VoteAnswer:
-		a.receiveVoteAnswer(now, m)
-	case Append:
-		a.receiveAppend(now, m)
-	case Install:
-		a.receiveInstall(now, m)
-	case AppendAnswer:
-		a.receiveAppendAnswer(now, m)
-	case Elect:
-		a.receiveElect(now, m)
-	case Hello, Found, PreVote, PreVoteAnswer:
+	case VoteResponse:
+		a.receiveVoteResponse(now, m)
+	case AppendEntries:
+		a.receiveAppendEntries(now, m)
+	case InstallSnapshot:
+		a.receiveInstallSnapshot(now, m)
+	case AppendEntriesResponse:
+		a.receiveAppendEntriesResponse(now, m)
+	case TimeoutNow:
+		a.receiveTimeoutNow(now, m)
+	case JoinRequest, Bootstrap, PreVote, PreVoteResponse:
 	}
 }
 
-// rejectOld tells a leader of an older term that it leads no more.
-func (a *Agreement) rejectOld(m Message) {
-	if m.Kind == Append || m.Kind == Install {
-		a.send(Message{Kind: AppendAnswer, To: m.From, Index: a.lastIndex()})
+// rejectStaleTerm informs a leader of an older term that its term is over.
+func (a *Agreement) rejectStaleTerm(m Message) {
+	if m.Kind == AppendEntries || m.Kind == InstallSnapshot {
+		a.send(Message{Kind: AppendEntriesResponse, To: m.From, Index: a.lastIndex()})
 	}
 }
 
-func (a *Agreement) receiveHello(now time.Time, m Message) {
-	a.hellos[m.Voter.Name] = hello{voter: m.Voter, founded: m.Granted, heard: now}
+func (a *Agreement) receiveJoinRequest(now time.Time, m Message) {
+	a.joinRequests[m.Voter.Name] = joinRequest{voter: m.Voter, bootstrapped: m.Granted, receivedAt: now}
 	switch {
 	case a.role == Leader:
-		a.admit(now, m.Voter)
-	case a.leader != "" && m.Index == 0 && a.trustsLeader(now):
-		// A newcomer may know none of the voters that lead; Index marks a hello
-		// that was passed on, so that two voters do not pass it to and fro.
-		a.send(Message{Kind: Hello, To: a.leader, Voter: m.Voter, Granted: m.Granted, Index: 1})
+		a.addLearner(now, m.Voter)
+	case a.leader != "" && m.Index == 0 && a.hasActiveLeader(now):
+		// A new voter may not know the leader. Index marks a forwarded request, so
+		// that two voters do not forward it to each other in a loop.
+		a.send(Message{Kind: JoinRequest, To: a.leader, Voter: m.Voter, Granted: m.Granted, Index: 1})
 	}
 	if !m.Granted && a.lastIndex() == 1 && a.voter(m.Voter.Id).Id != "" {
-		// The founding message to this voter was lost: without another one it
-		// would never take part.
-		a.send(Message{Kind: Found, To: m.Voter.Id, Voters: a.voters})
+		// The Bootstrap message to this voter was lost; without a retry the voter
+		// would never join.
+		a.send(Message{Kind: Bootstrap, To: m.Voter.Id, Voters: a.voters})
 	}
 }
 
-func (a *Agreement) receiveFound(now time.Time, m Message) {
+func (a *Agreement) receiveBootstrap(now time.Time, m Message) {
 	if a.role != Unfounded {
 		return
 	}
 	for _, v := range m.Voters {
-		h, ok := a.hellos[v.Name]
-		// A list that names another life of any founder is an old one: its disk
-		// was replaced since, and a newer list may be under way.
+		h, ok := a.joinRequests[v.Name]
+		// A list with a former id of any founder is stale: that founder's disk was
+		// replaced since, and a newer list may be in flight.
 		if v.Name != a.settings.Self.Name && (!ok || h.voter.Id != v.Id) {
 			return
 		}
@@ -151,14 +151,16 @@
 			return
 		}
 	}
-	a.foundWith(now, m.Voters)
+	a.bootstrapWith(now, m.Voters)
 }
 
-func (a *Agreement) trustsLeader(now time.Time) bool {
+// hasActiveLeader reports whether a leader was heard within the election timeout;
+// for the leader itself, whether its lease holds.
+func (a *Agreement) hasActiveLeader(now time.Time) bool {
 	if a.role == Leader {
 		return now.Before(a.leaseEnd(now))
 	}
-	return a.leader != "" && now.Sub(a.heardFrom) < a.settings.Election
+	return a.leader != "" && now.Sub(a.lastLeaderContact) < a.settings.Election
 }
 
 func (a *Agreement) stepDown(now time.Time, term uint64) {
@@ -170,18 +172,18 @@
 	}
 	a.leader = ""
 	a.preVoting = false
-	a.resetDeadline(now)
+	a.resetElectionDeadline(now)
 }
 
-// startPreVote asks first, so that a voter that was cut off does not raise
-// everyone's term when it comes back.
+// startPreVote requests pre-votes, so that a voter that returns from a partition
+// does not raise the term of all others.
 func (a *Agreement) startPreVote(now time.Time) {
-	a.resetDeadline(now)
+	a.resetElectionDeadline(now)
 	a.leader = ""
 	a.role = Candidate
 	a.preVoting = true
 	a.votes = map[string]bool{a.settings.Self.Id: true}
-	for _, v := range a.others() {
+	for _, v := range a.peers() {
 		a.send(Message{
 			Kind: PreVote, To: v.Id, Term: a.vote.Term + 1, Index: a.lastIndex(), LogTerm: a.lastTerm(),
 			Voter: a.settings.Self,
@@ -190,7 +192,8 @@
 	a.checkPreVotes(now)
 }
 
-func (a *Agreement) upToDate(m Message) bool {
+// isUpToDate reports whether the sender's log is at least as complete as this one.
+func (a *Agreement) isUpToDate(m Message) bool {
 	if m.LogTerm != a.lastTerm() {
 		return m.LogTerm > a.lastTerm()
 	}
@@ -199,22 +202,22 @@
 
 func (a *Agreement) receivePreVote(now time.Time, m Message) {
 	if a.voter(m.From).Id == "" && m.Voter.Id != "" && a.role != Unfounded {
-		// A voter that was replaced while it was cut off still believes in the
-		// old list and asks for votes for ever; it is taken in again.
-		a.receiveHello(now, Message{Kind: Hello, From: m.From, Voter: m.Voter, Granted: true})
+		// A voter that was removed during a partition still has the old list and
+		// requests votes forever; treat the request as a join request.
+		a.receiveJoinRequest(now, Message{Kind: JoinRequest, From: m.From, Voter: m.Voter, Granted: true})
 	}
-	granted := !a.trustsLeader(now) && m.Term > a.vote.Term && a.upToDate(m)
+	granted := !a.hasActiveLeader(now) && m.Term > a.vote.Term && a.isUpToDate(m)
 	term := a.vote.Term
 	if granted {
 		term = m.Term
 	}
-	a.send(Message{Kind: PreVoteAnswer, To: m.From, Term: term, Granted: granted})
+	a.send(Message{Kind: PreVoteResponse, To: m.From, Term: term, Granted: granted})
 }
 
-func (a *Agreement) receivePreVoteAnswer(now time.Time, m Message) {
+func (a *Agreement) receivePreVoteResponse(now time.Time, m Message) {
 	if !m.Granted && m.Term > a.vote.Term {
-		// Without this a voter with the best log and an old term would be
-		// denied for ever by one with a newer term and a worse log.
+		// Otherwise a voter with a newer term and a shorter log would reject the
+		// voter with the most complete log forever.
 		a.stepDown(now, m.Term)
 		return
 	}
@@ -225,80 +228,81 @@
 	a.checkPreVotes(now)
 }
 
-func (a *Agreement) votesCounted() int {
+func (a *Agreement) countVotes() int {
 	return lo.CountBy(a.voters, func(v Voter) bool { return !v.Learner && a.votes[v.Id] })
 }
 
 func (a *Agreement) checkPreVotes(now time.Time) {
-	if a.votesCounted() >= a.quorum() {
+	if a.countVotes() >= a.quorum() {
 		a.campaign(now, false)
 	}
 }
 
-// HandOver lets a leader that is about to stop give up, and asks the follower
-// that has most of the log to take over: waiting for its silence to be noticed
-// would stop all changes for an election's time at each planned stop.
+// HandOver makes a leader that is about to stop transfer leadership to the
+// follower with the most complete log. Without it, each planned stop would block
+// all changes for an election timeout.
 func (a *Agreement) HandOver(now time.Time) []Effect {
 	a.effects = nil
 	if a.role != Leader {
 		return nil
 	}
 	followers := lo.Filter(a.voting(), func(v Voter, _ int) bool {
-		return v.Id != a.settings.Self.Id && a.silence(now, v) < a.settings.Election
+		return v.Id != a.settings.Self.Id && a.timeSinceAck(now, v) < a.settings.Election
 	})
 	a.stepDown(now, a.vote.Term)
 	if len(followers) > 0 {
-		next := lo.MaxBy(followers, func(x, y Voter) bool { return a.follow(x.Id).match > a.follow(y.Id).match })
-		a.send(Message{Kind: Elect, To: next.Id})
+		next := lo.MaxBy(followers, func(x, y Voter) bool { return a.progressOf(x.Id).match > a.progressOf(y.Id).match })
+		a.send(Message{Kind: TimeoutNow, To: next.Id})
 	}
 	return a.effects
 }
 
-func (a *Agreement) receiveElect(now time.Time, m Message) {
-	if a.role == Follower && a.leader == m.From && a.mayVote() {
+func (a *Agreement) receiveTimeoutNow(now time.Time, m Message) {
+	if a.role == Follower && a.leader == m.From && a.canVote() {
 		a.role = Candidate
 		a.campaign(now, true)
 	}
 }
 
-// campaign asks for votes in a new term; a handover has no leader to respect.
-func (a *Agreement) campaign(now time.Time, handover bool) {
+// campaign requests votes in a new term. In a leadership transfer, voters grant
+// them even though they heard the leader recently.
+func (a *Agreement) campaign(now time.Time, transfer bool) {
 	a.preVoting = false
 	a.leader = ""
-	a.resetDeadline(now)
+	a.resetElectionDeadline(now)
 	term := a.vote.Term + 1
 	a.votes = map[string]bool{}
-	requests := lo.Map(a.others(), func(v Voter, _ int) Message {
-		return Message{Kind: RequestVote, To: v.Id, Index: a.lastIndex(), LogTerm: a.lastTerm(), Granted: handover}
+	requests := lo.Map(a.peers(), func(v Voter, _ int) Message {
+		return Message{Kind: RequestVote, To: v.Id, Index: a.lastIndex(), LogTerm: a.lastTerm(), Granted: transfer}
 	})
-	// The own vote travels as a message too: it counts once it is synced.
-	requests = append(requests, Message{Kind: VoteAnswer, To: a.settings.Self.Id, Granted: true})
+	// The own vote is sent as a message too, so that it counts only once synced.
+	requests = append(requests, Message{Kind: VoteResponse, To: a.settings.Self.Id, Granted: true})
 	a.setVote(term, a.settings.Self.Id, requests...)
 }
 
-// receiveRequestVote votes whether or not the own log says that this voter has a
-// vote: the candidate counts the voters of its own list. One that is in it but
-// has not got that list yet would otherwise be missing in the majority for ever.
-// A replaced disk cannot vote in its predecessor's name, its id is another.
+// receiveRequestVote grants votes even if this voter's own log gives it no vote:
+// the candidate's list decides. Otherwise a voter that was just promoted and has
+// not received that list could be missing from the majority forever. A replaced
+// disk cannot vote for its predecessor, since it has a different id.
 func (a *Agreement) receiveRequestVote(now time.Time, m Message) {
-	free := a.vote.For == "" || a.vote.For == m.From
-	if !free || !a.upToDate(m) || a.role == Leader {
+	canGrant := a.vote.For == "" || a.vote.For == m.From
+	if !canGrant || !a.isUpToDate(m) || a.role == Leader {
 		return
 	}
-	a.resetDeadline(now)
-	a.setVote(m.Term, m.From, Message{Kind: VoteAnswer, To: m.From, Granted: true})
+	a.resetElectionDeadline(now)
+	a.setVote(m.Term, m.From, Message{Kind: VoteResponse, To: m.From, Granted: true})
 }
 
-func (a *Agreement) receiveVoteAnswer(now time.Time, m Message) {
+func (a *Agreement) receiveVoteResponse(now time.Time, m Message) {
 	if a.role != Candidate || a.preVoting || !m.Granted {
 		return
 	}
 	a.votes[m.From] = true
-	if a.votesCounted() < a.quorum() {
+	if a.countVotes() < a.quorum() {
 		return
 	}
 	a.role, a.leader, a.leaderSince = Leader, a.settings.Self.Id, now
 	a.progress = map[string]*progress{}
-	e := a.append(now, Empty, nil)
-	a.leaderFrom = e.Index
+	e := a.append(now, NoOp, nil)
+	a.termStartIndex = e.Index
 }
--- a/internal/control/agreement/lease.go
+++ b/internal/control/agreement/lease.go
@@ -7,28 +7,29 @@
 	"github.com/samber/lo"
 )
 
-// Current says that this voter leads with a lease, and so knows every
-// accepted change: a majority promised to elect nobody else until it ends.
+// Current reports whether this voter is the leader and holds a lease, and so has
+// every committed change: a majority elects no other leader until the lease ends.
 func (a *Agreement) Current(now time.Time) bool {
-	return a.role == Leader && a.commit >= a.leaderFrom && now.Before(a.leaseEnd(now))
+	return a.role == Leader && a.commit >= a.termStartIndex && now.Before(a.leaseEnd(now))
 }
 
-// leaseShare keeps the lease shorter than the others' promise, against clocks
-// that run at different speeds.
-const leaseShare = 0.8
+// leaseFraction makes the lease shorter than the election timeout, to allow for
+// clocks that run at different speeds.
+const leaseFraction = 0.8
 
+// leaseEnd returns when the leader's lease ends.
 func (a *Agreement) leaseEnd(now time.Time) time.Time {
-	return a.confirmed(now).Add(time.Duration(float64(a.settings.Election) * leaseShare))
+	return a.quorumAckTime(now).Add(time.Duration(float64(a.settings.Election) * leaseFraction))
 }
 
-// ConfirmedSince says that this voter still led after the given time: a
-// majority answered a message that was sent later. A lease alone would not do
-// for reads: a VM that was suspended does not know that its lease ran out.
+// ConfirmedSince reports whether this voter was still the leader after a given
+// time: a majority acknowledged a message sent later. A lease alone does not make
+// reads safe, since a suspended VM does not notice that its lease expired.
 func (a *Agreement) ConfirmedSince(now, since time.Time) bool {
-	return a.role == Leader && a.commit >= a.leaderFrom && !a.confirmed(now).Before(since)
+	return a.role == Leader && a.commit >= a.termStartIndex && !a.quorumAckTime(now).Before(since)
 }
 
-// Confirm asks the followers for answers without waiting for the next heartbeat.
+// Confirm contacts the followers without waiting for the next heartbeat.
 func (a *Agreement) Confirm(now time.Time) []Effect {
 	a.effects = nil
 	if a.role == Leader {
@@ -37,11 +38,11 @@
 	return a.effects
 }
 
-// Commit returns the index up to which entries are known to be accepted.
+// Commit returns the highest index known to be committed.
 func (a *Agreement) Commit() uint64 { return a.commit }
 
-// confirmed returns the latest sending time that a majority answered.
-func (a *Agreement) confirmed(now time.Time) time.Time {
+// quorumAckTime returns the latest send time that a majority has acknowledged.
+func (a *Agreement) quorumAckTime(now time.Time) time.Time {
 	times := lo.FilterMap(a.voters, func(v Voter, _ int) (time.Time, bool) {
 		switch p := a.progress[v.Id]; {
 		case v.Learner:
@@ -51,7 +52,7 @@
 		case p == nil:
 			return time.Time{}, true
 		default:
-			return p.answered, true
+			return p.ackedSendTime, true
 		}
 	})
 	if len(times) == 0 {
--- a/internal/control/agreement/members_test.go
+++ b/internal/control/agreement/members_test.go
@@ -28,119 +28,111 @@
 	return names
 }
 
-// Symptom: no change was accepted any more although two of three machines ran.
-// Events: one machine after the other is gone for good, and an empty one comes
-// at another address each time.
-// Cause: the voters that were gone stayed in the list and counted towards the
-// majority, two of five at last.
+// Guards against a cluster that accepts no changes although two of three machines
+// run. Each machine in turn is replaced by an empty one at another address. If
+// the old voters stay in the list, the majority counts them: two of five in the end.
 func TestMachinesThatAreGoneLeaveTheList(t *testing.T) {
-	c := founded(t)
-	for _, step := range []struct{ gone, comes string }{{"v1", "v4"}, {"v2", "v5"}, {"v3", "v6"}} {
-		c.nodes[step.gone].crash()
+	c := bootstrappedCluster(t)
+	for _, step := range []struct{ removed, replacement string }{{"v1", "v4"}, {"v2", "v5"}, {"v3", "v6"}} {
+		c.nodes[step.removed].crash()
 		c.run(2 * time.Second)
-		c.add(step.comes)
+		c.add(step.replacement)
 		c.run(20 * time.Second)
-		require.NotNil(t, c.leader(), "after %s", step.gone)
+		require.NotNil(t, c.leader(), "after %s", step.removed)
 		require.Len(t, votersOf(c), 3)
-		require.NotContains(t, votersOf(c), step.gone)
+		require.NotContains(t, votersOf(c), step.removed)
 	}
 	require.Equal(t, uint64(1), c.leader().ledger.Current().Revision)
 }
 
-// Symptom: voters that had been cut off for some seconds never voted again.
-// Events: two of five are cut off for long; one leaves the list for the losses
-// to be borne; they come back.
-// Cause: a voter that left the list while it was cut off believes in the old
-// one, and asks for votes that nobody gives.
-func TestVotersThatWereCutOffAreTakenInAgain(t *testing.T) {
-	c := founded(t)
+// Guards against voters that never vote again after a partition. A voter that
+// was removed meanwhile still has the old list and requests votes that no other
+// voter grants.
+func TestPartitionedVotersRejoinAfterRemoval(t *testing.T) {
+	c := bootstrappedCluster(t)
 	c.add("v4")
 	c.add("v5")
 	c.run(5 * time.Second)
 	require.Len(t, votersOf(c), 5)
 	lost := c.others(c.leader())[:2]
 	for _, n := range lost {
-		c.cut[n.name] = true
+		c.partitioned[n.name] = true
 	}
 	c.run(30 * time.Second)
-	require.Len(t, votersOf(c), 3, "with one loss to bear three are enough")
-	clear(c.cut)
+	require.Len(t, votersOf(c), 3, "three voters tolerate one loss")
+	clear(c.partitioned)
 	c.run(10 * time.Second)
 	require.Len(t, votersOf(c), 5)
 }
 
-// Symptom: a read gave an older configuration than one that was acknowledged.
-// Events: the leader's VM is suspended; the others elect another and accept a
-// change; the first wakes up and is read, its clock having stood still.
-// Cause: its lease seemed to hold, since its clock did not count the time.
-func TestLeaderThatWasSuspendedConfirmsNothing(t *testing.T) {
-	c := founded(t)
-	old := c.leader()
-	asleep := c.now
-	old.up = false
+// Guards against a stale read. The leader's VM is suspended, the others elect a
+// new leader and commit a change, and the first leader resumes. Its clock did not
+// advance, so that its lease seems to hold.
+func TestSuspendedLeaderDoesNotConfirmReads(t *testing.T) {
+	c := bootstrappedCluster(t)
+	former := c.leader()
+	suspendedAt := c.now
+	former.up = false
 	c.run(10 * time.Second)
 	require.NotNil(t, c.leader())
-	old.up = true
-	require.True(t, old.state.Current(asleep), "by its own clock the lease holds")
-	require.False(t, old.state.ConfirmedSince(asleep, asleep.Add(time.Millisecond)))
-	now := c.leader()
+	former.up = true
+	require.True(t, former.state.Current(suspendedAt), "the lease holds by the suspended clock")
+	require.False(t, former.state.ConfirmedSince(suspendedAt, suspendedAt.Add(time.Millisecond)))
+	current := c.leader()
 	since := c.now
 	require.Eventually(t, func() bool {
 		c.run(tick)
-		return now.state.ConfirmedSince(c.now, since)
+		return current.state.ConfirmedSince(c.now, since)
 	}, time.Minute, time.Microsecond)
 }
 
-// Symptom: a zone that was cut off during a restart of all VMs had no
-// configuration until the cut ended.
-// Events: a change is accepted; all voters lose power; one comes back alone.
-// Cause: no disk said which entries of the log had been accepted.
-func TestRestartedVoterKnowsWhatWasAccepted(t *testing.T) {
-	c := founded(t)
+// Guards against a partitioned zone without a configuration after a restart of
+// all VMs. If no disk records the commit index, a voter that restarts alone
+// cannot tell which entries are committed.
+func TestRestartedVoterRestoresCommitIndex(t *testing.T) {
+	c := bootstrappedCluster(t)
 	require.NoError(t, c.propose(c.leader(), "kept", 1, "b"))
 	c.run(time.Second)
 	for _, name := range c.names {
 		n := c.nodes[name]
-		n.carryOut([]agreement.Effect{{Persist: &agreement.Persist{Commit: n.state.Commit()}}})
+		n.execute([]agreement.Effect{{Persist: &agreement.Persist{Commit: n.state.Commit()}}})
 		n.crash()
 	}
-	alone := c.nodes["v2"]
-	alone.start()
-	alone.carryOut(alone.state.Replay())
-	require.Equal(t, uint64(2), alone.ledger.Current().Revision)
+	isolated := c.nodes["v2"]
+	isolated.start()
+	isolated.execute(isolated.state.Replay())
+	require.Equal(t, uint64(2), isolated.ledger.Current().Revision)
 	require.Nil(t, c.leader())
 }
 
-// Symptom: at each planned stop of the leading voter no change was accepted for
-// a second.
-// Events: the leader stops; the others notice its silence.
-// Cause: nobody was told, and the others respect a leader that was heard lately.
-func TestLeaderThatStopsHandsOver(t *testing.T) {
-	c := founded(t)
-	old := c.leader()
-	old.carryOut(old.state.HandOver(c.now))
-	c.run(600 * time.Millisecond) // the least silence before a vote is a second
+// Guards against a second without commits at each planned stop of the leader.
+// Without a leadership transfer, the others wait for the election timeout.
+func TestStoppingLeaderTransfersLeadership(t *testing.T) {
+	c := bootstrappedCluster(t)
+	former := c.leader()
+	former.execute(former.state.HandOver(c.now))
+	c.run(600 * time.Millisecond) // the minimum election timeout is one second
 	require.NotNil(t, c.leader())
-	require.NotSame(t, old, c.leader())
+	require.NotSame(t, former, c.leader())
 	require.NoError(t, c.propose(c.leader(), "next", 1, "b"))
 	c.run(time.Second)
-	require.Equal(t, uint64(2), old.ledger.Current().Revision, "the old one follows until it stops")
+	require.Equal(t, uint64(2), former.ledger.Current().Revision, "the former leader follows until it stops")
 }
 
-// Symptom: no voter led for the rest of the run after a lost disk (soak, seed 227).
-// Events: a voter with a replaced disk has caught up and gets its vote; the leader
-// fails before that voter has the list that says so.
-// Cause: the others need its vote, and it believed that it had none.
+// Guards against a cluster that elects no leader after a lost disk (soak, seed 227).
+// A voter with a replaced disk is promoted, and the leader fails before that
+// voter receives the new list. The others need its vote, but by its own list it
+// has none.
 func TestVoterVotesBeforeItKnowsThatItMay(t *testing.T) {
-	c := founded(t)
-	lead := c.leader()
-	fresh := c.others(lead)[0]
-	fresh.crash()
+	c := bootstrappedCluster(t)
+	leader := c.leader()
+	replaced := c.others(leader)[0]
+	replaced.crash()
 	c.run(time.Second)
-	fresh.replaceDisk()
+	replaced.replaceDisk()
 	promoted := func() bool {
-		for _, v := range lead.state.Status(c.now).Voters {
-			if v.Id == fresh.id && !v.Learner {
+		for _, v := range leader.state.Status(c.now).Voters {
+			if v.Id == replaced.id && !v.Learner {
 				return true
 			}
 		}
@@ -148,36 +140,35 @@
 	}
 	for end := c.now.Add(20 * time.Second); !promoted(); {
 		require.True(t, c.now.Before(end))
-		// The new voter hears nothing of the step that gives it its vote.
-		before := len(c.wire)
+		// Drop the messages that promote the new voter.
+		before := len(c.network)
 		c.run(tick)
 		if promoted() {
-			c.wire = c.wire[:min(before, len(c.wire))]
-			c.cut[fresh.name] = true
+			c.network = c.network[:min(before, len(c.network))]
+			c.partitioned[replaced.name] = true
 		}
 	}
 	c.run(time.Second)
-	lead.crash()
-	lead.start()
-	c.wire = nil
-	clear(c.cut)
+	leader.crash()
+	leader.start()
+	c.network = nil
+	clear(c.partitioned)
 	c.run(20 * time.Second)
 	require.NotNil(t, c.leader())
 }
 
-// Symptom: a voter ended with "one leader a term" (soak, seed 211).
-// Events: a disk is replaced; the voter gets its vote while its former id is still
-// in the list, and becomes the leader.
-// Cause: its messages to the former id, at its own address, came back to it.
+// Guards against a crash with "at most one leader per term" (soak, seed 211). A
+// voter with a replaced disk becomes the leader while its former id, at the same
+// address, is still in the list, and so receives its own messages to that id.
 func TestMessageToAFormerIdIsIgnored(t *testing.T) {
-	c := founded(t)
-	lead := c.leader()
-	s := lead.state.Status(c.now)
+	c := bootstrappedCluster(t)
+	leader := c.leader()
+	s := leader.state.Status(c.now)
 	require.NotPanics(t, func() {
-		effects := lead.state.Reduce(c.now, agreement.Event{Message: &agreement.Message{
-			Kind: agreement.Append, From: lead.id, To: "a former id", Term: s.Term, Index: s.Last,
+		effects := leader.state.Reduce(c.now, agreement.Event{Message: &agreement.Message{
+			Kind: agreement.AppendEntries, From: leader.id, To: "a former id", Term: s.Term, Index: s.Last,
 		}})
 		require.Empty(t, effects)
 	})
-	require.Equal(t, agreement.Leader, lead.state.Status(c.now).Role)
+	require.Equal(t, agreement.Leader, leader.state.Status(c.now).Role)
 }
--- a/internal/control/agreement/message.go
+++ b/internal/control/agreement/message.go
@@ -1,30 +1,30 @@
 package agreement
 
-// MessageKind says what a message between voters is.
+// MessageKind is the type of a message between voters.
 type MessageKind uint8
 
-// The messages between voters.
+// The kinds of messages.
 const (
-	// Hello tells of a voter that is not founded or not in the list.
-	Hello MessageKind = iota
-	// Found gives the first list of voters.
-	Found
-	// PreVote asks whether a vote would be given, and disturbs nobody.
+	// JoinRequest announces a voter that has no list of voters or is not in it.
+	JoinRequest MessageKind = iota
+	// Bootstrap carries the initial list of voters.
+	Bootstrap
+	// PreVote asks whether a vote would be granted, without raising any term.
 	PreVote
-	PreVoteAnswer
+	PreVoteResponse
 	RequestVote
-	VoteAnswer
-	// Append carries entries and is the leader's heartbeat.
-	Append
-	AppendAnswer
-	// Install carries a snapshot.
-	Install
-	// Elect asks a follower to take over from a leader that stops; votes that
-	// are requested for it are marked as Granted.
-	Elect
+	VoteResponse
+	// AppendEntries carries entries and is the leader's heartbeat.
+	AppendEntries
+	AppendEntriesResponse
+	// InstallSnapshot carries a snapshot.
+	InstallSnapshot
+	// TimeoutNow asks a follower to start an election at once because the leader
+	// stops. The follower's RequestVote messages have Granted set.
+	TimeoutNow
 )
 
-// Message is what voters send each other.
+// Message is a message between two voters.
 type Message struct {
 	_        struct{} `cbor:",toarray"`
 	Kind     MessageKind
@@ -39,33 +39,33 @@
 	Snapshot *Snapshot
 	Voter    Voter
 	Voters   []Voter
-	// Address is where the sender takes answers: a voter with an empty disk
-	// knows no list of voters in which to look it up.
+	// Address is where the sender receives responses: a receiver with an empty
+	// disk has no list of voters to look it up in.
 	Address string
-	// Sent is the leader's time of sending in nanoseconds, echoed by answers.
+	// Sent is the leader's send time in nanoseconds, echoed in responses.
 	Sent int64
 }
 
-// Effect is one thing for a voter's edge to do; exactly one field is set.
+// Effect is one action that the caller must perform; exactly one field is set.
 type Effect struct {
-	// Send goes out at once.
+	// Send is sent at once.
 	Send *Message
-	// Persist must be synced, in order, before its Then is sent.
+	// Persist is synced to disk, in order, before its Then messages are sent.
 	Persist *Persist
-	// Apply is an accepted entry, in order.
+	// Apply is the next committed entry.
 	Apply *Entry
-	// Restore replaces the state that the log drives.
+	// Restore replaces the state machine's state by a snapshot.
 	Restore *Snapshot
 }
 
-// Event is one thing that happened to a voter; exactly one field is set.
+// Event is one input of a voter; exactly one field is set.
 type Event struct {
 	Tick    bool
 	Message *Message
-	// Persisted is the highest index whose Persist was synced.
+	// Persisted is the highest index that was synced to disk.
 	Persisted uint64
-	// DiskFailed means that no Persist will be synced any more.
+	// DiskFailed means that the disk failed and no further Persist is synced.
 	DiskFailed bool
-	// Compact is the driven state at the applied index.
+	// Compact is the state machine's state at the applied index.
 	Compact []byte
 }
--- a/internal/control/agreement/replication.go
+++ b/internal/control/agreement/replication.go
@@ -7,26 +7,27 @@
 	"github.com/samber/lo"
 )
 
-// append adds an entry to the leader's own log and sends it out.
+// append adds an entry to the leader's log and replicates it.
 func (a *Agreement) append(now time.Time, kind EntryKind, data []byte) Entry {
 	e := Entry{Index: a.lastIndex() + 1, Term: a.vote.Term, Kind: kind, Data: data}
 	a.entries = append(a.entries, e)
-	a.noteVoters(e)
+	a.adoptVoters(e)
 	a.persist(Persist{Entries: []Entry{e}})
 	a.replicateIdle(now)
 	return e
 }
 
-// replicateIdle sends to each follower that has no message under way.
+// replicateIdle sends entries to each follower without a message in flight.
 func (a *Agreement) replicateIdle(now time.Time) {
-	for _, v := range a.others() {
-		if p := a.follow(v.Id); !p.pending {
+	for _, v := range a.peers() {
+		if p := a.progressOf(v.Id); !p.pending {
 			a.replicate(now, v.Id, p)
 		}
 	}
 }
 
-func (a *Agreement) follow(id string) *progress {
+// progressOf returns the progress of a follower, created on first use.
+func (a *Agreement) progressOf(id string) *progress {
 	p := a.progress[id]
 	if p == nil {
 		p = &progress{next: a.lastIndex() + 1}
@@ -35,82 +36,83 @@
 	return p
 }
 
-// lead sends heartbeats, and gives up when a majority no longer answers.
-func (a *Agreement) lead(now time.Time) {
-	if now.Sub(a.lastBeat) < a.settings.Heartbeat {
+// tickLeader sends heartbeats, and steps down if a majority does not respond.
+func (a *Agreement) tickLeader(now time.Time) {
+	if now.Sub(a.lastHeartbeat) < a.settings.Heartbeat {
 		return
 	}
-	a.lastBeat = now
+	a.lastHeartbeat = now
 	if now.Sub(a.leaderSince) > a.settings.Election && now.Sub(a.leaseEnd(now)) > a.settings.Election {
 		a.stepDown(now, a.vote.Term)
 		return
 	}
-	for _, v := range a.others() {
-		a.replicate(now, v.Id, a.follow(v.Id))
+	for _, v := range a.peers() {
+		a.replicate(now, v.Id, a.progressOf(v.Id))
 	}
-	a.tendVoters(now)
+	a.updateVoters(now)
 }
 
-// installEvery bounds how often a whole snapshot is sent to one follower.
-const installEvery = 2 * time.Second
+// snapshotInterval is the minimum time between two snapshots sent to a follower.
+const snapshotInterval = 2 * time.Second
 
-// replicate sends a follower what it lacks, one message at a time under way;
-// a lost one is sent again with the next heartbeat.
+// replicate sends a follower its missing entries, with one message in flight. A
+// lost message is retried with the next heartbeat.
 func (a *Agreement) replicate(now time.Time, id string, p *progress) {
 	previous := p.next - 1
 	term, kept := a.termAt(previous)
 	if !kept {
-		a.install(now, id, p)
+		a.sendSnapshot(now, id, p)
 		return
 	}
 	p.pending = true
-	p.commit = a.commit
+	p.sentCommit = a.commit
 	a.send(Message{
-		Kind: Append, To: id, Index: previous, LogTerm: term, Commit: a.commit,
+		Kind: AppendEntries, To: id, Index: previous, LogTerm: term, Commit: a.commit,
 		Entries: a.entriesFrom(p.next, a.settings.EntriesPerMessage), Sent: now.UnixNano(),
 	})
 }
 
-func (a *Agreement) install(now time.Time, id string, p *progress) {
-	if now.Sub(p.installed) < installEvery {
+func (a *Agreement) sendSnapshot(now time.Time, id string, p *progress) {
+	if now.Sub(p.snapshotSentAt) < snapshotInterval {
 		return
 	}
-	p.installed = now
+	p.snapshotSentAt = now
 	p.pending = true
 	s := a.snapshot
-	a.send(Message{Kind: Install, To: id, Snapshot: &s, Commit: a.commit, Sent: now.UnixNano()})
+	a.send(Message{Kind: InstallSnapshot, To: id, Snapshot: &s, Commit: a.commit, Sent: now.UnixNano()})
 }
 
-func (a *Agreement) heard(now time.Time, m Message) {
+// followLeader records a message of the current leader and resets the timeout.
+func (a *Agreement) followLeader(now time.Time, m Message) {
 	a.leader = m.From
-	a.heardFrom = now
+	a.lastLeaderContact = now
 	a.role = Follower
 	a.preVoting = false
-	a.resetDeadline(now)
+	a.resetElectionDeadline(now)
 }
 
-func (a *Agreement) receiveAppend(now time.Time, m Message) {
+func (a *Agreement) receiveAppendEntries(now time.Time, m Message) {
 	if a.role == Leader {
-		panic(&BrokenPromiseError{Promise: "one leader a term"})
+		panic(&BrokenPromiseError{Invariant: "at most one leader per term"})
 	}
-	a.heard(now, m)
+	a.followLeader(now, m)
 	if t, ok := a.termAt(m.Index); m.Index > a.snapshot.Index && (!ok || t != m.LogTerm) {
-		a.send(Message{Kind: AppendAnswer, To: m.From, Index: min(a.lastIndex(), m.Index-1), Sent: m.Sent})
+		a.send(Message{Kind: AppendEntriesResponse, To: m.From, Index: min(a.lastIndex(), m.Index-1), Sent: m.Sent})
 		return
 	}
-	fresh := a.take(m.Entries)
+	added := a.mergeEntries(m.Entries)
 	last := m.Index + uint64(len(m.Entries))
-	answer := Message{Kind: AppendAnswer, To: m.From, Index: last, Granted: true, Sent: m.Sent}
+	response := Message{Kind: AppendEntriesResponse, To: m.From, Index: last, Granted: true, Sent: m.Sent}
 	a.commit = max(a.commit, min(m.Commit, last))
-	if len(fresh) == 0 && a.durable >= last {
-		a.send(answer)
+	if len(added) == 0 && a.durableIndex >= last {
+		a.send(response)
 		return
 	}
-	a.persist(Persist{Entries: fresh, Then: []Message{answer}})
+	a.persist(Persist{Entries: added, Then: []Message{response}})
 }
 
-// take adds entries to the log and returns those that were not there.
-func (a *Agreement) take(entries []Entry) []Entry {
+// mergeEntries adds entries to the log and returns the new ones.
+func (a *Agreement) mergeEntries(entries []Entry) []Entry {
 	for i, e := range entries {
 		if e.Index <= a.snapshot.Index {
 			continue
@@ -119,40 +121,40 @@
 			continue
 		}
 		if e.Index <= a.commit {
-			panic(&BrokenPromiseError{Promise: "an accepted change is never replaced"})
+			panic(&BrokenPromiseError{Invariant: "a committed entry is never replaced"})
 		}
 		a.entries = append(a.entries[:e.Index-a.snapshot.Index-1], entries[i:]...)
-		a.durable = min(a.durable, e.Index-1)
-		a.findVoters()
+		a.durableIndex = min(a.durableIndex, e.Index-1)
+		a.recomputeVoters()
 		return slices.Clone(entries[i:])
 	}
 	return nil
 }
 
-func (a *Agreement) receiveInstall(now time.Time, m Message) {
-	a.heard(now, m)
+func (a *Agreement) receiveInstallSnapshot(now time.Time, m Message) {
+	a.followLeader(now, m)
 	s := *m.Snapshot
-	answer := Message{Kind: AppendAnswer, To: m.From, Index: s.Index, Granted: true, Sent: m.Sent}
+	response := Message{Kind: AppendEntriesResponse, To: m.From, Index: s.Index, Granted: true, Sent: m.Sent}
 	if s.Index <= a.commit {
-		a.send(answer)
+		a.send(response)
 		return
 	}
 	a.snapshot, a.entries = s, nil
 	a.commit, a.applied = s.Index, s.Index
-	a.durable = 0
-	a.findVoters()
+	a.durableIndex = 0
+	a.recomputeVoters()
 	a.effects = append(a.effects, Effect{Restore: &s})
-	a.persistSnapshot(answer)
+	a.persistSnapshot(response)
 }
 
-func (a *Agreement) receiveAppendAnswer(now time.Time, m Message) {
+func (a *Agreement) receiveAppendEntriesResponse(now time.Time, m Message) {
 	if a.role != Leader {
 		return
 	}
-	p := a.follow(m.From)
+	p := a.progressOf(m.From)
 	p.pending = false
-	if sent := time.Unix(0, m.Sent); sent.After(p.answered) {
-		p.answered = sent
+	if sent := time.Unix(0, m.Sent); sent.After(p.ackedSendTime) {
+		p.ackedSendTime = sent
 	}
 	if !m.Granted {
 		p.next = max(min(m.Index+1, p.next-1), 1)
@@ -161,30 +163,30 @@
 	}
 	p.match = max(p.match, m.Index)
 	p.next = max(p.next, p.match+1)
-	a.advance(now)
-	a.tellCommit(now)
+	a.advanceCommit(now)
+	a.replicateCommit(now)
 }
 
-// tellCommit sends followers what they lack, news of acceptance included: a
-// follower that learned of it with the next heartbeat only kept the balancers
-// that follow it waiting for a quarter of a second.
-func (a *Agreement) tellCommit(now time.Time) {
-	for _, v := range a.others() {
-		p := a.follow(v.Id)
-		if !p.pending && (p.next <= a.lastIndex() || p.commit < a.commit) {
+// replicateCommit sends followers missing entries and the new commit index at
+// once. A follower that learned of a commit only with the next heartbeat delayed
+// the balancers that follow it by a quarter of a second.
+func (a *Agreement) replicateCommit(now time.Time) {
+	for _, v := range a.peers() {
+		p := a.progressOf(v.Id)
+		if !p.pending && (p.next <= a.lastIndex() || p.sentCommit < a.commit) {
 			a.replicate(now, v.Id, p)
 		}
 	}
 }
 
-// advance accepts what a majority has synced, in the leader's own term only:
-// an older entry on a majority may still be replaced (Ongaro, 2014, 3.6.2).
-func (a *Agreement) advance(now time.Time) {
+// advanceCommit commits entries that a majority has synced, in the leader's own
+// term only: an older entry may still be replaced (Ongaro, 2014, 3.6.2).
+func (a *Agreement) advanceCommit(now time.Time) {
 	matches := lo.FilterMap(a.voters, func(v Voter, _ int) (uint64, bool) {
 		if v.Id == a.settings.Self.Id {
-			return a.durable, !v.Learner
+			return a.durableIndex, !v.Learner
 		}
-		return a.follow(v.Id).match, !v.Learner
+		return a.progressOf(v.Id).match, !v.Learner
 	})
 	slices.Sort(matches)
 	index := matches[(len(matches)-1)/2]
@@ -192,7 +194,7 @@
 		return
 	}
 	a.commit = index
-	if !a.mayVote() && a.votersAt <= a.commit {
+	if !a.canVote() && a.votersAt <= a.commit {
 		a.stepDown(now, a.vote.Term)
 	}
 }
