--- a/internal/control/ledger/doc.go
+++ b/internal/control/ledger/doc.go
@@ -1,3 +1,3 @@
-// Package ledger turns accepted commands into configurations, one answer for
-// each change key for good.
+// Package ledger is the state machine of the replicated log: it applies committed
+// commands to the configuration and stores one answer for each change key.
 package ledger
--- a/internal/control/ledger/evacuate_test.go
+++ b/internal/control/ledger/evacuate_test.go
@@ -13,7 +13,7 @@
 	"wasabideal/internal/model/roster"
 )
 
-func order(t require.TestingT, l *ledger.Ledger, key, zone string, on bool, expect uint64) ledger.Answer {
+func applyEvacuation(t require.TestingT, l *ledger.Ledger, key, zone string, on bool, expect uint64) ledger.Answer {
 	data, err := ledger.Encode(ledger.Change{
 		ChangeKey: key, ExpectRevision: expect, Who: "test", Evacuate: &ledger.Evacuation{Zone: zone, On: on},
 	})
@@ -22,33 +22,33 @@
 	return answer
 }
 
-// Symptom: a zone that operators had taken back got no flows any more.
-// Events: an order to evacuate waits in a voter that stands still; its caller orders again
-// elsewhere, and later takes the zone back; then the voter goes on and proposes the first.
-// Cause: orders carry no number, and the last one to arrive counted.
+// Guards against a zone without flows after its evacuation ended. An evacuation command
+// waits in a stalled voter; the operator resends it to another voter and later ends the
+// evacuation; then the stalled voter proposes the first command. Commands carry no number,
+// so without the expected revision the last to arrive would apply.
 func TestDelayedOrderDoesNotUndoALaterOne(t *testing.T) {
 	l := ledger.New()
-	require.Equal(t, ledger.Accepted, order(t, l, "again", "a", true, 0).Verdict)
-	require.Equal(t, ledger.Accepted, order(t, l, "back", "a", false, 1).Verdict)
-	late := order(t, l, "delayed", "a", true, 0)
+	require.Equal(t, ledger.Accepted, applyEvacuation(t, l, "again", "a", true, 0).Verdict)
+	require.Equal(t, ledger.Accepted, applyEvacuation(t, l, "back", "a", false, 1).Verdict)
+	late := applyEvacuation(t, l, "delayed", "a", true, 0)
 	require.Equal(t, ledger.Conflict, late.Verdict)
 	require.Equal(t, "back", late.WinnerKey)
 	require.False(t, l.Evacuations().Evacuated("a"))
 }
 
-func TestOrderForWhatIsSoAlreadyIsAccepted(t *testing.T) {
+func TestCommandThatMatchesCurrentStateIsAccepted(t *testing.T) {
 	l := ledger.New()
-	require.Equal(t, ledger.Superseded, order(t, l, "end first", "a", false, 0).Verdict)
-	require.Equal(t, ledger.Accepted, order(t, l, "start", "a", true, 0).Verdict)
-	require.Equal(t, ledger.Superseded, order(t, l, "again", "a", true, 0).Verdict)
+	require.Equal(t, ledger.Superseded, applyEvacuation(t, l, "end first", "a", false, 0).Verdict)
+	require.Equal(t, ledger.Accepted, applyEvacuation(t, l, "start", "a", true, 0).Verdict)
+	require.Equal(t, ledger.Superseded, applyEvacuation(t, l, "again", "a", true, 0).Verdict)
 	require.Equal(t, uint64(1), l.Evacuations().Revision)
-	require.Equal(t, ledger.Accepted, order(t, l, "other zone", "b", true, 0).Verdict, "zones are ordered by themselves")
-	require.Equal(t, ledger.Invalid, order(t, l, "no name", "", true, 0).Verdict)
+	require.Equal(t, ledger.Accepted, applyEvacuation(t, l, "other zone", "b", true, 0).Verdict, "zones are independent")
+	require.Equal(t, ledger.Invalid, applyEvacuation(t, l, "no name", "", true, 0).Verdict)
 }
 
-func TestSnapshotHoldsEvacuations(t *testing.T) {
+func TestSnapshotIncludesEvacuations(t *testing.T) {
 	l := ledger.New()
-	order(t, l, "start", "a", true, 0)
+	applyEvacuation(t, l, "start", "a", true, 0)
 	data, err := l.Snapshot()
 	require.NoError(t, err)
 	restored := ledger.New()
@@ -57,18 +57,17 @@
 	require.Equal(t, l.Evacuations().Revision, restored.Evacuations().Revision)
 }
 
-// Symptom: a voter does not start after an upgrade.
-// Events: its disk holds a snapshot that was written before there were evacuations.
-// Cause: a snapshot of another length could not be read.
+// Guards against a voter that does not start after an upgrade because the snapshot on its
+// disk was written by a version without evacuations and is shorter.
 func TestSnapshotOfAnEarlierVersionIsRead(t *testing.T) {
-	type image struct {
+	type ledgerSnapshot struct {
 		_       struct{} `cbor:",toarray"`
 		Current configuration.Configuration
 		Answers []any
 		Last    ledger.Change
 		Roster  roster.Roster
 	}
-	data, err := cbor.Marshal(image{Current: configuration.Configuration{Revision: 7}})
+	data, err := cbor.Marshal(ledgerSnapshot{Current: configuration.Configuration{Revision: 7}})
 	require.NoError(t, err)
 	l := ledger.New()
 	require.NoError(t, l.Restore(data))
@@ -76,20 +75,20 @@
 	require.Zero(t, l.Evacuations().Revision)
 }
 
-// Whatever order delayed, repeated and racing orders arrive in, a zone is as the last order
-// says that was acknowledged for a state known after the order before it.
+// Checks that delayed, repeated and concurrent commands leave a zone in the state of the last
+// acknowledged command that was issued after its predecessor had been applied.
 func TestAcknowledgedOrdersAreNeverUndoneByOlderOnes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := ledger.New()
-		type sent struct {
+		type command struct {
 			on     bool
 			expect uint64
 			at     int
 		}
-		var delayed []sent
+		var delayed []command
 		last, lastAt := false, -1
 		for i := range rapid.IntRange(1, 40).Draw(t, "steps") {
-			x := sent{on: rapid.Bool().Draw(t, "on"), expect: l.Evacuations().Of("a").Revision, at: i}
+			x := command{on: rapid.Bool().Draw(t, "on"), expect: l.Evacuations().Of("a").Revision, at: i}
 			if rapid.Bool().Draw(t, "delayed") {
 				delayed = append(delayed, x)
 				continue
@@ -98,9 +97,9 @@
 				j := rapid.IntRange(0, len(delayed)-1).Draw(t, "which")
 				x = delayed[j]
 			}
-			switch a := order(t, l, fmt.Sprint("key-", i), "a", x.on, x.expect); a.Verdict {
+			switch a := applyEvacuation(t, l, fmt.Sprint("key-", i), "a", x.on, x.expect); a.Verdict {
 			case ledger.Accepted:
-				require.Greater(t, x.at, lastAt, "an order from before the last change came in force")
+				require.Greater(t, x.at, lastAt, "a command issued before the last change was applied")
 				last, lastAt = x.on, i
 			case ledger.Superseded:
 				require.Equal(t, last, x.on)
--- a/internal/control/ledger/ledger.go
+++ b/internal/control/ledger/ledger.go
@@ -13,68 +13,70 @@
 	"wasabideal/internal/model/roster"
 )
 
-// KeyWindow is the number of change keys whose answers are remembered: six
-// days at 16,000 changes a day.
+// KeyWindow is the number of change keys whose answers are stored: six days at
+// 16,000 changes a day.
 const KeyWindow = 100_000
 
-// Change is what an operator asks for.
+// Change is a change requested by an operator.
 type Change struct {
 	ChangeKey string
-	// ExpectRevision is that of the configuration, or of the zone's last order, that the
-	// change was made for.
+	// ExpectRevision is the revision that the change is based on: of the configuration, or
+	// of the zone's evacuation state.
 	ExpectRevision uint64
-	// UsePreset names the preset to put in force; or Apply is the whole configuration.
+	// UsePreset names the preset to put in force.
 	UsePreset string
-	Apply     *configuration.Configuration
-	// Publish is a whole configuration that carries its own revision: the
-	// highest one wins, whatever revision was expected.
+	// Apply is a whole configuration.
+	Apply *configuration.Configuration
+	// Publish is a whole configuration with its own revision: the highest
+	// revision wins, and ExpectRevision is ignored.
 	Publish *configuration.Configuration `cbor:",omitempty"`
-	// Evacuate empties an availability zone or takes it back.
+	// Evacuate starts or ends the evacuation of an availability zone.
 	Evacuate *Evacuation `cbor:",omitempty"`
 	Who      string
 	When     time.Time
 }
 
-// Verdict is how a change ended.
+// Verdict is the outcome of a change.
 type Verdict string
 
-// The verdicts on a change.
+// The outcomes of a change.
 const (
 	Accepted Verdict = "Accepted"
 	Conflict Verdict = "Conflict"
 	Invalid  Verdict = "Invalid"
-	// Superseded changes were accepted, and change nothing: a configuration of
-	// the same or a higher revision was there before.
+	// Superseded changes are accepted without effect: a configuration of the same
+	// or a higher revision, or the requested zone state, was already in force.
 	Superseded Verdict = "Superseded"
 )
 
-// Answer is the one answer to a change key.
+// Answer is the stored result of a change.
 type Answer struct {
 	Verdict  Verdict
 	Revision uint64
-	// WinnerKey and WinnerWho name the change that holds the revision, in a conflict.
+	// WinnerKey and WinnerWho identify the change that made the current revision.
+	// They are set in a conflict.
 	WinnerKey, WinnerWho string
 	Reason               string
 }
 
-// ConflictError tells an operator who was first.
+// ConflictError reports that another change was applied first.
 type ConflictError struct{ Answer Answer }
 
 func (e *ConflictError) Error() string {
 	if e.Answer.WinnerKey == "" {
-		return fmt.Sprintf("nothing was changed before, the revision is %d; send your change with --expect-revision %d and a new change key",
+		return fmt.Sprintf("the current revision is %d and no change was made yet; retry with --expect-revision %d and a new change key",
 			e.Answer.Revision, e.Answer.Revision)
 	}
-	return fmt.Sprintf("revision is %d by now, set by %s (change key %s); look at it and send your change with --expect-revision %d and a new change key",
+	return fmt.Sprintf("the current revision is %d, set by %s (change key %s); review it and retry with --expect-revision %d and a new change key",
 		e.Answer.Revision, e.Answer.WinnerWho, e.Answer.WinnerKey, e.Answer.Revision)
 }
 
-// InvalidError tells an operator what is wrong with a change.
+// InvalidError reports why a change is invalid.
 type InvalidError struct{ Answer Answer }
 
-func (e *InvalidError) Error() string { return "change refused: " + e.Answer.Reason }
+func (e *InvalidError) Error() string { return "invalid change: " + e.Answer.Reason }
 
-// Err returns the error that the answer stands for, nil when it was accepted.
+// Err returns the answer as an error, nil if the change was accepted.
 func (a Answer) Err() error {
 	switch a.Verdict {
 	case Conflict:
@@ -96,11 +98,11 @@
 	Reason    string `json:",omitempty"`
 	Before    Summary
 	After     Summary
-	// Evacuate is set on orders for an availability zone; Revision is the zone's then.
+	// Evacuate is set for changes of an availability zone; Revision is then the zone's.
 	Evacuate *Evacuation `json:",omitempty"`
 }
 
-// Summary is a configuration as the audit trail tells it.
+// Summary identifies a configuration in the audit trail.
 type Summary struct {
 	Revision uint64
 	InForce  string
@@ -111,34 +113,35 @@
 	return Summary{Revision: c.Revision, InForce: c.InForce, Digest: history.Digest(c)}
 }
 
-// summary returns the summary of the configuration in force. It is kept, since
-// summing a configuration of hundreds of routes twice a change is most of the
-// time that reading a log takes.
+// summary returns the summary of the configuration in force. It is cached:
+// computing the digest of hundreds of routes twice per change would take most of
+// the time of a log replay.
 func (l *Ledger) summary() Summary {
 	c := l.current
-	if l.summed == nil || l.summed.Revision != c.Revision || l.summed.InForce != c.InForce {
+	if l.cachedSummary == nil || l.cachedSummary.Revision != c.Revision || l.cachedSummary.InForce != c.InForce {
 		s := summarize(c)
-		l.summed = &s
+		l.cachedSummary = &s
 	}
-	return *l.summed
+	return *l.cachedSummary
 }
 
-type kept struct {
+// storedAnswer is one answer in a snapshot.
+type storedAnswer struct {
 	_      struct{} `cbor:",toarray"`
 	Key    string
 	Answer Answer
 }
 
-// Ledger is the state that the voters' log drives; one goroutine owns it.
+// Ledger is the replicated state; it is not safe for concurrent use.
 type Ledger struct {
-	current configuration.Configuration
-	answers map[string]Answer
-	order   []string
-	last    Change
-	roster  roster.Roster
-	// evacuations are the orders in force for availability zones.
-	evacuations evacuation.Evacuations
-	summed      *Summary
+	current  configuration.Configuration
+	answers  map[string]Answer
+	keyOrder []string
+	last     Change
+	roster   roster.Roster
+	// evacuations is the evacuation state of the availability zones.
+	evacuations   evacuation.Evacuations
+	cachedSummary *Summary
 }
 
 // New returns an empty ledger.
@@ -149,21 +152,21 @@
 // Current returns the configuration in force.
 func (l *Ledger) Current() configuration.Configuration { return l.current }
 
-// Answered returns the answer that a change key got before.
+// Answered returns the stored answer for a change key.
 func (l *Ledger) Answered(key string) (Answer, bool) {
 	a, ok := l.answers[key]
 	return a, ok
 }
 
-// RosterChange is a new list of balancers that remember keys, or the news that
-// the list before is settled.
+// RosterChange replaces the list of balancers that store idempotency keys, or
+// marks the handover from the previous list as settled.
 type RosterChange struct {
 	ExpectVersion uint64
 	Members       []roster.Member
 	Settle        bool
 }
 
-// command is what one log entry carries; exactly one field is set.
+// command is the content of one log entry; exactly one field is set.
 type command struct {
 	Change *Change       `cbor:",omitempty"`
 	Roster *RosterChange `cbor:",omitempty"`
@@ -177,17 +180,17 @@
 	return b, nil
 }
 
-// Encode returns a change as the log carries it.
+// Encode returns a change in its log encoding.
 func Encode(c Change) ([]byte, error) { return encode(command{Change: &c}) }
 
-// EncodeRoster returns a change of the roster as the log carries it.
+// EncodeRoster returns a change of the roster in its log encoding.
 func EncodeRoster(c RosterChange) ([]byte, error) { return encode(command{Roster: &c}) }
 
-// Roster returns the agreed list of balancers that remember keys.
+// Roster returns the list of balancers that store idempotency keys.
 func (l *Ledger) Roster() roster.Roster { return l.roster }
 
-// applyRoster takes a change made for the present version; a later one of two
-// that raced is dropped, its maker looks again.
+// applyRoster applies a change that is based on the current version. The second
+// of two concurrent changes is dropped; its author decides again.
 func (l *Ledger) applyRoster(c RosterChange) {
 	switch {
 	case c.ExpectVersion != l.roster.Version:
@@ -198,12 +201,12 @@
 	}
 }
 
-// Apply executes one accepted log entry; the record is nil for a repeated key,
-// which gets its first answer again.
+// Apply applies one committed log entry. A repeated key gets its first answer
+// again and a nil record.
 func (l *Ledger) Apply(data []byte) (Change, Answer, *Record) {
 	var x command
 	if err := cbor.Unmarshal(data, &x); err != nil {
-		return Change{}, Answer{Verdict: Invalid, Reason: "change cannot be read: " + err.Error()}, nil
+		return Change{}, Answer{Verdict: Invalid, Reason: "decode change: " + err.Error()}, nil
 	}
 	if x.Roster != nil {
 		l.applyRoster(*x.Roster)
@@ -217,14 +220,14 @@
 	}
 	before := l.summary()
 	a := l.decide(c)
-	l.remember(c.ChangeKey, a)
+	l.storeAnswer(c.ChangeKey, a)
 	return c, a, &Record{
 		When: c.When, Who: c.Who, ChangeKey: c.ChangeKey, Verdict: a.Verdict, Revision: a.Revision,
 		Reason: a.Reason, Before: before, After: l.summary(), Evacuate: c.Evacuate,
 	}
 }
 
-// decide executes a change under the rules that all voters share.
+// decide applies a change by rules that all voters share.
 func (l *Ledger) decide(c Change) Answer {
 	current := l.Current()
 	switch {
@@ -245,9 +248,9 @@
 	return Answer{Verdict: Accepted, Revision: next.Revision}
 }
 
-// publish takes a configuration whose revision is the operators' own order. An
-// equal revision with other content changes nothing either: what was read back
-// under a revision must stay what it was.
+// publish applies a configuration whose revision is set by the operator. An equal
+// revision with different content has no effect: the content of a revision that
+// was read must not change.
 func (l *Ledger) publish(c Change) Answer {
 	current := l.Current()
 	if answer := Examine(*c.Publish); answer.Verdict == Invalid {
@@ -262,8 +265,8 @@
 	return Answer{Verdict: Accepted, Revision: next.Revision}
 }
 
-// Examine returns the verdict on a published configuration by itself: Invalid
-// with its reason, or none.
+// Examine validates a published configuration without regard to the current one.
+// It returns an Invalid answer with the reason, or an empty answer.
 func Examine(c configuration.Configuration) Answer {
 	if err := withPresets(c, configuration.Configuration{}).Check(); err != nil {
 		return Answer{Verdict: Invalid, Reason: err.Error()}
@@ -271,8 +274,8 @@
 	return Answer{}
 }
 
-// withPresets returns a published configuration with the presets in force: such
-// a configuration names routes and services and leaves the presets alone.
+// withPresets returns a published configuration with the current presets: a
+// published configuration sets routes and services but no presets.
 func withPresets(c, current configuration.Configuration) configuration.Configuration {
 	c.InForce, c.Presets = current.InForce, current.Presets
 	if len(c.Presets) == 0 {
@@ -282,14 +285,14 @@
 	return c
 }
 
-// Next returns the configuration that a change leads to, checked as a whole.
+// Next returns the validated configuration that results from a change.
 func Next(current configuration.Configuration, c Change) (configuration.Configuration, error) {
 	next := current
 	if c.Apply != nil {
 		next = *c.Apply
 		if current.InForce != "" {
-			// An apply leaves the preset in force: one that names another, or
-			// lacks it, would switch presets unasked.
+			// Applying a configuration keeps the preset in force, even if the
+			// configuration names another one or none.
 			next = next.WithPreset(current.InForce)
 		}
 	}
@@ -303,28 +306,29 @@
 	return next, nil
 }
 
-func (l *Ledger) remember(key string, a Answer) {
+// storeAnswer stores an answer and drops the oldest one beyond KeyWindow.
+func (l *Ledger) storeAnswer(key string, a Answer) {
 	l.answers[key] = a
-	l.order = append(l.order, key)
-	if len(l.order) > KeyWindow {
-		delete(l.answers, l.order[0])
-		l.order = l.order[1:]
+	l.keyOrder = append(l.keyOrder, key)
+	if len(l.keyOrder) > KeyWindow {
+		delete(l.answers, l.keyOrder[0])
+		l.keyOrder = l.keyOrder[1:]
 	}
 }
 
-// image is a ledger in a snapshot.
-type image struct {
+// ledgerSnapshot is the snapshot encoding of a ledger, followed by the evacuations.
+type ledgerSnapshot struct {
 	_       struct{} `cbor:",toarray"`
 	Current configuration.Configuration
-	Answers []kept
+	Answers []storedAnswer
 	Last    Change
 	Roster  roster.Roster
 }
 
 // Snapshot encodes the ledger.
 func (l *Ledger) Snapshot() ([]byte, error) {
-	keys := lo.Map(l.order, func(k string, _ int) kept { return kept{Key: k, Answer: l.answers[k]} })
-	b, err := cbor.Marshal(image{Current: l.Current(), Answers: keys, Last: l.last, Roster: l.roster})
+	keys := lo.Map(l.keyOrder, func(k string, _ int) storedAnswer { return storedAnswer{Key: k, Answer: l.answers[k]} })
+	b, err := cbor.Marshal(ledgerSnapshot{Current: l.Current(), Answers: keys, Last: l.last, Roster: l.roster})
 	if err != nil {
 		return nil, fmt.Errorf("encode ledger: %w", err)
 	}
@@ -335,16 +339,16 @@
 	return append(b, zones...), nil
 }
 
-// Restore replaces the ledger by a snapshot.
+// Restore replaces the state of the ledger by a snapshot.
 func (l *Ledger) Restore(data []byte) error {
-	var i image
+	var i ledgerSnapshot
 	var zones evacuation.Evacuations
 	if len(data) > 0 {
 		rest, err := cbor.UnmarshalFirst(data, &i)
 		if err != nil {
 			return fmt.Errorf("decode ledger: %w", err)
 		}
-		// A snapshot of an earlier version ends here.
+		// Snapshots of earlier versions have no evacuations.
 		if len(rest) > 0 {
 			if err := cbor.Unmarshal(rest, &zones); err != nil {
 				return fmt.Errorf("decode evacuations: %w", err)
@@ -354,7 +358,7 @@
 	*l = *New()
 	l.current, l.last, l.roster, l.evacuations = i.Current, i.Last, i.Roster, zones
 	for _, k := range i.Answers {
-		l.remember(k.Key, k.Answer)
+		l.storeAnswer(k.Key, k.Answer)
 	}
 	return nil
 }
