--- a/internal/control/keeper/keeper.go
+++ b/internal/control/keeper/keeper.go
@@ -10,82 +10,85 @@
 	"wasabideal/internal/model/roster"
 )
 
-// Settings of a keeper.
+// Settings configures a Keeper.
 type Settings struct {
-	// Gather is the time between two new lists, so that balancers that come
-	// together make one.
+	// Gather is the minimum time between two changes of the list, so that balancers
+	// that start together are added in one change.
 	Gather time.Duration
-	// Silent is how long a balancer may be silent and stay in the list.
+	// Silent is how long a balancer stays in the list without a report.
 	Silent time.Duration
-	// Window is how long keys are remembered.
+	// Window is how long keys are stored.
 	Window time.Duration
 }
 
-// Hello is what a balancer tells the leading voter of itself.
+// Hello is the periodic report of a balancer to the leading voter.
 type Hello struct {
 	Member  roster.Member
 	Leaving bool
-	// Moved is the epoch up to which it has copied what it remembers.
+	// Moved is the epoch up to which the balancer has copied its records.
 	Moved uint64
 }
 
-type heard struct {
+// report is the last report of one balancer.
+type report struct {
 	Hello
-	at time.Time
+	receivedAt time.Time
 }
 
-// Keeper knows which balancers say hello; one goroutine owns it.
+// Keeper tracks the reports of the balancers; it is not safe for concurrent use.
 type Keeper struct {
-	settings Settings
-	since    time.Time
-	last     time.Time
-	heard    map[string]heard
-	// gone is when the life of a listed balancer was first known to be over.
-	gone map[string]time.Time
+	settings    Settings
+	leaderSince time.Time
+	lastChange  time.Time
+	reports     map[string]report
+	// endedAt is when the keeper learned that a listed balancer process had ended.
+	endedAt map[string]time.Time
 }
 
-// New returns a keeper for a voter that begins to lead now.
+// New returns a keeper for a voter that becomes the leader now.
 func New(s Settings, now time.Time) *Keeper {
-	return &Keeper{settings: s, since: now, last: now, heard: map[string]heard{}, gone: map[string]time.Time{}}
+	return &Keeper{settings: s, leaderSince: now, lastChange: now, reports: map[string]report{}, endedAt: map[string]time.Time{}}
 }
 
-// Hello notes a balancer's word.
-func (k *Keeper) Hello(now time.Time, h Hello) { k.heard[h.Member.Name] = heard{Hello: h, at: now} }
+// Hello records a balancer's report.
+func (k *Keeper) Hello(now time.Time, h Hello) {
+	k.reports[h.Member.Name] = report{Hello: h, receivedAt: now}
+}
 
-// Forget notes an operator's word that a balancer is gone for good.
-func (k *Keeper) Forget(now time.Time, name string) { k.gone[name] = now }
+// Forget records that a balancer is gone for good, as stated by an operator.
+func (k *Keeper) Forget(now time.Time, name string) { k.endedAt[name] = now }
 
-// Decide returns the change that the roster needs now, if any.
+// Decide returns the next change of the roster, if any.
 func (k *Keeper) Decide(now time.Time, r roster.Roster) *ledger.RosterChange {
-	if now.Sub(k.last) < k.settings.Gather {
+	if now.Sub(k.lastChange) < k.settings.Gather {
 		return nil
 	}
 	if !r.Settled() {
 		if k.settled(now, r) {
-			k.last = now
+			k.lastChange = now
 			return &ledger.RosterChange{ExpectVersion: r.Version, Settle: true}
 		}
 		return nil
 	}
-	wanted := k.wanted(now, r)
-	if len(wanted) == 0 || slices.Equal(wanted, r.Members) {
+	desiredMembers := k.desiredMembers(now, r)
+	if len(desiredMembers) == 0 || slices.Equal(desiredMembers, r.Members) {
 		return nil
 	}
-	k.last = now
-	return &ledger.RosterChange{ExpectVersion: r.Version, Members: wanted}
+	k.lastChange = now
+	return &ledger.RosterChange{ExpectVersion: r.Version, Members: desiredMembers}
 }
 
-// wanted is who says hello and does not leave, and those in the list who have
-// not been silent for long: a new leader gives all of them time to be heard.
-func (k *Keeper) wanted(now time.Time, r roster.Roster) []roster.Member {
+// desiredMembers returns the balancers that report and are not leaving. A new
+// leader also keeps the listed ones until they have had time to report.
+func (k *Keeper) desiredMembers(now time.Time, r roster.Roster) []roster.Member {
 	var ms []roster.Member
-	for _, h := range k.heard {
-		if !h.Leaving && now.Sub(h.at) < k.settings.Silent {
+	for _, h := range k.reports {
+		if !h.Leaving && now.Sub(h.receivedAt) < k.settings.Silent {
 			ms = append(ms, h.Member)
 		}
 	}
 	for _, m := range r.Members {
-		if _, ok := k.heard[m.Name]; !ok && now.Sub(k.since) < k.settings.Silent {
+		if _, ok := k.reports[m.Name]; !ok && now.Sub(k.leaderSince) < k.settings.Silent {
 			ms = append(ms, m)
 		}
 	}
@@ -93,12 +96,10 @@
 	return ms
 }
 
-// settled says that the list before is not needed any more: in every slot a
-// majority of it has moved to the new epoch, so that none can win a claim under
-// the old one, and every record that a majority had is copied.
-//
-// Where a majority is known to be gone, nobody can ask it any more, and its
-// records are out of date once a window has passed since.
+// settled reports whether the previous list is no longer needed. In every slot, a
+// majority of it has moved to the new epoch: no claim can succeed under the old
+// epoch, and every record that a majority held is copied. If a majority is known to
+// have ended, its records are unreachable and expire after a window.
 func (k *Keeper) settled(now time.Time, r roster.Roster) bool {
 	v := roster.NewView(r)
 	for slot := range ownership.Slots {
@@ -110,29 +111,31 @@
 	return true
 }
 
+// slotSettled reports whether one slot of the previous list is settled.
 func (k *Keeper) slotSettled(now time.Time, epoch uint64, set []roster.Member) bool {
-	moved, over := 0, 0
+	moved, expiredCount := 0, 0
 	for _, m := range set {
-		switch h, ok := k.heard[m.Name]; {
+		switch h, ok := k.reports[m.Name]; {
 		case ok && h.Member.Start == m.Start:
 			if h.Moved >= epoch {
 				moved++
 			}
-		case k.lifeOver(now, m):
-			over++
+		case k.expired(now, m):
+			expiredCount++
 		}
 	}
-	return moved >= roster.Majority(set) || moved+over >= roster.Majority(set) && moved+over == len(set)
+	return moved >= roster.Majority(set) || moved+expiredCount >= roster.Majority(set) && moved+expiredCount == len(set)
 }
 
-// lifeOver says that a listed life of a balancer ended a window ago: a newer
-// one of the same name speaks, or an operator said so.
-func (k *Keeper) lifeOver(now time.Time, m roster.Member) bool {
-	if h, ok := k.heard[m.Name]; ok && h.Member.Start > m.Start {
-		if _, known := k.gone[m.Name]; !known {
-			k.gone[m.Name] = now
+// expired reports whether a listed balancer process is known to have ended at
+// least a window ago: a newer process of the same name reported, or an operator
+// removed the balancer.
+func (k *Keeper) expired(now time.Time, m roster.Member) bool {
+	if h, ok := k.reports[m.Name]; ok && h.Member.Start > m.Start {
+		if _, known := k.endedAt[m.Name]; !known {
+			k.endedAt[m.Name] = now
 		}
 	}
-	at, known := k.gone[m.Name]
+	at, known := k.endedAt[m.Name]
 	return known && now.Sub(at) >= k.settings.Window
 }
