--- a/internal/control/audit/audit.go
+++ b/internal/control/audit/audit.go
@@ -17,13 +17,13 @@
 
 const (
 	file = "audit.jsonl"
-	// kept is the number of lines that Last can return.
-	kept = 1000
-	// Refused is the verdict on a call without the right token.
+	// keptLines is the number of recent lines that stay available to Last.
+	keptLines = 1000
+	// Refused is the verdict on a call with a missing or wrong token.
 	Refused ledger.Verdict = "Refused"
 )
 
-// Line is one line of the trail; Index is the change's place in the log.
+// Line is one line of the trail; Index is the log index of the change.
 type Line struct {
 	Index uint64
 	ledger.Record
@@ -38,36 +38,37 @@
 	index uint64
 }
 
-// Open reads the trail of a folder, so that a restart writes no change twice.
+// Open reads the existing trail of a folder, so that no change is written again
+// after a restart.
 func Open(f folder.Folder, log hclog.Logger) (*Trail, error) {
 	b, err := f.ReadFile(file)
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return nil, fmt.Errorf("read audit trail: %w", err)
 	}
 	t := &Trail{log: log}
-	// A crash may leave half a line at the end.
-	whole := bytes.LastIndexByte(b, '\n') + 1
-	for _, line := range bytes.Split(bytes.TrimSpace(b[:whole]), []byte("\n")) {
+	// A crash may leave an incomplete line at the end.
+	completeLen := bytes.LastIndexByte(b, '\n') + 1
+	for _, line := range bytes.Split(bytes.TrimSpace(b[:completeLen]), []byte("\n")) {
 		var l Line
 		if json.Unmarshal(line, &l) == nil {
-			t.keep(l)
+			t.addLine(l)
 		}
 	}
-	if t.file, err = f.Append(file, int64(whole)); err != nil {
+	if t.file, err = f.Append(file, int64(completeLen)); err != nil {
 		return nil, fmt.Errorf("open audit trail: %w", err)
 	}
 	return t, nil
 }
 
-func (t *Trail) keep(l Line) {
+func (t *Trail) addLine(l Line) {
 	t.index = max(t.index, l.Index)
 	t.lines = append(t.lines, l)
-	if len(t.lines) > 2*kept {
-		t.lines = append([]Line(nil), t.lines[kept:]...)
+	if len(t.lines) > 2*keptLines {
+		t.lines = append([]Line(nil), t.lines[keptLines:]...)
 	}
 }
 
-// Write appends a change unless it is there already.
+// Write appends a change unless the trail already contains it.
 func (t *Trail) Write(index uint64, r ledger.Record) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -76,7 +77,7 @@
 	}
 }
 
-// Deny appends a call that was refused for want of a token.
+// Deny appends a call that was rejected for a missing or wrong token.
 func (t *Trail) Deny(now time.Time, method string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -84,13 +85,13 @@
 }
 
 func (t *Trail) append(l Line) {
-	t.keep(l)
+	t.addLine(l)
 	b, err := json.Marshal(l)
 	if err == nil {
 		_, err = t.file.Write(append(b, '\n'))
 	}
 	if err != nil {
-		t.log.Error("audit trail cannot be written", "Error", err)
+		t.log.Error("failed to write audit trail", "Error", err)
 	}
 }
 
--- a/internal/control/audit/doc.go
+++ b/internal/control/audit/doc.go
@@ -1,2 +1,2 @@
-// Package audit keeps the trail of changes as JSON lines in the data folder.
+// Package audit stores the audit trail of changes as JSON lines in the data folder.
 package audit
