--- a/internal/control/referral/doc.go
+++ b/internal/control/referral/doc.go
@@ -1,5 +1,5 @@
-// Package referral chooses the balancer to which an upstream announces itself from then
-// on, in place of a voter.
+// Package referral assigns upstreams that announce themselves at a voter to a balancer,
+// which receives their further announcements.
 //
-// It has no I/O and no clock; one goroutine owns it.
+// It has no I/O and no clock, and is not safe for concurrent use.
 package referral
--- a/internal/control/referral/referral.go
+++ b/internal/control/referral/referral.go
@@ -11,50 +11,50 @@
 	"wasabideal/internal/model/upstream"
 )
 
-// halveEvery is how often the counts of referred upstreams are halved: balancers that
-// restarted have none of those that were referred to them before.
-const halveEvery = 30 * time.Second
+// decayInterval is how often the counts of referred upstreams are halved: a balancer that
+// restarted no longer has the upstreams that were referred to it before.
+const decayInterval = 30 * time.Second
 
-// eachMost bounds the upstreams that one voter refers to one balancer in that time, three
-// times what a fleet of 3,000 upstreams and 300 balancers has in the mean. Voters that have
-// just started know few balancers: one of them was referred 190 upstreams.
-const eachMost = 30
+// maxPerBalancer limits the upstreams that one voter refers to one balancer per decay
+// interval, to three times the mean of a fleet of 3,000 upstreams and 300 balancers. Voters
+// that have just started know few balancers; without the limit, one received 190 upstreams.
+const maxPerBalancer = 30
 
-// Referral counts the upstreams that were referred to each balancer.
+// Referral chooses balancers by the number of upstreams referred to each.
 type Referral struct {
-	shape    tree.Shape
-	referred map[string]int
-	halved   time.Time
+	shape     tree.Shape
+	referred  map[string]int
+	lastDecay time.Time
 }
 
-// New returns a referral for zones whose balancers form trees of a shape.
+// New returns a Referral for zones whose balancers form trees of the given shape.
 func New(s tree.Shape) *Referral { return &Referral{shape: s, referred: map[string]int{}} }
 
-// Choose returns the address for announcements of a balancer of the upstream's zone, and
-// none where few balancers are there: voters bear their upstreams themselves. Of two that
-// the announcement's number picks it is the one with fewer upstreams, so that one that
-// comes back, since its balancer did not answer, is referred to another. Balancers at the
-// top of the tree pass on what the others tell and are left out.
+// Choose returns the announcement address of a balancer in the upstream's zone, or "" if the
+// upstream stays with the voter, as in zones with few balancers. A hash of the announcement's
+// sequence number selects two candidates, and the one with fewer upstreams is chosen. An
+// upstream that returns because its balancer did not respond thus gets another balancer.
+// Balancers at the top of the tree are excluded, since they relay the reports of the others.
 func (r *Referral) Choose(now time.Time, u upstream.Upstream, zone []member.Member) string {
-	able := r.able(zone)
-	if len(able) == 0 {
+	candidates := r.candidates(zone)
+	if len(candidates) == 0 {
 		return ""
 	}
-	r.halve(now)
+	r.decay(now)
 	h := xxhash.Sum64String(strconv.FormatUint(u.Incarnation, 16) + " " + strconv.FormatUint(u.Sequence, 16))
-	first, second := able[h%uint64(len(able))], able[(h>>32)%uint64(len(able))]
+	first, second := candidates[h%uint64(len(candidates))], candidates[(h>>32)%uint64(len(candidates))]
 	if r.referred[second] < r.referred[first] {
 		first = second
 	}
-	if r.referred[first] >= eachMost {
+	if r.referred[first] >= maxPerBalancer {
 		return ""
 	}
 	r.referred[first]++
 	return first
 }
 
-// able returns the balancers that may take announcements.
-func (r *Referral) able(zone []member.Member) []string {
+// candidates returns the announcement addresses of the balancers that may be chosen.
+func (r *Referral) candidates(zone []member.Member) []string {
 	addresses := make([]string, len(zone))
 	for i, m := range zone {
 		addresses[i] = m.Address
@@ -69,11 +69,12 @@
 	return out
 }
 
-func (r *Referral) halve(now time.Time) {
-	if now.Sub(r.halved) < halveEvery {
+// decay halves the counts once per decayInterval.
+func (r *Referral) decay(now time.Time) {
+	if now.Sub(r.lastDecay) < decayInterval {
 		return
 	}
-	r.halved = now
+	r.lastDecay = now
 	for a, n := range r.referred {
 		if r.referred[a] = n / 2; n < 2 {
 			delete(r.referred, a)
--- a/internal/control/referral/referral_test.go
+++ b/internal/control/referral/referral_test.go
@@ -32,34 +32,33 @@
 	return upstream.Upstream{Identity: upstream.Identity{Incarnation: incarnation}, Zone: "a", Sequence: sequence}
 }
 
-func TestSmallZonesKeepTheirUpstreamsAtTheVoters(t *testing.T) {
+func TestUpstreamsOfSmallZonesStayWithVoters(t *testing.T) {
 	require.Empty(t, referral.New(shape).Choose(epoch, announced(1, 1), zone(4)))
 }
 
-func TestUpstreamsAreSpreadOverThoseBelowTheTop(t *testing.T) {
+func TestUpstreamsAreSpreadOverBalancersBelowTop(t *testing.T) {
 	r, all := referral.New(shape), zone(20)
 	addresses := make([]string, len(all))
 	for i, m := range all {
 		addresses[i] = m.Address
 	}
 	top := shape.Top(addresses)
-	taken := map[string]int{}
+	counts := map[string]int{}
 	for i := range uint64(160) {
-		taken[r.Choose(epoch, announced(i, 1), all)]++
+		counts[r.Choose(epoch, announced(i, 1), all)]++
 	}
 	for i, m := range all {
 		if top[addresses[i]] {
-			require.Zero(t, taken[m.Announcements])
+			require.Zero(t, counts[m.Announcements])
 		} else {
-			require.InDelta(t, 10, taken[m.Announcements], 5)
+			require.InDelta(t, 10, counts[m.Announcements], 5)
 		}
 	}
 }
 
-// Symptom: an upstream lost half of its announcements.
-// Events: the balancer that it was referred to has lost power; the voter has not noticed.
-// Cause: it was referred to the same one again and again.
-func TestUpstreamThatComesBackIsReferredElsewhere(t *testing.T) {
+// Guards against an upstream that loses half of its announcements: its balancer has lost
+// power, the voter has not detected that yet and refers the upstream to it repeatedly.
+func TestReturningUpstreamIsReferredToAnotherBalancer(t *testing.T) {
 	r := referral.New(shape)
 	referred := map[string]bool{}
 	for sequence := range uint64(10) {
@@ -68,9 +67,9 @@
 	require.Greater(t, len(referred), 3)
 }
 
-// Symptom: one balancer had the announcements of 190 upstreams, and its link was full.
-// Events: all voters restart, and know nine balancers of a zone so far.
-// Cause: all upstreams were referred to the only one below the top.
+// Guards against a balancer whose link is saturated by the announcements of 190 upstreams:
+// after a restart, all voters know only nine balancers of a zone and refer all upstreams to
+// the only one below the top of the tree.
 func TestBalancersAreReferredAFewUpstreams(t *testing.T) {
 	r, referred := referral.New(shape), 0
 	for i := range uint64(200) {
