--- a/internal/control/upstreams/doc.go
+++ b/internal/control/upstreams/doc.go
@@ -1,3 +1,3 @@
-// Package upstreams takes the announcements of upstreams at a voter, and
-// acknowledges a departure only when other voters hold it too.
+// Package upstreams receives the announcements of upstreams at a voter, and
+// acknowledges a departure only once a majority of the voters holds it.
 package upstreams
--- a/internal/control/upstreams/upstreams.go
+++ b/internal/control/upstreams/upstreams.go
@@ -22,62 +22,62 @@
 	"wasabideal/internal/wire/rpc"
 )
 
-// Method is the name of the call by which voters share announcements.
+// Method is the RPC method by which voters share announcements.
 const Method = "Upstreams.Share"
 
-// HandOverMethod is the call by which balancers hand on the announcements that they take.
+// HandOverMethod is the RPC method by which balancers forward announcements.
 const HandOverMethod = "Upstreams.HandOver"
 
-// shareTimeout bounds the wait for other voters. Upstreams give an announcement
-// about a second and then turn to another voter.
+// shareTimeout limits the wait for other voters. An upstream waits about a second
+// for a response before it tries another voter.
 const shareTimeout = 600 * time.Millisecond
 
-// notTakenLines bounds the log lines a second on announcements that are not taken.
-const notTakenLines = 10
+// rejectedLogsPerSecond limits the log lines about rejected announcements.
+const rejectedLogsPerSecond = 10
 
-// UnsharedError says that too few voters took a departure.
+// UnsharedError reports that fewer voters than a majority hold a departure.
 type UnsharedError struct{ Holders, Needed int }
 
 func (e *UnsharedError) Error() string {
-	return fmt.Sprintf("departure is held by %d voters where %d are needed; announce it again or elsewhere", e.Holders, e.Needed)
+	return fmt.Sprintf("departure is stored by %d voters, %d are required; retry here or at another voter", e.Holders, e.Needed)
 }
 
-// UnlistedError says that this voter holds no list of voters, so that it cannot
-// tell what a majority is: it has just started, or lost its disk.
+// UnlistedError reports that this voter has no list of voters to determine a
+// majority: it has just started or lost its disk.
 type UnlistedError struct{}
 
 func (*UnlistedError) Error() string {
-	return "this voter holds no list of voters yet and cannot count a majority; announce the departure again or elsewhere"
+	return "this voter has no list of voters yet and cannot determine a majority; retry the departure here or at another voter"
 }
 
-// UnknownServiceError says that the configuration names no such service. One that was
-// written by mistake would take the address of an upstream that serves another one.
+// UnknownServiceError reports that the configuration has no such service. An announcement
+// with a mistyped service would otherwise take over the address of a serving upstream.
 type UnknownServiceError struct{ Service string }
 
 func (e *UnknownServiceError) Error() string {
-	return fmt.Sprintf("no configuration names the service %q; announce the upstream again once one does", e.Service)
+	return fmt.Sprintf("the configuration has no service %q; announce the upstream again once the service is configured", e.Service)
 }
 
-// Settings of the announcements at one voter.
+// Settings configures the handling of announcements at one voter.
 type Settings struct {
 	Token string
 	Clock func() time.Time
-	// Self is this voter's call address.
+	// Self is this voter's RPC address.
 	Self string
-	// Known returns the call addresses of all voters that are told, and Voting
-	// those whose majority must hold a departure; both may name this one. Voting
-	// is empty while no list of voters is held.
+	// Known returns the RPC addresses of all voters that receive announcements, and
+	// Voting those whose majority must hold a departure. Both may include this voter.
+	// Voting is empty while there is no list of voters.
 	Known, Voting func() []string
-	// Shape is that of the trees of balancers, to which upstreams are referred.
+	// Shape is the shape of the balancer trees to which upstreams are referred.
 	Shape tree.Shape
-	// AnnounceEvery is the time between two announcements of an upstream.
+	// AnnounceEvery is the announcement interval of an upstream.
 	AnnounceEvery time.Duration
-	// Answering returns the voters that answer, this one among them.
+	// Answering returns the responsive voters, including this one.
 	Answering func() []home.Voter
 }
 
-// shared is an announcement on its way between voters.
-type shared struct {
+// sharedAnnouncement is an announcement as sent between voters.
+type sharedAnnouncement struct {
 	_        struct{} `cbor:",toarray"`
 	Upstream upstream.Upstream
 	Cold     time.Duration
@@ -85,7 +85,7 @@
 
 type empty struct{}
 
-// Upstreams takes announcements; it is safe for concurrent use.
+// Upstreams handles announcements; it is safe for concurrent use.
 type Upstreams struct {
 	settings Settings
 	feed     *feed.Feed
@@ -94,57 +94,58 @@
 	clients  map[string]*rpc.Client
 	referral *referral.Referral
 	pace     *pace.Pace
-	// toVoters are what other voters are handed.
-	toVoters map[string]*handover.Handover
+	// voterHandovers are the queues of announcements for other voters, by address.
+	voterHandovers map[string]*handover.Handover
 }
 
-// New returns the announcements' taker for a feed.
+// New returns an Upstreams that records announcements in a feed.
 func New(s Settings, f *feed.Feed, log hclog.Logger) *Upstreams {
 	return &Upstreams{
-		settings: s, feed: f, log: log, clients: map[string]*rpc.Client{}, referral: referral.New(s.Shape), pace: pace.New(notTakenLines),
-		toVoters: map[string]*handover.Handover{},
+		settings: s, feed: f, log: log, clients: map[string]*rpc.Client{}, referral: referral.New(s.Shape), pace: pace.New(rejectedLogsPerSecond),
+		voterHandovers: map[string]*handover.Handover{},
 	}
 }
 
-// Serve adds the method for other voters to a server.
+// Serve registers the methods for other voters and for balancers at a server.
 func (u *Upstreams) Serve(r *rpc.Server) {
-	rpc.Handle(r, Method, u.settings.Token, func(_ context.Context, s shared) (empty, error) {
+	rpc.Handle(r, Method, u.settings.Token, func(_ context.Context, s sharedAnnouncement) (empty, error) {
 		u.feed.Announce(u.settings.Clock(), s.Upstream, s.Cold)
 		return empty{}, nil
 	})
 	rpc.Handle(r, HandOverMethod, u.settings.Token, func(_ context.Context, all []handover.Announcement) (empty, error) {
 		now := u.settings.Clock()
 		for _, a := range all {
-			u.handedOver(now, a)
+			u.receiveHandover(now, a)
 		}
 		return empty{}, nil
 	})
 }
 
-// handedOver takes an announcement that a balancer took. Departures come from the
-// upstream itself, since they are acknowledged only once a majority holds them.
-func (u *Upstreams) handedOver(now time.Time, a handover.Announcement) {
+// receiveHandover records an announcement that a balancer forwarded. Departures are
+// accepted only from the upstream itself, since they are acknowledged only once a majority
+// holds them.
+func (u *Upstreams) receiveHandover(now time.Time, a handover.Announcement) {
 	if a.Upstream.State != upstream.Ready || !u.feed.Configured(a.Upstream.Service) {
-		u.noteNotTaken(now, a.Upstream)
+		u.logRejected(now, a.Upstream)
 		return
 	}
-	u.note(now, a)
+	u.record(now, a)
 }
 
-// noteNotTaken logs an announcement that a balancer took and this voter did not, at a
-// bounded rate: a writer that gets them wrong may send hundreds.
-func (u *Upstreams) noteNotTaken(now time.Time, a upstream.Upstream) {
+// logRejected logs an announcement that a balancer accepted and this voter rejects. The rate
+// is limited, since a faulty announcer may send hundreds.
+func (u *Upstreams) logRejected(now time.Time, a upstream.Upstream) {
 	u.mu.Lock()
-	passed, ok := u.pace.Take(now)
+	suppressed, ok := u.pace.Take(now)
 	u.mu.Unlock()
 	if ok {
-		u.log.Warn("announcement of a balancer not taken", "Incarnation", fmt.Sprintf("%x", a.Incarnation),
-			"Service", a.Service, "State", a.State.String(), "MoreBefore", passed)
+		u.log.Warn("announcement forwarded by a balancer rejected", "Incarnation", fmt.Sprintf("%x", a.Incarnation),
+			"Service", a.Service, "State", a.State.String(), "MoreBefore", suppressed)
 	}
 }
 
-// Refer returns the address to which an upstream is to announce itself from now on, and
-// none where that is here.
+// Refer returns the address for the further announcements of an upstream, or "" if the
+// upstream stays with this voter.
 func (u *Upstreams) Refer(a upstream.Upstream) string {
 	zone := u.feed.Fleet(a.Zone)
 	u.mu.Lock()
@@ -152,10 +153,10 @@
 	return u.referral.Choose(u.settings.Clock(), a, zone)
 }
 
-// heardElsewhere hands an announcement to the voter that hears the upstream, and says
-// whether it took it. It came here since a balancer that took it before has ended; where
-// upstreams announce themselves to voters only, each keeps what it hears.
-func (u *Upstreams) heardElsewhere(ctx context.Context, a handover.Announcement) bool {
+// forwardToHome forwards an announcement to the upstream's home voter and reports whether
+// that voter accepted it. Such an announcement arrives here after the upstream's balancer
+// ended. In zones whose upstreams announce to voters only, it stays at the receiving voter.
+func (u *Upstreams) forwardToHome(ctx context.Context, a handover.Announcement) bool {
 	zone := lo.Map(u.feed.Fleet(a.Upstream.Zone), func(m member.Member, _ int) string { return m.Address })
 	if !u.settings.Shape.Grows(zone) {
 		return false
@@ -164,19 +165,19 @@
 	if to == "" || to == u.settings.Self {
 		return false
 	}
-	err := u.handovers(to).Add(ctx, handover.Gather(u.settings.AnnounceEvery, 1, false), a)
+	err := u.handoverTo(to).Add(ctx, handover.Gather(u.settings.AnnounceEvery, 1, false), a)
 	if err != nil {
-		u.log.Debug("announcement not handed over", "Address", to, "Error", err)
+		u.log.Debug("failed to forward announcement", "Address", to, "Error", err)
 	}
 	return err == nil
 }
 
-// handovers returns the handover to another voter.
-func (u *Upstreams) handovers(to string) *handover.Handover {
+// handoverTo returns the queue of announcements for another voter.
+func (u *Upstreams) handoverTo(to string) *handover.Handover {
 	client := u.client(to)
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	h := u.toVoters[to]
+	h := u.voterHandovers[to]
 	if h == nil {
 		h = handover.New(u.settings.Clock, func(ctx context.Context, all []handover.Announcement) error {
 			ctx, cancel := context.WithTimeout(ctx, shareTimeout)
@@ -184,75 +185,75 @@
 			_, err := rpc.Call[[]handover.Announcement, empty](ctx, client, HandOverMethod, all)
 			return err
 		})
-		u.toVoters[to] = h
+		u.voterHandovers[to] = h
 	}
 	return h
 }
 
-// note takes an announcement of just now or some time ago.
-func (u *Upstreams) note(now time.Time, x handover.Announcement) {
-	news, answers := u.feed.HandedOver(now, x)
+// record stores an announcement in the feed, whether received now or earlier.
+func (u *Upstreams) record(now time.Time, x handover.Announcement) {
+	changed, refutesSuspicion := u.feed.HandedOver(now, x)
 	a := x.Upstream
-	if answers {
-		u.tellOfLife(a)
+	if refutesSuspicion {
+		u.reportAlive(a)
 	}
-	if news {
+	if changed {
 		u.log.Info("upstream announced", "Incarnation", fmt.Sprintf("%x", a.Incarnation), "Service", a.Service,
 			"Address", a.Address.String(), "State", a.State.String(), "Sequence", a.Sequence, "Born", a.Born)
 	}
 }
 
-// Announce takes an upstream's announcement and returns when it may be
-// acknowledged. A departure must be held by a majority of voters first: if only
-// this one knew and failed right after, balancers would go on sending new flows
-// to an upstream that was told that none would come.
+// Announce handles an upstream's announcement and returns once it may be
+// acknowledged. A departure must first be stored by a majority of the voters: if
+// only this voter had it and failed, balancers would still send new flows to an
+// upstream whose departure was acknowledged.
 func (u *Upstreams) Announce(ctx context.Context, a upstream.Upstream, cold time.Duration) error {
 	if a.State != upstream.Withdrawn && !u.feed.Configured(a.Service) {
 		return &UnknownServiceError{Service: a.Service}
 	}
 	x := handover.Announcement{Upstream: a, Cold: cold}
-	if a.State == upstream.Ready && u.heardElsewhere(ctx, x) {
+	if a.State == upstream.Ready && u.forwardToHome(ctx, x) {
 		return nil
 	}
-	u.note(u.settings.Clock(), x)
+	u.record(u.settings.Clock(), x)
 	if a.State == upstream.Ready {
 		return nil
 	}
-	return u.share(ctx, shared{Upstream: a, Cold: cold})
+	return u.share(ctx, sharedAnnouncement{Upstream: a, Cold: cold})
 }
 
-// tellOfLife tells the other voters that an upstream lives whose packets were left
-// unanswered; they do not hear its announcements.
-func (u *Upstreams) tellOfLife(a upstream.Upstream) {
+// reportAlive reports to the other voters that a suspected upstream is alive, since they
+// do not receive its announcements.
+func (u *Upstreams) reportAlive(a upstream.Upstream) {
 	r := word.Report{Events: []word.Event{feed.Heard(a)}}
 	for _, address := range lo.Without(u.settings.Known(), u.settings.Self) {
 		go func() {
 			ctx, cancel := context.WithTimeout(context.Background(), shareTimeout)
 			defer cancel()
 			if _, err := rpc.Call[word.Report, empty](ctx, u.client(address), feed.ReportMethod, r); err != nil {
-				u.log.Debug("sign of life not told", "Address", address, "Error", err)
+				u.log.Debug("failed to report that upstream is alive", "Address", address, "Error", err)
 			}
 		}()
 	}
 }
 
-// share tells the other voters and waits until a majority holds the news.
-func (u *Upstreams) share(ctx context.Context, s shared) error {
+// share sends an announcement to the other voters and waits until a majority holds it.
+func (u *Upstreams) share(ctx context.Context, s sharedAnnouncement) error {
 	others, voting := lo.Without(u.settings.Known(), u.settings.Self), u.settings.Voting()
 	needed := len(voting)/2 + 1
-	// A caller that gives up must not keep the others from hearing the news.
+	// The other voters must receive the announcement even if the caller gives up.
 	ctx = context.WithoutCancel(ctx)
-	taken := make(chan string, len(others))
+	acceptedBy := make(chan string, len(others))
 	for _, address := range others {
 		go func() {
 			call, cancel := context.WithTimeout(ctx, shareTimeout)
 			defer cancel()
-			_, err := rpc.Call[shared, empty](call, u.client(address), Method, s)
+			_, err := rpc.Call[sharedAnnouncement, empty](call, u.client(address), Method, s)
 			if err != nil {
-				u.log.Debug("announcement not shared", "Address", address, "Error", err)
+				u.log.Debug("failed to share announcement", "Address", address, "Error", err)
 				address = ""
 			}
-			taken <- address
+			acceptedBy <- address
 		}()
 	}
 	if len(voting) == 0 {
@@ -263,7 +264,7 @@
 		if holders >= needed {
 			break
 		}
-		if slices.Contains(voting, <-taken) {
+		if slices.Contains(voting, <-acceptedBy) {
 			holders++
 		}
 	}
@@ -273,6 +274,7 @@
 	return nil
 }
 
+// client returns the RPC client for an address.
 func (u *Upstreams) client(address string) *rpc.Client {
 	u.mu.Lock()
 	defer u.mu.Unlock()
--- a/internal/control/upstreams/upstreams_test.go
+++ b/internal/control/upstreams/upstreams_test.go
@@ -31,8 +31,7 @@
 	upstreams *upstreams.Upstreams
 }
 
-// voters starts the announcements of some voters; those after the first down
-// ones do not listen.
+// voters starts n voters, the last down of which do not listen.
 func voters(t *testing.T, n, down int) []voter {
 	var addresses []string
 	var listeners []server.Server
@@ -64,21 +63,19 @@
 	return out
 }
 
-// zoneOf is the availability zone of the voter with a number: a, b and so on.
+// zoneOf returns the availability zone of the voter with an index: a, b and so on.
 func zoneOf(n int) string { return string(rune('a' + n)) }
 
-func leaving() upstream.Upstream {
+func drainingUpstream() upstream.Upstream {
 	return upstream.Upstream{Identity: upstream.Identity{Service: "orders", Incarnation: 7}, Sequence: 3, State: upstream.Draining}
 }
 
-// Symptom: new flows went to an upstream seconds after its departure was
-// acknowledged.
-// Events: an upstream tells a voter that it drains, gets its acknowledgement,
-// and the voter loses power before any balancer heard of it.
-// Cause: only that voter knew.
-func TestDepartureIsHeldByAMajorityBeforeItIsAcknowledged(t *testing.T) {
+// Guards against new flows to an upstream seconds after its departure was acknowledged:
+// if only one voter has the departure and loses power before any balancer receives it,
+// the departure is lost.
+func TestDepartureIsStoredByMajorityBeforeAcknowledgement(t *testing.T) {
 	vs := voters(t, 3, 1)
-	require.NoError(t, vs[0].upstreams.Announce(t.Context(), leaving(), 0))
+	require.NoError(t, vs[0].upstreams.Announce(t.Context(), drainingUpstream(), 0))
 	notices, _ := vs[1].feed.Notices(time.Now())
 	require.Len(t, notices, 1)
 	require.Equal(t, upstream.Draining, notices[0].Upstream.State)
@@ -87,16 +84,15 @@
 func TestDepartureWithoutAMajorityIsNotAcknowledged(t *testing.T) {
 	vs := voters(t, 3, 2)
 	var unshared *upstreams.UnsharedError
-	require.ErrorAs(t, vs[0].upstreams.Announce(t.Context(), leaving(), 0), &unshared)
+	require.ErrorAs(t, vs[0].upstreams.Announce(t.Context(), drainingUpstream(), 0), &unshared)
 	notices, _ := vs[0].feed.Notices(time.Now())
-	require.Len(t, notices, 1, "balancers in reach hear of it all the same")
+	require.Len(t, notices, 1, "reachable balancers still receive it")
 }
 
-// Symptom: a departure was acknowledged that no other voter knew of.
-// Events: a voter starts with an empty disk; before any other voter has spoken
-// to it, an upstream tells it that it drains.
-// Cause: it knew no voter but itself, and took itself for the majority.
-func TestVoterWithoutAListAcknowledgesNoDeparture(t *testing.T) {
+// Guards against an acknowledged departure that no other voter has. A voter that has
+// started with an empty disk and received no message from another voter knows only
+// itself, and must not count itself as the majority.
+func TestVoterWithoutVoterListRejectsDeparture(t *testing.T) {
 	address := server.Listen(t).Address()
 	f := feed.New(1, directory.New(directory.Settings{SilentAfter: time.Minute, ForgetAfter: time.Hour}), time.Now)
 	u := upstreams.New(upstreams.Settings{
@@ -104,18 +100,17 @@
 		Voting: func() []string { return nil },
 	}, f, hclog.NewNullLogger())
 	var unlisted *upstreams.UnlistedError
-	require.ErrorAs(t, u.Announce(t.Context(), leaving(), 0), &unlisted)
+	require.ErrorAs(t, u.Announce(t.Context(), drainingUpstream(), 0), &unlisted)
 	notices, _ := f.Notices(time.Now())
-	require.Len(t, notices, 1, "balancers in reach hear of it all the same")
-	ready := leaving()
+	require.Len(t, notices, 1, "reachable balancers still receive it")
+	ready := drainingUpstream()
 	ready.Incarnation, ready.State = 8, upstream.Ready
-	require.NoError(t, u.Announce(t.Context(), ready, 0), "an upstream that serves needs no majority")
+	require.NoError(t, u.Announce(t.Context(), ready, 0), "a ready upstream needs no majority")
 }
 
-// Symptom: a departure was acknowledged that would not outlive the loss of two
-// voters that a list of five bears.
-// Events: two learners hold it beside the voter that was told, two voters do not.
-// Cause: everyone known was counted, with or without a vote.
+// Guards against an acknowledged departure that is lost with two of five voters, a loss that
+// must be tolerated. Two learners and one voter hold the departure, two voters do not;
+// learners must not count towards the majority.
 func TestOnlyVotersCountTowardsTheMajority(t *testing.T) {
 	vs := voters(t, 5, 2)
 	known := vs[0].known
@@ -125,24 +120,23 @@
 		Voting: func() []string { return voting },
 	}, vs[0].feed, hclog.NewNullLogger())
 	var unshared *upstreams.UnsharedError
-	require.ErrorAs(t, u.Announce(t.Context(), leaving(), 0), &unshared)
+	require.ErrorAs(t, u.Announce(t.Context(), drainingUpstream(), 0), &unshared)
 	require.Equal(t, upstreams.UnsharedError{Holders: 1, Needed: 2}, *unshared)
 }
 
-// Symptom: an upstream that served was taken for replaced, again and again.
-// Events: another writer announces its address under a service that no configuration
-// names.
-// Cause: the address went to whoever was heard last.
-func TestUpstreamOfAnUnknownServiceTakesNoAddress(t *testing.T) {
+// Guards against a serving upstream that is repeatedly marked as replaced, because another
+// announcer uses its address for a service that is not configured and the last announcement
+// of an address wins.
+func TestUpstreamOfUnknownServiceDoesNotTakeOverAddress(t *testing.T) {
 	v := voters(t, 1, 0)[0]
 	v.feed.Publish(history.History{}.With(configuration.Configuration{
 		Revision: 1, Services: []configuration.Service{{Name: "orders"}},
 	}))
-	serves := upstream.Upstream{
+	serving := upstream.Upstream{
 		Identity: upstream.Identity{Service: "orders", Incarnation: 7, Address: netip.MustParseAddrPort("10.0.0.1:80")}, Sequence: 1,
 	}
-	require.NoError(t, v.upstreams.Announce(t.Context(), serves, 0))
-	other := serves
+	require.NoError(t, v.upstreams.Announce(t.Context(), serving, 0))
+	other := serving
 	other.Service, other.Incarnation = "nobody", 8
 	var unknown *upstreams.UnknownServiceError
 	require.ErrorAs(t, v.upstreams.Announce(t.Context(), other, 0), &unknown)
@@ -151,7 +145,7 @@
 	require.False(t, notices[0].Replaced)
 }
 
-// withBalancers lets a voter know of so many balancers of zone a.
+// withBalancers adds n balancers of zone a to a voter's feed.
 func withBalancers(v voter, n int) {
 	for i := range n {
 		m := member.Member{Zone: "a", Address: fmt.Sprintf("10.1.0.%d:7720", i+1), Announcements: fmt.Sprintf("10.1.0.%d:7721", i+1)}
@@ -166,25 +160,24 @@
 	}
 }
 
-func heard(v voter) int {
+func noticeCount(v voter) int {
 	all, _ := v.feed.Notices(time.Now())
 	return len(all)
 }
 
-// Symptom: where all balancers of a large fleet restarted, each upstream was news to all of
-// them six times.
-// Events: the balancer that an upstream announces itself to has ended; it turns to any voter.
-// Cause: each voter that it reached told of it, and later that it heard it no longer.
-func TestAnnouncementIsHandedToTheVoterOfItsZone(t *testing.T) {
+// Guards against six notices per upstream to each balancer of a large fleet after all
+// balancers restarted. Upstreams whose balancer ended announce themselves to any voter; each
+// of these voters would publish the upstream and later publish that it lost contact.
+func TestAnnouncementIsForwardedToVoterOfItsZone(t *testing.T) {
 	all := voters(t, 2, 0)
 	withBalancers(all[1], 9)
 	require.NoError(t, all[1].upstreams.Announce(t.Context(), inZoneA(), 0))
-	require.Equal(t, 1, heard(all[0]))
-	require.Zero(t, heard(all[1]))
+	require.Equal(t, 1, noticeCount(all[0]))
+	require.Zero(t, noticeCount(all[1]))
 	require.NotEmpty(t, all[1].upstreams.Refer(inZoneA()))
 }
 
-func TestAnnouncementStaysWhereItsVoterDoesNotAnswer(t *testing.T) {
+func TestAnnouncementStaysIfVoterOfItsZoneDoesNotRespond(t *testing.T) {
 	all := voters(t, 3, 1)
 	withBalancers(all[0], 9)
 	u := inZoneA()
@@ -194,28 +187,28 @@
 		all[0].feed.Attend(time.Now(), []members.Attendance{{Member: m}})
 	}
 	require.NoError(t, all[0].upstreams.Announce(t.Context(), u, 0))
-	require.Equal(t, 1, heard(all[0]))
+	require.Equal(t, 1, noticeCount(all[0]))
 }
 
-func TestAnnouncementsOfSmallZonesStayWhereTheyAreMade(t *testing.T) {
+func TestAnnouncementsOfSmallZonesStayWithReceivingVoter(t *testing.T) {
 	all := voters(t, 2, 0)
 	withBalancers(all[1], 4)
 	require.NoError(t, all[1].upstreams.Announce(t.Context(), inZoneA(), 0))
-	require.Equal(t, 1, heard(all[1]))
+	require.Equal(t, 1, noticeCount(all[1]))
 	require.Empty(t, all[1].upstreams.Refer(inZoneA()))
 }
 
-// Balancers hand on no departures: one would be acknowledged before a majority holds it.
-func TestDepartureThatABalancerHandsOnIsNotTaken(t *testing.T) {
+// A departure forwarded by a balancer would be acknowledged before a majority holds it.
+func TestDepartureForwardedByBalancerIsRejected(t *testing.T) {
 	all := voters(t, 1, 0)
 	client := rpc.NewClient(all[0].known[0], "group")
 	t.Cleanup(client.Close)
 	_, err := rpc.Call[[]handover.Announcement, struct{}](t.Context(), client, upstreams.HandOverMethod, []handover.Announcement{
-		{Upstream: leaving()}, {Upstream: inZoneA(), Age: time.Second},
+		{Upstream: drainingUpstream()}, {Upstream: inZoneA(), Age: time.Second},
 	})
 	require.NoError(t, err)
-	told, _ := all[0].feed.Notices(time.Now())
-	require.Len(t, told, 1)
-	require.Equal(t, uint64(9), told[0].Upstream.Incarnation)
-	require.GreaterOrEqual(t, told[0].Age, time.Second, "it was heard when the balancer took it")
+	notices, _ := all[0].feed.Notices(time.Now())
+	require.Len(t, notices, 1)
+	require.Equal(t, uint64(9), notices[0].Upstream.Incarnation)
+	require.GreaterOrEqual(t, notices[0].Age, time.Second, "the age counts from when the balancer received it")
 }
