--- a/internal/control/agreement/election.go
+++ b/internal/control/agreement/election.go
@@ -84,7 +84,7 @@
 		return
 	}
 	if m.Kind == RequestVote && a.hasActiveLeader(now) && !m.Granted {
-		// Voters that still hear their leader ignore vote requests; the leader's
+		// Voters with an active leader ignore vote requests; the leader's
 		// lease depends on this.
 		return
 	}
@@ -154,7 +154,7 @@
 	a.bootstrapWith(now, m.Voters)
 }
 
-// hasActiveLeader reports whether a leader was heard within the election timeout;
+// hasActiveLeader reports whether a leader message arrived within the election timeout;
 // for the leader itself, whether its lease holds.
 func (a *Agreement) hasActiveLeader(now time.Time) bool {
 	if a.role == Leader {
@@ -265,7 +265,7 @@
 }
 
 // campaign requests votes in a new term. In a leadership transfer, voters grant
-// them even though they heard the leader recently.
+// them even though the leader was active recently.
 func (a *Agreement) campaign(now time.Time, transfer bool) {
 	a.preVoting = false
 	a.leader = ""
