--- a/internal/control/voter/disk.go
+++ b/internal/control/voter/disk.go
@@ -7,53 +7,52 @@
 )
 
 const (
-	// reopenEvery is how often a disk that refused a write is tried again. Full
-	// disks are emptied by operators within seconds, and each try costs one read
-	// of the log.
-	reopenEvery = 500 * time.Millisecond
-	// markEvery bounds how late the disk learns which entries are accepted. It
-	// is only needed where a voter restarts cut off from the others, and each
-	// mark costs a sync.
-	markEvery = 250 * time.Millisecond
+	// reopenInterval is the time between attempts to reopen the log after a failed write.
+	// Operators free a full disk within seconds, and each attempt reads the whole log.
+	reopenInterval = 500 * time.Millisecond
+	// commitPersistInterval is the least time between writes of the commit index. The index
+	// is needed only by a voter that restarts without contact to the others, and each write
+	// costs a sync.
+	commitPersistInterval = 250 * time.Millisecond
 )
 
-// recoverDisk starts the voter anew from its disk after a refused write, as a
-// restart would: a voter that stayed read-only until an operator came would be
-// missing in the majority long after its disk had room again.
+// recoverDisk reloads the voter from its disk after a failed write, as a restart would. If
+// the voter stayed read-only until an operator restarted it, the majority would lack its vote
+// long after the disk has space again.
 func (v *Voter) recoverDisk() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	now := v.settings.Clock()
-	if v.failedAt.IsZero() || v.settings.Reopen == nil || now.Sub(v.failedAt) < reopenEvery {
+	if v.failedAt.IsZero() || v.settings.Reopen == nil || now.Sub(v.failedAt) < reopenInterval {
 		return
 	}
 	v.failedAt = now
 	if err := v.wal.Close(); err != nil {
-		v.log.Debug("log not closed", "Error", err)
+		v.log.Debug("closing the log failed", "Error", err)
 	}
 	w, durable, err := v.settings.Reopen()
 	if err != nil {
-		v.log.Warn("disk still refuses", "Error", err)
+		v.log.Warn("reopening the log failed", "Error", err)
 		return
 	}
 	if err := v.load(w, durable); err != nil {
-		v.log.Error("snapshot on the disk cannot be read", "Error", err)
+		v.log.Error("restoring the snapshot from disk failed", "Error", err)
 		return
 	}
 	v.failedAt = time.Time{}
 	v.log.Info("disk works again", "Revision", v.ledger.Current().Revision)
 }
 
-// markAccepted notes on the disk which entries are accepted.
-func (v *Voter) markAccepted() {
+// persistCommit writes the commit index to the disk.
+func (v *Voter) persistCommit() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	now := v.settings.Clock()
 	commit := v.agreement.Commit()
-	if commit <= v.marked || !v.failedAt.IsZero() || now.Sub(v.markedAt) < markEvery {
+	if commit <= v.persistedCommit || !v.failedAt.IsZero() || now.Sub(v.commitPersistedAt) < commitPersistInterval {
 		return
 	}
-	v.marked, v.markedAt = commit, now
-	v.carryOut([]agreement.Effect{{Persist: &agreement.Persist{Commit: commit}}})
-	v.drain()
+	v.persistedCommit, v.commitPersistedAt = commit, now
+	v.execute([]agreement.Effect{{Persist: &agreement.Persist{Commit: commit}}})
+	v.processEvents()
 }
--- a/internal/control/voter/doc.go
+++ b/internal/control/voter/doc.go
@@ -1,3 +1,3 @@
-// Package voter is a control process: it carries out what agreement decides,
-// on a data folder and over drpc.
+// Package voter runs a control process: it executes the effects of the consensus state
+// machine in package agreement on a data folder and over DRPC.
 package voter
--- a/internal/control/voter/effects.go
+++ b/internal/control/voter/effects.go
@@ -5,17 +5,17 @@
 	"wasabideal/internal/control/ledger"
 )
 
-// carryOut does what the reducer asked for, in its order: nothing that follows
-// a failed write is done, so no promise rests on it.
-func (v *Voter) carryOut(effects []agreement.Effect) {
+// execute runs the effects of the state machine in order. It stops at a failed write, so that
+// no message acknowledges data that was not stored.
+func (v *Voter) execute(effects []agreement.Effect) {
 	for _, x := range effects {
 		switch {
 		case x.Send != nil:
 			v.send(*x.Send)
 		case x.Persist != nil:
-			begun := v.settings.Clock()
+			start := v.settings.Clock()
 			err := v.wal.Write(*x.Persist)
-			v.counts.syncing.Record(v.settings.Clock().Sub(begun))
+			v.counts.syncLatency.Record(v.settings.Clock().Sub(start))
 			if err != nil {
 				v.counts.failedWrites.Inc(1)
 				v.log.Error("voter is read-only now", "Error", err)
@@ -49,8 +49,8 @@
 }
 
 func (v *Voter) apply(e agreement.Entry) {
-	w, waited := v.waiting[e.Index]
-	delete(v.waiting, e.Index)
+	w, isWaiting := v.waiters[e.Index]
+	delete(v.waiters, e.Index)
 	if e.Kind != agreement.Command {
 		return
 	}
@@ -63,8 +63,8 @@
 	if record != nil {
 		v.trail.Write(e.Index, *record)
 	}
-	// Another term's entry in the same place is not the change waited for.
-	if waited && w.term == e.Term {
+	// An entry of another term at the same index is a different change.
+	if isWaiting && w.term == e.Term {
 		w.answer <- answer
 	}
 }
@@ -80,21 +80,21 @@
 
 func (v *Voter) restore(s agreement.Snapshot) {
 	if err := v.ledger.Restore(s.Data); err != nil {
-		v.log.Error("snapshot of the leader cannot be read", "Error", err)
+		v.log.Error("restoring the snapshot from the leader failed", "Error", err)
 		v.events = append(v.events, agreement.Event{DiskFailed: true})
 		return
 	}
 	v.publish()
 }
 
-func (v *Voter) compactIfLong() {
+func (v *Voter) compactIfNeeded() {
 	if v.agreement.Status(v.settings.Clock()).Kept < v.settings.CompactAfter {
 		return
 	}
 	data, err := v.ledger.Snapshot()
 	if err != nil {
-		v.log.Error("snapshot failed", "Error", err)
+		v.log.Error("encoding the snapshot failed", "Error", err)
 		return
 	}
-	v.carryOut(v.agreement.Reduce(v.settings.Clock(), agreement.Event{Compact: data}))
+	v.execute(v.agreement.Reduce(v.settings.Clock(), agreement.Event{Compact: data}))
 }
--- /dev/null
+++ b/internal/control/voter/leadership.go
@@ -0,0 +1,43 @@
+package voter
+
+import (
+	"time"
+
+	"wasabideal/internal/control/agreement"
+)
+
+const (
+	// transferTimeout bounds the wait for another leader at a planned stop. A transfer takes
+	// a few round trips and two syncs.
+	transferTimeout      = 400 * time.Millisecond
+	transferPollInterval = 10 * time.Millisecond
+)
+
+// HandOver transfers leadership before a planned stop. It returns when another voter leads or
+// after transferTimeout.
+func (v *Voter) HandOver() {
+	v.mu.Lock()
+	now := v.settings.Clock()
+	effects := v.agreement.HandOver(now)
+	v.execute(effects)
+	v.processEvents()
+	v.mu.Unlock()
+	if len(effects) == 0 {
+		return
+	}
+	for end := now.Add(transferTimeout); v.settings.Clock().Before(end); time.Sleep(transferPollInterval) {
+		if leader, self := v.leader(); leader != "" && !self {
+			return
+		}
+	}
+}
+
+// Meet adds addresses of other voters as contacts. A voter that is not yet in the membership
+// asks them to admit it. The address also serves as the contact's name.
+func (v *Voter) Meet(addresses []string) {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	for _, a := range addresses {
+		v.agreement.Meet(agreement.Voter{Name: a, Address: a})
+	}
+}
--- a/internal/control/voter/metrics.go
+++ b/internal/control/voter/metrics.go
@@ -11,13 +11,13 @@
 	"wasabideal/internal/metric/text"
 )
 
-// counts are the voter's metrics.
+// counts holds the voter's metrics and their registry.
 type counts struct {
-	registry                metrics.Registry
-	applied, failedWrites   metrics.Counter
-	refusedAnnouncements    metrics.Counter
-	accepting, syncing      latency.Latency
-	readsDone, readsRefused metrics.Counter
+	registry                     metrics.Registry
+	applied, failedWrites        metrics.Counter
+	refusedAnnouncements         metrics.Counter
+	acceptLatency, syncLatency   latency.Latency
+	confirmedReads, refusedReads metrics.Counter
 }
 
 func newCounts() *counts {
@@ -27,14 +27,14 @@
 		applied:              metrics.NewRegisteredCounter("ChangesAppliedTotal", r),
 		failedWrites:         metrics.NewRegisteredCounter("DiskFailuresTotal", r),
 		refusedAnnouncements: metrics.NewRegisteredCounter("AnnouncementsRefusedTotal", r),
-		readsDone:            metrics.NewRegisteredCounter("ReadsConfirmedTotal", r),
-		readsRefused:         metrics.NewRegisteredCounter("ReadsRefusedTotal", r),
-		accepting:            latency.New("Accept", r),
-		syncing:              latency.New("DiskSync", r),
+		confirmedReads:       metrics.NewRegisteredCounter("ReadsConfirmedTotal", r),
+		refusedReads:         metrics.NewRegisteredCounter("ReadsRefusedTotal", r),
+		acceptLatency:        latency.New("Accept", r),
+		syncLatency:          latency.New("DiskSync", r),
 	}
 }
 
-// ServeMetrics answers with the metrics as text.
+// ServeMetrics writes the metrics in the text format.
 func (v *Voter) ServeMetrics(w http.ResponseWriter, _ *http.Request) {
 	r := v.Report()
 	set := func(name string, n uint64) { metrics.GetOrRegisterGauge(name, v.counts.registry).Update(int64(n)) }
@@ -50,9 +50,9 @@
 	set("LogBytes", uint64(r.LogBytes))
 	set("LeaderSilenceMilliseconds", uint64(min(r.Silence, time.Hour).Milliseconds()))
 	if err := text.New(v.counts.registry, "wasabideal").Print(w); err != nil {
-		v.log.Warn("metrics not written", "Error", err)
+		v.log.Warn("writing metrics failed", "Error", err)
 	}
 }
 
-// AnnouncementRefused counts an announcement that names no upstream.
+// AnnouncementRefused counts an announcement that is rejected because it does not identify an upstream.
 func (v *Voter) AnnouncementRefused() { v.counts.refusedAnnouncements.Inc(1) }
--- a/internal/control/voter/operator.go
+++ b/internal/control/voter/operator.go
@@ -10,12 +10,12 @@
 	"wasabideal/internal/model/configuration"
 )
 
-// Change proposes an operator's change and waits for its answer.
+// Change proposes an operator's change and waits until it is applied.
 func (v *Voter) Change(ctx context.Context, c ledger.Change) (ledger.Answer, error) {
 	if c.ChangeKey == "" {
 		return ledger.Answer{}, MissingKeyError{}
 	}
-	begun := v.settings.Clock()
+	start := v.settings.Clock()
 	w, answer, err := v.propose(c)
 	if err != nil || w == nil {
 		return answer, err
@@ -24,7 +24,7 @@
 	defer timeout.Stop()
 	select {
 	case a := <-w:
-		v.counts.accepting.Record(v.settings.Clock().Sub(begun))
+		v.counts.acceptLatency.Record(v.settings.Clock().Sub(start))
 		return a, nil
 	case <-timeout.C:
 	case <-ctx.Done():
@@ -32,7 +32,7 @@
 	return ledger.Answer{}, &UnknownError{ChangeKey: c.ChangeKey}
 }
 
-// propose puts a change in the log, or returns the answer that it got before.
+// propose appends a change to the log, or returns the recorded answer if its key was already applied.
 func (v *Voter) propose(c ledger.Change) (chan ledger.Answer, ledger.Answer, error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -50,13 +50,13 @@
 		return nil, ledger.Answer{}, err
 	}
 	w := waiter{term: e.Term, answer: make(chan ledger.Answer, 1)}
-	v.waiting[e.Index] = w
-	v.carryOut(effects)
-	v.drain()
+	v.waiters[e.Index] = w
+	v.execute(effects)
+	v.processEvents()
 	return w.answer, ledger.Answer{}, nil
 }
 
-// Report is what a voter tells operators of itself.
+// Report is a voter's status as shown to operators.
 type Report struct {
 	agreement.Status
 	Revision uint64
@@ -66,7 +66,7 @@
 
 func (v *Voter) status(context.Context, empty) (Report, error) { return v.Report(), nil }
 
-// Report returns the voter's state.
+// Report returns the voter's status.
 func (v *Voter) Report() Report {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -77,10 +77,10 @@
 	}
 }
 
-// Shown is a configuration with what is known of its age.
+// Shown is a configuration and whether it is known to be the newest one.
 type Shown struct {
 	Configuration configuration.Configuration
-	// Current is false on a voter that may have missed accepted changes.
+	// Current is false if the voter may have missed committed changes.
 	Current bool
 }
 
@@ -97,8 +97,8 @@
 	if err != nil {
 		return empty{}, err
 	}
-	v.carryOut(effects)
-	v.drain()
+	v.execute(effects)
+	v.processEvents()
 	return empty{}, nil
 }
 
@@ -106,7 +106,7 @@
 	return v.trail.Last(last), nil
 }
 
-// Denied notes a call without the right token in the audit trail.
+// Denied records a call with an invalid token in the audit trail.
 func (v *Voter) Denied(method string) {
 	v.trail.Deny(v.settings.Clock(), method)
 }
--- a/internal/control/voter/outbox.go
+++ b/internal/control/voter/outbox.go
@@ -9,16 +9,16 @@
 )
 
 const (
-	// outboxSize bounds the messages that wait for one voter; more are dropped,
-	// as a network would, and sent again with a later heartbeat.
+	// outboxSize bounds the messages queued for one voter. Further ones are dropped; a later
+	// heartbeat makes up for them, as after a loss in the network.
 	outboxSize  = 64
 	sendTimeout = time.Second
 )
 
-// outbox sends messages to one address in order.
+// outbox queues messages to one address and keeps their order.
 type outbox struct{ messages chan agreement.Message }
 
-// send puts a message on its way; one to this voter itself becomes an event.
+// send queues a message for delivery; a message to this voter itself becomes an event.
 func (v *Voter) send(m agreement.Message) {
 	if m.To == v.settings.Agreement.Self.Id {
 		v.events = append(v.events, agreement.Event{Message: &m})
@@ -32,7 +32,7 @@
 	if o == nil {
 		o = &outbox{messages: make(chan agreement.Message, outboxSize)}
 		v.outboxes[address] = o
-		v.outgoing.Add(1)
+		v.deliveries.Add(1)
 		go v.deliver(v.ctx, address, o)
 	}
 	select {
@@ -41,7 +41,7 @@
 	}
 }
 
-// addressOf finds a voter by its id, or a founder by its name.
+// addressOf resolves a voter by id or a founder by name; it returns an empty string if neither is known.
 func (v *Voter) addressOf(to string) string {
 	for _, x := range v.agreement.Status(v.settings.Clock()).Voters {
 		if x.Id == to || x.Name == to {
@@ -56,11 +56,11 @@
 	if address := v.agreement.AddressOf(to); address != "" {
 		return address
 	}
-	return v.senders[to]
+	return v.senderAddresses[to]
 }
 
 func (v *Voter) deliver(ctx context.Context, address string, o *outbox) {
-	defer v.outgoing.Done()
+	defer v.deliveries.Done()
 	c := rpc.NewClient(address, v.settings.GroupToken)
 	defer c.Close()
 	for {
@@ -72,7 +72,7 @@
 			_, err := rpc.Call[agreement.Message, empty](send, c, MessageMethod, m)
 			cancel()
 			if err != nil {
-				v.log.Trace("message lost", "Address", address, "Error", err)
+				v.log.Trace("sending message failed", "Address", address, "Error", err)
 			}
 		}
 	}
--- a/internal/control/voter/publish.go
+++ b/internal/control/voter/publish.go
@@ -13,31 +13,31 @@
 )
 
 const (
-	// leaderWait is how long a call waits for a leader to be known: elections
-	// end within it, and callers give a call about a second.
-	leaderWait = 700 * time.Millisecond
-	// leaderPoll is how often a waiting call looks for a leader.
-	leaderPoll = 25 * time.Millisecond
-	// leaderCall bounds one call to the leader.
-	leaderCall = 900 * time.Millisecond
+	// leaderTimeout is how long a call waits for a known leader. Elections finish within it,
+	// and callers time out after about a second.
+	leaderTimeout = 700 * time.Millisecond
+	// leaderPollInterval is the time between two checks for a leader.
+	leaderPollInterval = 25 * time.Millisecond
+	// leaderCallTimeout bounds one call to the leader.
+	leaderCallTimeout = 900 * time.Millisecond
 )
 
-// NoLeaderError says that a call found no voter that leads.
+// NoLeaderError reports that no leader was known in time.
 type NoLeaderError struct{ Waited time.Duration }
 
 func (e *NoLeaderError) Error() string {
 	return fmt.Sprintf("no voter led within %s; nothing was changed, try again or elsewhere", e.Waited)
 }
 
-// UnconfirmedError says that no majority confirmed that this voter still leads.
+// UnconfirmedError reports that no majority confirmed this voter's leadership.
 type UnconfirmedError struct{}
 
 func (UnconfirmedError) Error() string {
 	return "no majority answered in time, so a newer configuration may exist; ask again or elsewhere"
 }
 
-// Publish accepts a configuration that carries its own revision, here or at the
-// leader; the highest revision wins and equal or older ones change nothing.
+// Publish commits a configuration that carries its own revision, on this voter or through the
+// leader. The highest revision wins; an equal or lower one changes nothing.
 func (v *Voter) Publish(ctx context.Context, c configuration.Configuration, key, who string) (ledger.Answer, error) {
 	if answer := ledger.Examine(c); answer.Verdict == ledger.Invalid {
 		return answer, nil
@@ -46,41 +46,41 @@
 		return ledger.Answer{Verdict: ledger.Superseded, Revision: held.Revision}, nil
 	}
 	change := ledger.Change{ChangeKey: key, Who: who, Publish: &c}
-	return atLeader(ctx, v, change, PublishMethod, v.publishHere)
+	return callLeader(ctx, v, change, PublishMethod, v.publishLocal)
 }
 
-func (v *Voter) publishHere(ctx context.Context, c ledger.Change) (ledger.Answer, error) {
+func (v *Voter) publishLocal(ctx context.Context, c ledger.Change) (ledger.Answer, error) {
 	return v.Change(ctx, c)
 }
 
-// Held returns the configuration in force as far as this voter knows.
+// Held returns the newest configuration that this voter has applied.
 func (v *Voter) Held() configuration.Configuration {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.ledger.Current()
 }
 
-// Read returns the newest accepted configuration, or an error where nobody can
-// be sure of it; a majority confirms it after the call began.
+// Read is a linearizable read: it returns the newest committed configuration once a majority
+// has confirmed the leader after the call began, or an error.
 func (v *Voter) Read(ctx context.Context) (configuration.Configuration, error) {
-	return atLeader(ctx, v, empty{}, ReadMethod, v.readHere)
+	return callLeader(ctx, v, empty{}, ReadMethod, v.readLocal)
 }
 
-// atLeader makes a call here if this voter leads, else at the one that does.
-func atLeader[In, Out any](ctx context.Context, v *Voter, in In, method string, here func(context.Context, In) (Out, error)) (Out, error) {
+// callLeader runs a call locally if this voter leads, and otherwise sends it to the leader.
+func callLeader[In, Out any](ctx context.Context, v *Voter, in In, method string, local func(context.Context, In) (Out, error)) (Out, error) {
 	var none Out
-	deadline := v.settings.Clock().Add(leaderWait)
+	deadline := v.settings.Clock().Add(leaderTimeout)
 	for {
 		leader, self := v.leader()
 		switch {
 		case self:
-			out, err := here(ctx, in)
-			var moved *agreement.NotLeaderError
-			if !errors.As(err, &moved) {
+			out, err := local(ctx, in)
+			var notLeader *agreement.NotLeaderError
+			if !errors.As(err, &notLeader) {
 				return out, err
 			}
 		case leader != "":
-			call, cancel := context.WithTimeout(ctx, leaderCall)
+			call, cancel := context.WithTimeout(ctx, leaderCallTimeout)
 			client := rpc.NewClient(leader, v.settings.GroupToken)
 			out, err := rpc.Call[In, Out](call, client, method, in)
 			client.Close()
@@ -95,17 +95,17 @@
 			}
 		}
 		if v.settings.Clock().After(deadline) {
-			return none, &NoLeaderError{Waited: leaderWait}
+			return none, &NoLeaderError{Waited: leaderTimeout}
 		}
 		select {
 		case <-ctx.Done():
-			return none, &NoLeaderError{Waited: leaderWait}
-		case <-time.After(leaderPoll):
+			return none, &NoLeaderError{Waited: leaderTimeout}
+		case <-time.After(leaderPollInterval):
 		}
 	}
 }
 
-// leader returns the address of the voter that leads, and whether it is this one.
+// leader returns the address of the leader and whether this voter is the leader.
 func (v *Voter) leader() (string, bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -113,13 +113,13 @@
 	return s.Leader.Address, s.Role == agreement.Leader
 }
 
-// pendingRead is a read that waits for a majority's answers.
+// pendingRead is a read that waits until a majority confirms the leader.
 type pendingRead struct {
 	since time.Time
 	done  chan configuration.Configuration
 }
 
-func (v *Voter) readHere(ctx context.Context, _ empty) (configuration.Configuration, error) {
+func (v *Voter) readLocal(ctx context.Context, _ empty) (configuration.Configuration, error) {
 	v.mu.Lock()
 	now := v.settings.Clock()
 	s := v.agreement.Status(now)
@@ -129,25 +129,25 @@
 	}
 	r := &pendingRead{since: now, done: make(chan configuration.Configuration, 1)}
 	v.reads = append(v.reads, r)
-	v.carryOut(v.agreement.Confirm(now))
-	v.drain()
+	v.execute(v.agreement.Confirm(now))
+	v.processEvents()
 	v.mu.Unlock()
-	timeout := time.NewTimer(leaderCall)
+	timeout := time.NewTimer(leaderCallTimeout)
 	defer timeout.Stop()
 	select {
 	case c := <-r.done:
-		v.counts.readsDone.Inc(1)
+		v.counts.confirmedReads.Inc(1)
 		return c, nil
 	case <-timeout.C:
 	case <-ctx.Done():
 	}
-	v.counts.readsRefused.Inc(1)
+	v.counts.refusedReads.Inc(1)
 	return configuration.Configuration{}, UnconfirmedError{}
 }
 
-// answerReads answers the reads that a majority has confirmed and drops those
-// whose callers have gone; the lock is held.
-func (v *Voter) answerReads() {
+// completeReads completes the reads that a majority has confirmed and drops those that have
+// timed out. The caller holds the lock.
+func (v *Voter) completeReads() {
 	if len(v.reads) == 0 {
 		return
 	}
@@ -157,7 +157,7 @@
 		switch {
 		case v.agreement.ConfirmedSince(now, r.since):
 			r.done <- v.ledger.Current()
-		case now.Sub(r.since) <= leaderCall:
+		case now.Sub(r.since) <= leaderCallTimeout:
 			left = append(left, r)
 		}
 	}
--- a/internal/control/voter/roster.go
+++ b/internal/control/voter/roster.go
@@ -9,8 +9,8 @@
 	"wasabideal/internal/control/ledger"
 )
 
-// leading returns the keeper while this voter leads with a lease; the lock is held.
-func (v *Voter) leading(now time.Time) (*keeper.Keeper, error) {
+// leaderKeeper returns the roster keeper while this voter leads with a valid lease. The caller holds the lock.
+func (v *Voter) leaderKeeper(now time.Time) (*keeper.Keeper, error) {
 	s := v.agreement.Status(now)
 	if !s.Current {
 		v.keeper = nil
@@ -23,32 +23,32 @@
 }
 
 func (v *Voter) hello(_ context.Context, h keeper.Hello) (empty, error) {
-	return empty{}, v.tellKeeper(func(now time.Time, k *keeper.Keeper) { k.Hello(now, h) })
+	return empty{}, v.withKeeper(func(now time.Time, k *keeper.Keeper) { k.Hello(now, h) })
 }
 
 func (v *Voter) forget(_ context.Context, name string) (empty, error) {
-	return empty{}, v.tellKeeper(func(now time.Time, k *keeper.Keeper) { k.Forget(now, name) })
+	return empty{}, v.withKeeper(func(now time.Time, k *keeper.Keeper) { k.Forget(now, name) })
 }
 
-// tellKeeper tells the keeper something, or returns who leads instead.
-func (v *Voter) tellKeeper(tell func(time.Time, *keeper.Keeper)) error {
+// withKeeper calls a function with the keeper, or returns an error that names the leader.
+func (v *Voter) withKeeper(update func(time.Time, *keeper.Keeper)) error {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	now := v.settings.Clock()
-	k, err := v.leading(now)
+	k, err := v.leaderKeeper(now)
 	if err != nil {
 		return err
 	}
-	tell(now, k)
+	update(now, k)
 	return nil
 }
 
-// keepRoster proposes the change of the roster that the keeper decides on.
-func (v *Voter) keepRoster() {
+// updateRoster proposes the roster change that the keeper decides on, if any.
+func (v *Voter) updateRoster() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	now := v.settings.Clock()
-	k, err := v.leading(now)
+	k, err := v.leaderKeeper(now)
 	if err != nil {
 		return
 	}
@@ -58,13 +58,13 @@
 	}
 	data, err := ledger.EncodeRoster(*c)
 	if err != nil {
-		v.log.Error("roster cannot be encoded", "Error", err)
+		v.log.Error("encoding the roster failed", "Error", err)
 		return
 	}
 	_, effects, err := v.agreement.Propose(now, data)
 	if err != nil {
 		return
 	}
-	v.carryOut(effects)
-	v.drain()
+	v.execute(effects)
+	v.processEvents()
 }
--- a/internal/control/voter/voter.go
+++ b/internal/control/voter/voter.go
@@ -22,7 +22,7 @@
 	"wasabideal/internal/wire/rpc"
 )
 
-// The calls that a voter serves.
+// Names of the RPC methods that a voter serves.
 const (
 	MessageMethod = "Voter.Message"
 	ChangeMethod  = "Operator.Change"
@@ -37,45 +37,44 @@
 	ZonesMethod   = "Operator.Zones"
 )
 
-// Settings of a control process.
+// Settings configures a voter.
 type Settings struct {
 	Agreement     agreement.Settings
 	GroupToken    string
 	OperatorToken string
-	// CompactAfter is the number of entries kept before a snapshot.
+	// CompactAfter is the number of log entries that triggers a snapshot.
 	CompactAfter int
 	Tick         time.Duration
-	// AcceptTimeout is how long an operator waits for an acceptance.
+	// AcceptTimeout is how long Change waits until the change is applied.
 	AcceptTimeout time.Duration
 	Keeper        keeper.Settings
-	// Clock is where this edge reads the time.
+	// Clock returns the current time.
 	Clock func() time.Time
-	// Reopen reads the disk again after it refused a write; without it the
-	// voter stays read-only.
+	// Reopen reads the log again after a failed write. If it is nil, the voter stays
+	// read-only after such a failure.
 	Reopen func() (*wal.Wal, agreement.Durable, error)
-	// Changed is told of each configuration that comes in force, with how it came
-	// about, if set.
+	// Changed, if set, is called with the history of each configuration that takes effect.
 	Changed func(history.History)
-	// Evacuated is told of the orders for availability zones that come in force, before
-	// Changed is told of a configuration that came later, if set.
+	// Evacuated, if set, is called with the evacuation orders in effect, before Changed is
+	// called for a later configuration.
 	Evacuated func(evacuation.Evacuations)
 }
 
-// UnknownError says that a change may or may not have been accepted.
+// UnknownError reports that it is unknown whether a change was committed.
 type UnknownError struct{ ChangeKey string }
 
 func (e *UnknownError) Error() string {
-	return fmt.Sprintf("no majority answered in time; send the change again with the same change key %s to learn its fate", e.ChangeKey)
+	return fmt.Sprintf("no majority answered in time; send the change again with the same change key %s to get its outcome", e.ChangeKey)
 }
 
-// MissingKeyError says that a change has no key.
+// MissingKeyError reports a change without a change key.
 type MissingKeyError struct{}
 
 func (MissingKeyError) Error() string {
 	return "a change needs a change key; pass --change-key with a name that you use once"
 }
 
-// Voter is a running control process.
+// Voter is a control process that takes part in consensus.
 type Voter struct {
 	settings  Settings
 	log       hclog.Logger
@@ -85,32 +84,31 @@
 	ledger    *ledger.Ledger
 	source    *source.Source
 	trail     *audit.Trail
-	waiting   map[uint64]waiter
+	waiters   map[uint64]waiter
 	keeper    *keeper.Keeper
 	outboxes  map[string]*outbox
-	// senders are where those listen that sent messages, by their ids.
-	senders  map[string]string
-	events   []agreement.Event
-	ctx      context.Context
-	outgoing sync.WaitGroup
-	// failedAt is when the disk refused a write, zero while it works.
+	// senderAddresses holds the listen address of each voter that sent a message, by id.
+	senderAddresses map[string]string
+	events          []agreement.Event
+	ctx             context.Context
+	deliveries      sync.WaitGroup
+	// failedAt is when the last disk write or reopen attempt failed, zero while the disk works.
 	failedAt time.Time
-	// marked is the accepted index that the disk knows of, markedAt when it was told.
-	marked   uint64
-	markedAt time.Time
-	// reads wait for a majority to confirm that this voter leads.
+	// persistedCommit is the commit index last written to disk, commitPersistedAt the time of that write.
+	persistedCommit   uint64
+	commitPersistedAt time.Time
+	// reads are waiting for a majority to confirm that this voter leads.
 	reads  []*pendingRead
 	counts *counts
-	// replaying is set while the log is read at a start.
+	// replaying is set while the log is replayed at a start.
 	replaying bool
-	// standing is what was logged last of who leads and who votes.
-	standing standing
-	// members is for readers that must not wait for the disk.
+	// clusterView is the view that was logged last.
+	clusterView clusterView
+	// members can be read without the lock, which is held during disk writes.
 	members atomic.Pointer[members]
 }
 
-// members are the call addresses of all voters known, and of those that have a
-// vote.
+// members holds the RPC addresses of all known voters and of those with a vote.
 type members struct{ known, voting []string }
 
 type waiter struct {
@@ -118,11 +116,11 @@
 	answer chan ledger.Answer
 }
 
-// New returns a voter with what its disk held.
+// New returns a voter with the state read from its disk.
 func New(s Settings, w *wal.Wal, d agreement.Durable, trail *audit.Trail, log hclog.Logger) (*Voter, error) {
 	v := &Voter{
 		settings: s, log: log, trail: trail,
-		waiting: map[uint64]waiter{}, outboxes: map[string]*outbox{}, senders: map[string]string{},
+		waiters: map[uint64]waiter{}, outboxes: map[string]*outbox{}, senderAddresses: map[string]string{},
 		counts: newCounts(),
 	}
 	v.source = source.New(v.current)
@@ -132,28 +130,27 @@
 	return v, nil
 }
 
-// load takes over what a disk holds.
+// load replaces the voter's state by that read from a disk.
 func (v *Voter) load(w *wal.Wal, d agreement.Durable) error {
 	fresh := ledger.New()
 	if err := fresh.Restore(d.Snapshot.Data); err != nil {
 		return err
 	}
 	v.wal, v.ledger, v.events = w, fresh, nil
-	clear(v.waiting)
+	clear(v.waiters)
 	v.agreement = agreement.New(v.settings.Agreement, d, v.settings.Clock())
-	v.marked = d.Commit
-	v.noteMembers()
+	v.persistedCommit = d.Commit
+	v.updateMembers()
 	v.replay()
 	return nil
 }
 
-// replay puts in force what the disk knows to be accepted. Followers are told of
-// the end of it only: telling them of each change on the way took 0.8 s with 60
-// changes of 600 routes on a quarter of a core, and nobody had a configuration
-// meanwhile.
+// replay applies the entries that the disk records as committed. Followers receive only the
+// final state: publishing each of 60 changes with 600 routes took 0.8 s on a quarter of a
+// core, during which no balancer had a configuration.
 func (v *Voter) replay() {
 	v.replaying = true
-	v.carryOut(v.agreement.Replay())
+	v.execute(v.agreement.Replay())
 	v.replaying = false
 	v.publish()
 }
@@ -173,8 +170,8 @@
 	v.source.PublishRoster(v.ledger.Roster())
 }
 
-// current says whether this voter knows of every accepted change: it leads, or
-// heard a leader within an election's time and has no open entries.
+// current reports whether this voter has every committed change: it leads with a lease, or it
+// heard from a leader within the election timeout.
 func (v *Voter) current() bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -182,7 +179,7 @@
 	return s.Current || s.Role == agreement.Follower && s.Leader.Id != "" && s.Silence < v.settings.Agreement.Election
 }
 
-// Serve adds the voter's methods to a server.
+// Serve registers the voter's RPC methods on a server.
 func (v *Voter) Serve(r *rpc.Server) {
 	group, operator := v.settings.GroupToken, v.settings.OperatorToken
 	v.source.Serve(r, group)
@@ -194,12 +191,12 @@
 	rpc.Handle(r, AuditMethod, operator, v.audit)
 	rpc.Handle(r, ForgetMethod, operator, v.forget)
 	rpc.Handle(r, HelloMethod, group, v.hello)
-	rpc.Handle(r, PublishMethod, group, v.publishHere)
-	rpc.Handle(r, ReadMethod, group, v.readHere)
-	rpc.Handle(r, ZonesMethod, operator, v.evacuationsCall)
+	rpc.Handle(r, PublishMethod, group, v.publishLocal)
+	rpc.Handle(r, ReadMethod, group, v.readLocal)
+	rpc.Handle(r, ZonesMethod, operator, v.evacuations)
 }
 
-// Run ticks until the context ends.
+// Run calls the periodic work every Tick until the context is canceled.
 func (v *Voter) Run(ctx context.Context) {
 	v.mu.Lock()
 	v.ctx = ctx
@@ -209,13 +206,13 @@
 	for {
 		select {
 		case <-ctx.Done():
-			v.outgoing.Wait()
+			v.deliveries.Wait()
 			return
 		case <-t.C:
 			v.recoverDisk()
 			v.step(agreement.Event{Tick: true})
-			v.markAccepted()
-			v.keepRoster()
+			v.persistCommit()
+			v.updateRoster()
 		}
 	}
 }
@@ -224,48 +221,48 @@
 
 func (v *Voter) message(_ context.Context, m agreement.Message) (empty, error) {
 	v.mu.Lock()
-	v.senders[m.From] = m.Address
+	v.senderAddresses[m.From] = m.Address
 	v.mu.Unlock()
 	v.step(agreement.Event{Message: &m})
 	return empty{}, nil
 }
 
-// step reduces an event, and those that follow from carrying out its effects.
+// step processes an event and the events that result from its effects.
 func (v *Voter) step(e agreement.Event) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.events = append(v.events, e)
-	v.drain()
+	v.processEvents()
 }
 
-func (v *Voter) drain() {
+func (v *Voter) processEvents() {
 	for len(v.events) > 0 {
 		e := v.events[0]
 		v.events = v.events[1:]
-		v.carryOut(v.agreement.Reduce(v.settings.Clock(), e))
+		v.execute(v.agreement.Reduce(v.settings.Clock(), e))
 	}
-	v.answerReads()
-	v.compactIfLong()
-	v.noteMembers()
-	v.logStanding()
+	v.completeReads()
+	v.compactIfNeeded()
+	v.updateMembers()
+	v.logClusterView()
 }
 
-// standing is what a voter believes of the voters.
-type standing struct {
+// clusterView is a voter's view of the leader and the membership.
+type clusterView struct {
 	role     agreement.Role
 	leader   string
 	term     uint64
 	votersAt uint64
 }
 
-// logStanding logs when this voter's belief in who leads and who votes changed.
-func (v *Voter) logStanding() {
+// logClusterView logs a change in this voter's view of the leader or the membership.
+func (v *Voter) logClusterView() {
 	s := v.agreement.Status(v.settings.Clock())
-	now := standing{role: s.Role, leader: s.Leader.Id, term: s.Term, votersAt: s.VotersAt}
-	if now == v.standing {
+	now := clusterView{role: s.Role, leader: s.Leader.Id, term: s.Term, votersAt: s.VotersAt}
+	if now == v.clusterView {
 		return
 	}
-	v.standing = now
+	v.clusterView = now
 	names := lo.Map(s.Voters, func(x agreement.Voter, _ int) string {
 		if x.Learner {
 			return x.Name + " (learner)"
@@ -276,14 +273,13 @@
 		"Accepted", s.Commit, "Last", s.Last, "Silence", s.Silence.String())
 }
 
-func (v *Voter) noteMembers() {
+func (v *Voter) updateMembers() {
 	v.members.Store(&members{known: v.agreement.Addresses(v.settings.Clock()), voting: v.agreement.Voting()})
 }
 
-// Members returns the call addresses of all voters that this one knows, itself
-// included.
+// Members returns the RPC addresses of all known voters, including this one.
 func (v *Voter) Members() []string { return v.members.Load().known }
 
-// Voting returns the call addresses of the voters that have a vote, none while
-// this one holds no list of them.
+// Voting returns the RPC addresses of the voters that have a vote. It is empty while the
+// membership is unknown.
 func (v *Voter) Voting() []string { return v.members.Load().voting }
--- a/internal/control/voter/voter_test.go
+++ b/internal/control/voter/voter_test.go
@@ -21,19 +21,19 @@
 	"wasabideal/internal/model/configuration"
 )
 
-// guarded makes a folder safe for a voter and a test at once.
-type guarded struct {
+// lockedFolder serializes access to a folder that a voter and a test share.
+type lockedFolder struct {
 	mu sync.Mutex
 	*fault.Folder
 }
 
-func (g *guarded) Create(name string) (folder.File, error) {
+func (g *lockedFolder) Create(name string) (folder.File, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.Folder.Create(name)
 }
 
-func (g *guarded) full(full bool) {
+func (g *lockedFolder) full(full bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.FailAt = 0
@@ -42,15 +42,15 @@
 	}
 }
 
-// alone starts a voter that is its own majority.
-func alone(t *testing.T, disk *guarded) *voter.Voter {
+// startSingleVoter starts a cluster of one voter.
+func startSingleVoter(t *testing.T, disk *lockedFolder) *voter.Voter {
 	v, run := newVoter(t, disk, nil)
 	t.Cleanup(run())
 	return v
 }
 
-// newVoter returns a voter, and what runs it and returns what ends it.
-func newVoter(t *testing.T, disk *guarded, changed func(history.History)) (*voter.Voter, func() func()) {
+// newVoter returns a voter and a function that starts it; that function returns one that stops it.
+func newVoter(t *testing.T, disk *lockedFolder, changed func(history.History)) (*voter.Voter, func() func()) {
 	w, d, err := wal.Open(disk)
 	require.NoError(t, err)
 	trail, err := audit.Open(fault.New(9), hclog.NewNullLogger())
@@ -92,17 +92,15 @@
 	require.Eventually(t, f, 20*time.Second, 10*time.Millisecond)
 }
 
-// Symptom: after a disk had been full for some seconds its voter took part in
-// nothing until it was restarted.
-// Events: a write is refused; some seconds later the disk has room again.
-// Cause: a voter stayed read-only for ever after one refused write.
-func TestVoterReturnsWhenItsDiskWorksAgain(t *testing.T) {
-	disk := &guarded{Folder: fault.New(1)}
-	v := alone(t, disk)
+// Guards against a voter that stays read-only until a restart after one failed write. The disk
+// is full for some seconds and then has space again.
+func TestVoterRecoversWhenDiskHasSpaceAgain(t *testing.T) {
+	disk := &lockedFolder{Folder: fault.New(1)}
+	v := startSingleVoter(t, disk)
 	eventually(t, func() bool { return publish(v, 5) == nil })
 	disk.full(true)
 	require.Error(t, publish(v, 6))
-	require.Equal(t, uint64(5), v.Held().Revision, "what was not synced is not in force")
+	require.Equal(t, uint64(5), v.Held().Revision, "a change that was not synced is not applied")
 	disk.full(false)
 	eventually(t, func() bool { return publish(v, 7) == nil })
 	c, err := v.Read(t.Context())
@@ -111,14 +109,14 @@
 }
 
 func TestHighestRevisionWins(t *testing.T) {
-	v := alone(t, &guarded{Folder: fault.New(1)})
+	v := startSingleVoter(t, &lockedFolder{Folder: fault.New(1)})
 	eventually(t, func() bool { return publish(v, 5) == nil })
 	other := configuration.Configuration{Revision: 5, Services: []configuration.Service{{Name: "other", Protocol: configuration.TCP}}}
 	a, err := v.Publish(t.Context(), other, "other", "test")
 	require.NoError(t, err)
 	require.Equal(t, ledger.Superseded, a.Verdict)
-	require.Empty(t, v.Held().Services, "other content under the same revision changes nothing")
-	require.NoError(t, publish(v, 3), "an older one is acknowledged")
+	require.Empty(t, v.Held().Services, "other content with the same revision is ignored")
+	require.NoError(t, publish(v, 3), "an older revision is acknowledged")
 	require.Equal(t, uint64(5), v.Held().Revision)
 	a, err = v.Publish(t.Context(), configuration.Configuration{Revision: 9, Routes: []configuration.Route{{Name: "r"}}}, "bad", "test")
 	require.NoError(t, err)
@@ -127,37 +125,33 @@
 	require.Equal(t, uint64(5), v.Held().Revision)
 }
 
-// Symptom: after a loss of power everywhere no balancer had a configuration for
-// 0.8 s after the voters had started.
-// Events: a voter starts with a log of 60 changes of 600 routes.
-// Cause: it worked out for followers what each of the changes had changed.
-func TestReplayedLogIsToldOnce(t *testing.T) {
-	disk := &guarded{Folder: fault.New(1)}
-	var told []uint64
-	for try := 0; len(told) != 1 || told[0] != 3; try++ {
-		require.Less(t, try, 40, "told of %v", told)
+// Guards against a slow start after a power loss of all machines. A voter that started with a
+// log of 60 changes of 600 routes published a delta for each of them, and balancers had no
+// configuration for 0.8 s.
+func TestReplayPublishesOnlyFinalConfiguration(t *testing.T) {
+	disk := &lockedFolder{Folder: fault.New(1)}
+	var published []uint64
+	for try := 0; len(published) != 1 || published[0] != 3; try++ {
+		require.Less(t, try, 40, "published %v", published)
 		v, run := newVoter(t, disk, nil)
 		stop := run()
 		for revision := uint64(1); revision <= 3; revision++ {
 			eventually(t, func() bool { return publish(v, revision) == nil })
 		}
-		// The disk learns some ticks later that the last change was accepted.
+		// The commit index of the last change is written to disk some ticks later.
 		time.Sleep(300 * time.Millisecond)
 		stop()
-		told = nil
-		newVoter(t, disk, func(h history.History) { told = append(told, h.Current().Revision) })
+		published = nil
+		newVoter(t, disk, func(h history.History) { published = append(published, h.Current().Revision) })
 	}
 }
 
 func evacuated(v *voter.Voter) []string { return v.Evacuations().Names() }
 
-// Symptom: after a loss of power everywhere upstreams of a zone that operators had emptied
-// got flows again.
-// Events: a zone is evacuated; the voter restarts from its disk, with its log and later with
-// a snapshot.
-// Cause: none yet; orders for zones were not kept.
-func TestEvacuationSurvivesARestart(t *testing.T) {
-	disk := &guarded{Folder: fault.New(1)}
+// Guards against evacuated zones that get flows again after a power loss of all machines. The
+// voter restarts first from its log and later from a snapshot.
+func TestEvacuationSurvivesRestart(t *testing.T) {
+	disk := &lockedFolder{Folder: fault.New(1)}
 	v, run := newVoter(t, disk, nil)
 	stop := run()
 	order := func(v *voter.Voter, zone string, on bool) {
@@ -182,12 +176,11 @@
 	eventually(t, func() bool { return len(evacuated(v)) == 1 && evacuated(v)[0] == "b" })
 }
 
-// Symptom: a zone that operators had taken back was evacuated again.
-// Events: an order arrives at a voter that stands still; its caller gives up and goes on
-// elsewhere; the voter goes on.
-// Cause: the voter proposed what nobody waited for any more.
-func TestOrderWhoseCallerGaveUpIsNotProposed(t *testing.T) {
-	v := alone(t, &guarded{Folder: fault.New(1)})
+// Guards against an outdated evacuation order that overrides a newer one. The order reaches a
+// stalled voter, its caller times out and sends a contrary order to another voter, and the
+// first voter resumes.
+func TestAbandonedOrderIsNotProposed(t *testing.T) {
+	v := startSingleVoter(t, &lockedFolder{Folder: fault.New(1)})
 	eventually(t, func() bool { return publish(v, 1) == nil })
 	ctx, cancel := context.WithCancel(t.Context())
 	time.AfterFunc(5*time.Millisecond, cancel)
