--- a/internal/control/feed/silence.go
+++ b/internal/control/feed/silence.go
@@ -68,9 +68,9 @@
 	return word.Event{Incarnation: u.Incarnation, Born: u.Born, Zone: u.Zone, Answered: true}
 }
 
-// evaluate decides on the evidence and reports changes to balancers, without delay unless the
-// rate limit applies: requests on flows of an unresponsive upstream fail until then, for each
-// 100 ms more.
+// evaluate decides on the evidence and reports changes to balancers, at once unless the rate limit
+// applies. Each delay of 100 ms costs further requests that are sent on flows of an unresponsive
+// upstream.
 func (f *Feed) evaluate(now time.Time) {
 	before := f.doubtsVersion()
 	next := f.silence.Decide(now, f.activeBalancers(now), f.relayHops())
