--- a/internal/fanout/assignment/assignment.go
+++ b/internal/fanout/assignment/assignment.go
@@ -10,45 +10,45 @@
 )
 
 const (
-	// reach is how long a change of the list of balancers takes to reach all of them: four
-	// levels of a tree, each with a question that is held for 0.8 s at the most.
-	reach = 3200 * time.Millisecond
-	// spread is how long a list goes on to count after the next one came: a balancer has a
-	// thing only by all lists of that time. Twice reach, since one that leaves and joins
-	// again may hear of its joining first and never give its things up, and others hear of
-	// that as much later.
-	spread = 2 * reach
-	// startFor is how long a balancer that has just started has nothing. Voters that
-	// restarted hear of the fleet again with reports that come every 5 s, and a list of
-	// some balancers only would give each of them all there is.
-	startFor = 6 * time.Second
+	// maxPropagation is how long a change of the balancer list takes to reach all balancers:
+	// four levels of the tree, each with a poll that is held for at most 0.8 s.
+	maxPropagation = 3200 * time.Millisecond
+	// overlap is how long a list stays valid after its successor arrived: a balancer owns a
+	// key only if all valid lists assign it. It is twice maxPropagation, since a balancer that
+	// leaves and rejoins may learn of the rejoining first and keep its keys, and the others
+	// may learn of the rejoining another maxPropagation later.
+	overlap = 2 * maxPropagation
+	// startupGrace is how long a balancer owns no keys after its start. Restarted voters
+	// learn of the fleet by reports that arrive every 5 s; a list of only a few balancers
+	// would assign all keys to them.
+	startupGrace = 6 * time.Second
 )
 
-// list is the balancers that were known from a time on.
+// list holds the balancers known from a time on, as sorted hashes of their addresses.
 type list struct {
 	since   time.Time
 	members []uint64
 }
 
-// Assignment is what one balancer knows of who has what; one goroutine owns it.
+// Assignment is one balancer's view of the assignment. It must be used by one goroutine only.
 //
-// Each thing belongs to the balancer with the highest hash of both (rendezvous hashing):
-// where one balancer joins or leaves, only its own things change hands. Two balancers may
-// have the same thing for a while where their lists differ for longer than spread.
+// A key belongs to the balancer with the highest rendezvous weight, so that a balancer that
+// joins or leaves moves only its own keys. Two balancers may own the same key for a while if
+// their lists differ for longer than overlap.
 type Assignment struct {
 	self    uint64
 	started time.Time
 	lists   []list
-	// known are the addresses of the last list, as they were given.
+	// known holds the addresses last passed to Set.
 	known []string
 }
 
-// New returns the assignment of a balancer that starts now, known by an address.
+// New returns the assignment of a balancer that starts at now and is known by the address self.
 func New(now time.Time, self string) *Assignment {
 	return &Assignment{self: xxhash.Sum64String(self), started: now}
 }
 
-// Set takes the addresses of the balancers that are known now.
+// Set sets the addresses of the known balancers.
 func (a *Assignment) Set(now time.Time, addresses []string) {
 	if len(a.lists) > 0 && slices.Equal(a.known, addresses) {
 		return
@@ -63,33 +63,33 @@
 		return
 	}
 	a.lists = append(a.lists, list{since: now, members: members})
-	// A list counts until spread after the next one came.
-	for len(a.lists) > 1 && now.Sub(a.lists[1].since) >= spread {
+	// A list is valid until overlap after its successor arrived.
+	for len(a.lists) > 1 && now.Sub(a.lists[1].since) >= overlap {
 		a.lists = a.lists[1:]
 	}
 }
 
-// Has says that a thing belongs to this balancer, by all lists that others may go by.
-func (a *Assignment) Has(now time.Time, thing uint64) bool {
-	if now.Sub(a.started) < startFor || len(a.lists) == 0 {
+// Has reports whether this balancer owns a key under all lists that other balancers may still use.
+func (a *Assignment) Has(now time.Time, key uint64) bool {
+	if now.Sub(a.started) < startupGrace || len(a.lists) == 0 {
 		return false
 	}
 	for i, l := range a.lists {
-		if i+1 < len(a.lists) && now.Sub(a.lists[i+1].since) >= spread {
+		if i+1 < len(a.lists) && now.Sub(a.lists[i+1].since) >= overlap {
 			continue
 		}
-		if l.owner(thing) != a.self {
+		if l.owner(key) != a.self {
 			return false
 		}
 	}
 	return true
 }
 
-// owner returns the balancer that a thing belongs to, 0 where the list is empty.
-func (l list) owner(thing uint64) uint64 {
+// owner returns the balancer that a key belongs to, or 0 if the list is empty.
+func (l list) owner(key uint64) uint64 {
 	best, owner := uint64(0), uint64(0)
 	for _, m := range l.members {
-		if h := rendezvous.Weight(m, thing); owner == 0 || h > best {
+		if h := rendezvous.Weight(m, key); owner == 0 || h > best {
 			best, owner = h, m
 		}
 	}
--- a/internal/fanout/assignment/assignment_test.go
+++ b/internal/fanout/assignment/assignment_test.go
@@ -22,7 +22,7 @@
 	return out
 }
 
-func TestEachThingHasOneBalancer(t *testing.T) {
+func TestEachKeyHasOneOwner(t *testing.T) {
 	all := names(22)
 	var owners []*assignment.Assignment
 	for _, n := range all {
@@ -33,45 +33,43 @@
 	now := epoch.Add(time.Minute)
 	most := 0
 	for _, a := range owners {
-		has := 0
-		for thing := range uint64(2000) {
-			if a.Has(now, thing*0x9e3779b97f4a7c15) {
-				has++
+		count := 0
+		for key := range uint64(2000) {
+			if a.Has(now, key*0x9e3779b97f4a7c15) {
+				count++
 			}
 		}
-		most = max(most, has)
+		most = max(most, count)
 	}
-	require.Less(t, most, 2*2000/22, "they are spread evenly")
-	for thing := range uint64(200) {
-		with := 0
+	require.Less(t, most, 2*2000/22, "keys are distributed evenly")
+	for key := range uint64(200) {
+		ownerCount := 0
 		for _, a := range owners {
-			if a.Has(now, thing) {
-				with++
+			if a.Has(now, key) {
+				ownerCount++
 			}
 		}
-		require.Equal(t, 1, with)
+		require.Equal(t, 1, ownerCount)
 	}
 }
 
-// Symptom: balancers that all restarted sent the same cold upstream their callers' flows.
-// Events: each knows only itself, or some others, for the first seconds.
-// Cause: whoever is alone in its list has everything.
-func TestBalancerThatJustStartedHasNothing(t *testing.T) {
+// Guards against restarted balancers that all send flows to the same cold upstream. For the first
+// seconds each knows only itself or a few others, and a balancer alone in its list owns every key.
+func TestStartingBalancerOwnsNoKeys(t *testing.T) {
 	a := assignment.New(epoch, "me")
-	require.False(t, a.Has(epoch.Add(time.Hour), 7), "it knows nobody, not even itself")
+	require.False(t, a.Has(epoch.Add(time.Hour), 7), "the list is empty")
 	a.Set(epoch, []string{"me"})
 	require.False(t, a.Has(epoch.Add(5*time.Second), 7))
 	require.True(t, a.Has(epoch.Add(7*time.Second), 7))
 	a.Set(epoch.Add(8*time.Second), []string{"other"})
-	require.False(t, a.Has(epoch.Add(9*time.Second), 7), "at once where it is lost")
+	require.False(t, a.Has(epoch.Add(9*time.Second), 7), "a loss of the key takes effect at once")
 	a.Set(epoch.Add(10*time.Second), []string{"me"})
-	require.False(t, a.Has(epoch.Add(12*time.Second), 7), "others may go by the list before")
+	require.False(t, a.Has(epoch.Add(12*time.Second), 7), "others may still use the previous list")
 	require.True(t, a.Has(epoch.Add(17*time.Second), 7))
 }
 
-// Whatever changes and whenever balancers hear of it, as long as each hears of each change
-// within the bound, no thing has two of them.
-func TestNoThingHasTwoWhileChangesSpread(t *testing.T) {
+// For random changes that each balancer receives within maxPropagation, no key has two owners.
+func TestNoKeyHasTwoOwnersDuringPropagation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := names(8)
 		owners := map[string]*assignment.Assignment{}
@@ -79,13 +77,13 @@
 			owners[n] = assignment.New(epoch.Add(-time.Minute), n)
 			owners[n].Set(epoch.Add(-time.Minute), all)
 		}
-		type news struct {
+		type update struct {
 			at      time.Time
 			change  int
 			to      string
 			members []string
 		}
-		var pending []news
+		var pending []update
 		members := slices.Clone(all)
 		now := epoch
 		for change := range rapid.IntRange(1, 12).Draw(t, "changes") {
@@ -97,40 +95,39 @@
 				members = append(slices.Clone(members), who)
 			}
 			for _, n := range all {
-				late := time.Duration(rapid.IntRange(0, 3000).Draw(t, "late")) * time.Millisecond
-				pending = append(pending, news{at: now.Add(late), change: change, to: n, members: members})
+				delay := time.Duration(rapid.IntRange(0, 3000).Draw(t, "late")) * time.Millisecond
+				pending = append(pending, update{at: now.Add(delay), change: change, to: n, members: members})
 			}
 		}
-		slices.SortStableFunc(pending, func(a, b news) int { return a.at.Compare(b.at) })
-		heard := map[string]int{}
+		slices.SortStableFunc(pending, func(a, b update) int { return a.at.Compare(b.at) })
+		latest := map[string]int{}
 		for _, p := range pending {
-			// News of an earlier change that comes after a later one is not taken.
-			if p.change >= heard[p.to] {
-				heard[p.to] = p.change
+			// An earlier change that arrives after a later one is ignored.
+			if p.change >= latest[p.to] {
+				latest[p.to] = p.change
 				owners[p.to].Set(p.at, p.members)
 			}
-			for thing := range uint64(6) {
-				with := 0
+			for key := range uint64(6) {
+				ownerCount := 0
 				for _, a := range owners {
-					if a.Has(p.at, thing) {
-						with++
+					if a.Has(p.at, key) {
+						ownerCount++
 					}
 				}
-				require.LessOrEqual(t, with, 1)
+				require.LessOrEqual(t, ownerCount, 1)
 			}
 		}
 	})
 }
 
-// Symptom: a thing had two balancers for a millisecond.
-// Events: a balancer leaves the lists and joins again 2.2 s later; it hears of the joining
-// before it hears of the leaving, and another one hears of the joining after 1 s.
-// Cause: the other one counted on the list without it as soon as a change had had time to
-// spread, though a second change was under way.
-func TestBalancerThatMissedItsLeavingKeepsItsThings(t *testing.T) {
+// Guards against a key with two owners for a millisecond. A balancer leaves the list and rejoins
+// 2.2 s later; it learns of the rejoining before the leaving, and another balancer learns of the
+// rejoining 1 s later. That one relied on the list without the first balancer after one
+// propagation time, while the second change was still propagating.
+func TestBalancerThatMissedItsLeavingKeepsItsKeys(t *testing.T) {
 	all := names(8)
 	without := slices.Delete(slices.Clone(all), 6, 7)
-	for thing := range uint64(64) {
+	for key := range uint64(64) {
 		left := assignment.New(epoch.Add(-time.Minute), all[6])
 		left.Set(epoch.Add(-time.Minute), all)
 		var others []*assignment.Assignment
@@ -140,10 +137,10 @@
 			a.Set(epoch, without)
 			others = append(others, a)
 		}
-		// The last moment at which the others may not have heard of the joining.
+		// Up to the last moment at which the others may not know of the rejoining.
 		for now := time.Duration(0); now <= 5200*time.Millisecond; now += 100 * time.Millisecond {
 			for _, a := range others {
-				require.False(t, left.Has(epoch.Add(now), thing) && a.Has(epoch.Add(now), thing), "at %s", now)
+				require.False(t, left.Has(epoch.Add(now), key) && a.Has(epoch.Add(now), key), "at %s", now)
 			}
 		}
 	}
--- a/internal/fanout/assignment/doc.go
+++ b/internal/fanout/assignment/doc.go
@@ -1,3 +1,3 @@
-// Package assignment divides things among the balancers of an availability zone so that each
-// has one balancer, without a word between them.
+// Package assignment assigns each key to one balancer of an availability zone by rendezvous
+// hashing, without coordination between the balancers.
 package assignment
