--- a/internal/fanout/census/census.go
+++ b/internal/fanout/census/census.go
@@ -11,73 +11,72 @@
 	"wasabideal/internal/fanout/member"
 )
 
-// keepFor is how long a balancer counts that no list names any more: balancers tell
-// voters that restarted of their followers within some seconds.
-const keepFor = 30 * time.Second
+// retention is how long a balancer is kept after it disappeared from all lists. Balancers report
+// their followers to restarted voters within seconds.
+const retention = 30 * time.Second
 
-// List is the balancers that one source names, with the version by which it knows that
-// list.
+// List holds the balancers known to one source. Life and Version identify the source's state.
 type List struct {
 	Life, Version uint64
 	Members       []member.Member
 }
 
-// Census is the lists of all sources.
+// Census holds the lists of all sources and the balancers merged from them.
 type Census struct {
 	lists map[string]List
-	// missing are balancers that no list names, until when they count.
-	missing map[member.Member]time.Time
-	// expires is when the first of them counts no longer.
+	// retained maps balancers of replaced or dropped lists to the time until which they are kept.
+	retained map[member.Member]time.Time
+	// expires is the earliest of these times.
 	expires time.Time
-	drawn   []member.Member
+	merged  []member.Member
 	version uint64
 }
 
-// New returns a census without lists.
-func New() *Census { return &Census{lists: map[string]List{}, missing: map[member.Member]time.Time{}} }
+// New returns an empty census.
+func New() *Census { return &Census{lists: map[string]List{}, retained: map[member.Member]time.Time{}} }
 
-// Of returns the list that a source gave.
+// Of returns the list of a source.
 func (c *Census) Of(source string) List { return c.lists[source] }
 
-// Take notes a source's list.
+// Take replaces the list of a source.
 func (c *Census) Take(now time.Time, source string, l List) {
-	c.miss(now, source)
+	c.retain(now, source)
 	c.lists[source] = l
-	c.draw(now)
+	c.merge(now)
 }
 
-// Drop forgets a source.
+// Drop removes a source. Its balancers are kept for the retention.
 func (c *Census) Drop(now time.Time, source string) {
-	if _, gave := c.lists[source]; !gave {
+	if _, known := c.lists[source]; !known {
 		return
 	}
-	c.miss(now, source)
+	c.retain(now, source)
 	delete(c.lists, source)
-	c.draw(now)
+	c.merge(now)
 }
 
-func (c *Census) miss(now time.Time, source string) {
+func (c *Census) retain(now time.Time, source string) {
 	for _, m := range c.lists[source].Members {
-		c.missing[m] = now.Add(keepFor)
+		c.retained[m] = now.Add(retention)
 	}
 }
 
-// Tick lets balancers go that no list names any more, and reports whether any did.
+// Tick removes expired balancers and reports whether Members changed.
 func (c *Census) Tick(now time.Time) bool {
-	if len(c.missing) == 0 || now.Before(c.expires) {
+	if len(c.retained) == 0 || now.Before(c.expires) {
 		return false
 	}
 	before := c.version
-	c.draw(now)
+	c.merge(now)
 	return c.version != before
 }
 
-func (c *Census) draw(now time.Time) {
+func (c *Census) merge(now time.Time) {
 	byAddress := map[string]member.Member{}
-	c.expires = now.Add(keepFor)
-	for m, until := range c.missing {
+	c.expires = now.Add(retention)
+	for m, until := range c.retained {
 		if !now.Before(until) {
-			delete(c.missing, m)
+			delete(c.retained, m)
 			continue
 		}
 		byAddress[m.Address] = m
@@ -90,21 +89,21 @@
 			byAddress[m.Address] = m
 		}
 	}
-	drawn := slices.SortedFunc(maps.Values(byAddress), func(a, b member.Member) int {
+	merged := slices.SortedFunc(maps.Values(byAddress), func(a, b member.Member) int {
 		return cmp.Compare(a.Address, b.Address)
 	})
-	if !slices.Equal(drawn, c.drawn) {
-		c.drawn = drawn
+	if !slices.Equal(merged, c.merged) {
+		c.merged = merged
 		c.version++
 	}
 }
 
-// Members returns all balancers that count, in the order of their addresses.
-func (c *Census) Members() []member.Member { return c.drawn }
+// Members returns all listed or retained balancers in the order of their addresses.
+func (c *Census) Members() []member.Member { return c.merged }
 
-// Addresses returns their call addresses.
+// Addresses returns the RPC addresses of Members.
 func (c *Census) Addresses() []string {
-	return lo.Map(c.drawn, func(m member.Member, _ int) string { return m.Address })
+	return lo.Map(c.merged, func(m member.Member, _ int) string { return m.Address })
 }
 
 // Version rises with each change of Members.
--- a/internal/fanout/census/census_test.go
+++ b/internal/fanout/census/census_test.go
@@ -20,7 +20,7 @@
 	return l
 }
 
-func TestListsAreJoined(t *testing.T) {
+func TestListsAreMerged(t *testing.T) {
 	c := census.New()
 	c.Take(epoch, "v1", list(1, "b2", "b1"))
 	c.Take(epoch, "v2", list(1, "b3"))
@@ -28,13 +28,13 @@
 	require.Equal(t, uint64(1), c.Of("v1").Version)
 	version := c.Version()
 	c.Take(epoch, "v3", list(1, "b1"))
-	require.Equal(t, version, c.Version(), "nothing is new")
+	require.Equal(t, version, c.Version(), "the members are unchanged")
 }
 
-// Symptom: all balancers of a zone changed whom they followed, twice, within seconds.
-// Events: all voters restart, and know only the balancers that ask them at first.
-// Cause: whoever was missing from their lists was taken for gone.
-func TestShortListTakesNobodyAwayAtOnce(t *testing.T) {
+// Guards against balancers of a zone that all change their parents twice within seconds. All
+// voters restart and at first know only the balancers that poll them; balancers missing from
+// their lists were removed at once.
+func TestIncompleteListRemovesNoBalancerAtOnce(t *testing.T) {
 	c := census.New()
 	c.Take(epoch, "v1", list(1, "b1", "b2", "b3"))
 	version := c.Version()
@@ -46,13 +46,13 @@
 	require.Equal(t, []string{"b1"}, c.Addresses())
 }
 
-func TestSourceThatIsDroppedIsForgottenLater(t *testing.T) {
+func TestBalancersOfDroppedSourceExpire(t *testing.T) {
 	c := census.New()
 	c.Take(epoch, "v1", list(1, "b1"))
 	c.Drop(epoch, "v1")
 	c.Drop(epoch, "v2")
 	require.Equal(t, []string{"b1"}, c.Addresses())
-	require.Zero(t, c.Of("v1").Version, "its list is asked for anew")
+	require.Zero(t, c.Of("v1").Version, "the list is requested again")
 	require.True(t, c.Tick(epoch.Add(time.Minute)))
 	require.Empty(t, c.Members())
 }
--- a/internal/fanout/census/doc.go
+++ b/internal/fanout/census/doc.go
@@ -1,9 +1,9 @@
-// Package census joins the lists of a zone's balancers that a balancer is given by those
-// that it follows.
+// Package census merges the lists of a zone's balancers that a balancer receives from its
+// sources, the voters or balancers that it follows.
 //
-// A list may be short for a moment: a voter that has just started knows only who has
-// asked it. Whoever is missing from it stays for a while, or the zone would arrange itself
-// anew with each restart of the voters.
+// A list may be incomplete: a voter that has just started knows only the balancers that have
+// polled it. Balancers that disappear from all lists are therefore kept for a while; otherwise
+// each restart of the voters would rebuild the zone's tree.
 //
-// It has no I/O and no clock; one goroutine owns it.
+// The package has no I/O and no clock, and must be used by one goroutine only.
 package census
