--- a/internal/fanout/member/doc.go
+++ b/internal/fanout/member/doc.go
@@ -1,2 +1,2 @@
-// Package member holds what a balancer says of itself to those that it follows.
+// Package member describes a balancer to the voters and balancers that it follows.
 package member
--- a/internal/fanout/member/member.go
+++ b/internal/fanout/member/member.go
@@ -4,8 +4,8 @@
 type Member struct {
 	_    struct{} `cbor:",toarray"`
 	Zone string
-	// Address takes calls of other processes of the system.
+	// Address is the RPC address for other processes of the system.
 	Address string
-	// Announcements takes the announcements of upstreams.
+	// Announcements is the address for announcements of upstreams.
 	Announcements string
 }
