--- a/internal/fanout/members/doc.go
+++ b/internal/fanout/members/doc.go
@@ -1,9 +1,8 @@
-// Package members keeps which balancers were heard of lately, as soft state.
+// Package members keeps the balancers of the fleet as soft state that expires without refresh.
 //
-// A balancer that follows another one is heard of through it: each process tells those
-// that it follows of all who follow it, with the time since it heard of each. Nobody
-// counts balancers by connections, so that a voter knows a fleet of thousands by the few
-// that ask it.
+// Each process reports all its direct and indirect followers to those that it follows, with the
+// time since each last refresh. A voter thus knows a fleet of thousands although only a few
+// balancers poll it.
 //
-// It has no I/O and no clock; one goroutine owns it.
+// The package has no I/O and no clock, and must be used by one goroutine only.
 package members
--- a/internal/fanout/members/members.go
+++ b/internal/fanout/members/members.go
@@ -8,15 +8,15 @@
 	"wasabideal/internal/fanout/member"
 )
 
-// AttendEvery is the time between two reports of who follows a balancer. A report of 80
-// members is 3 kB; every five seconds that is 0.6 kB/s from a balancer at the top.
+// AttendEvery is the interval of a balancer's reports of its followers. A report of 80 members
+// is 3 kB; every five seconds that is 0.6 kB/s from a balancer at the top of the tree.
 const AttendEvery = 5 * time.Second
 
-// lease is how long a member counts that is not heard of again: one that is three levels
-// below is told of up to three reports late, and two reports may be lost.
+// lease is how long a member is kept without refresh. A refresh from three levels below arrives
+// up to three report intervals late, and two reports may be lost.
 const lease = 30 * time.Second
 
-// Attendance is a member with the time since it was heard of.
+// Attendance is a member with the time since its last refresh.
 type Attendance struct {
 	_      struct{} `cbor:",toarray"`
 	Member member.Member
@@ -25,48 +25,48 @@
 
 type entry struct {
 	member.Member
-	heard time.Time
+	refreshed time.Time
 }
 
-// Members are the balancers that were heard of lately.
+// Members holds the balancers whose lease has not expired.
 type Members struct {
 	byAddress map[string]entry
-	// versions rise with each change of a zone's members.
+	// versions holds a version per zone that rises with each change of its members.
 	versions map[string]uint64
 }
 
-// New returns no members.
+// New returns an empty set of members.
 func New() *Members { return &Members{byAddress: map[string]entry{}, versions: map[string]uint64{}} }
 
-// Hear notes that a member was heard of some time ago.
+// Hear records a refresh of a member that took place a.Age before now.
 func (m *Members) Hear(now time.Time, a Attendance) {
 	if a.Member.Address == "" || a.Age > lease {
 		return
 	}
-	heard := now.Add(-a.Age)
+	refreshed := now.Add(-a.Age)
 	old, known := m.byAddress[a.Member.Address]
-	if known && old.heard.After(heard) {
+	if known && old.refreshed.After(refreshed) {
 		return
 	}
-	m.byAddress[a.Member.Address] = entry{Member: a.Member, heard: heard}
+	m.byAddress[a.Member.Address] = entry{Member: a.Member, refreshed: refreshed}
 	if old.Member != a.Member {
-		m.changed(old.Zone, known)
-		m.changed(a.Member.Zone, true)
+		m.bump(old.Zone, known)
+		m.bump(a.Member.Zone, true)
 	}
 }
 
-func (m *Members) changed(zone string, is bool) {
-	if is {
+func (m *Members) bump(zone string, applies bool) {
+	if applies {
 		m.versions[zone]++
 	}
 }
 
-// Tick forgets members that were not heard of for the lease.
+// Tick removes members whose lease has expired.
 func (m *Members) Tick(now time.Time) {
 	for address, e := range m.byAddress {
-		if now.Sub(e.heard) > lease {
+		if now.Sub(e.refreshed) > lease {
 			delete(m.byAddress, address)
-			m.changed(e.Zone, true)
+			m.bump(e.Zone, true)
 		}
 	}
 }
@@ -89,11 +89,11 @@
 	return out
 }
 
-// Attendances returns all members with the time since each was heard of.
+// Attendances returns all members with the time since each last refresh.
 func (m *Members) Attendances(now time.Time) []Attendance {
 	var out []Attendance
 	for _, e := range m.byAddress {
-		out = append(out, Attendance{Member: e.Member, Age: now.Sub(e.heard)})
+		out = append(out, Attendance{Member: e.Member, Age: now.Sub(e.refreshed)})
 	}
 	slices.SortFunc(out, func(a, b Attendance) int { return cmp.Compare(a.Member.Address, b.Member.Address) })
 	return out
--- a/internal/fanout/members/members_test.go
+++ b/internal/fanout/members/members_test.go
@@ -16,7 +16,7 @@
 	return members.Attendance{Member: member.Member{Zone: zone, Address: address}, Age: age}
 }
 
-func TestMembersOfAZoneByAddress(t *testing.T) {
+func TestZoneSortsMembersByAddress(t *testing.T) {
 	m := members.New()
 	m.Hear(epoch, attendance("b2", "a", 0))
 	m.Hear(epoch, attendance("b1", "a", 0))
@@ -27,13 +27,13 @@
 	require.Equal(t, "b1", zone[0].Address)
 	require.Equal(t, uint64(2), m.Version("a"))
 	m.Hear(epoch.Add(time.Second), attendance("b2", "a", 0))
-	require.Equal(t, uint64(2), m.Version("a"), "that it is still there is no change")
+	require.Equal(t, uint64(2), m.Version("a"), "a refresh does not change the version")
 }
 
-// Symptom: balancers that had lost power stayed in the list for minutes.
-// Events: two balancers that follow each other's parents report each other's followers.
-// Cause: a report counted from when it came, not from when the member was heard.
-func TestAgesAreThoseOfTheMembersThemselves(t *testing.T) {
+// Guards against failed balancers that stay in the list for minutes. Two balancers that follow
+// each other's parents report each other's followers, and a report extended the lease from its
+// arrival instead of the member's own last refresh.
+func TestRelayedReportDoesNotExtendLease(t *testing.T) {
 	m := members.New()
 	for s := range 40 {
 		now := epoch.Add(time.Duration(s) * time.Second)
@@ -44,7 +44,7 @@
 	require.Equal(t, uint64(2), m.Version("a"))
 }
 
-func TestOlderReportDoesNotMakeAMemberOlder(t *testing.T) {
+func TestOlderReportIsIgnored(t *testing.T) {
 	m := members.New()
 	m.Hear(epoch, attendance("b1", "a", 0))
 	m.Hear(epoch, attendance("b1", "a", 20*time.Second))
