--- a/internal/fanout/origins/doc.go
+++ b/internal/fanout/origins/doc.go
@@ -1,9 +1,9 @@
-// Package origins keeps how far one balancer has heard each voter, directly or through
-// other balancers, and how long ago each was last in touch.
+// Package origins tracks which state of each voter a balancer has received, directly or relayed
+// by other balancers, and the age of the last contact with each voter.
 //
-// What is passed on keeps the voter's name, life and versions. So a balancer may change
-// whom it follows at any time and misses nothing, and knows the age of what it is told
-// however many balancers passed it on: one that is alive but stale is known by that age.
+// Relayed updates keep the voter's name, life and versions. A balancer can therefore change its
+// parent at any time without missing updates, and it knows the age of its data over any number of
+// relays, so that it detects a parent that is alive but stale.
 //
-// It has no I/O and no clock; one goroutine owns it.
+// The package has no I/O and no clock, and must be used by one goroutine only.
 package origins
--- a/internal/fanout/origins/origins.go
+++ b/internal/fanout/origins/origins.go
@@ -10,50 +10,51 @@
 	"wasabideal/internal/upstream/directory"
 )
 
-// Known is how far one balancer has heard a voter.
+// Known identifies the state of a voter that a balancer has received.
 type Known struct {
 	_     struct{} `cbor:",toarray"`
 	Voter string
-	// Life tells the voter's restarts apart; the versions rise within one.
+	// Life changes when the voter restarts; Version and Doubts rise within one life.
 	Life, Version, Doubts uint64
-	// Age is the time since the voter was in touch.
+	// Age is the time since the last contact with the voter.
 	Age time.Duration
 }
 
-// Origin is what one voter said, as it is passed on. Without a Life it says only how long
-// ago the voter was in touch: five such are a third of the bytes of an answer without news.
+// Origin is an update from one voter, as it is relayed. If Life is 0, only Voter and Age are set.
+// Even in that short form, updates from five voters are a third of the bytes of an answer without
+// changes.
 type Origin struct {
 	_ struct{} `cbor:",toarray"`
 	Known
 	// Zone is the voter's availability zone.
 	Zone string
-	// Notices are what it said of upstreams after the version asked for.
+	// Notices are the upstream changes after the version that was requested.
 	Notices []directory.Notice
-	// Subjects are all that it doubts, where Doubted says that the receiver does not know
-	// that: it keeps them until they change.
+	// Subjects lists all doubts of the voter. It is valid only if Doubted is set; otherwise the
+	// receiver keeps those that it has.
 	Subjects []word.Doubt
 	Doubted  bool
 }
 
-// ContactOnly returns what says only how long ago the voter was in touch.
+// ContactOnly returns a copy reduced to the voter's name and age.
 func (x Origin) ContactOnly() Origin { return Origin{Known: Known{Voter: x.Voter, Age: x.Age}} }
 
 type state struct {
 	life, version, doubts uint64
 	zone                  string
 	contact               time.Time
-	// subjects are what the voter doubted at a time.
-	subjects []word.Doubt
-	told     time.Time
+	// subjects are the voter's doubts as received at subjectsAt.
+	subjects   []word.Doubt
+	subjectsAt time.Time
 }
 
-// Origins is how far the voters were heard.
+// Origins holds the state received from each voter.
 type Origins struct{ byVoter map[string]state }
 
-// New returns an empty one.
+// New returns an empty Origins.
 func New() *Origins { return &Origins{byVoter: map[string]state{}} }
 
-// Of returns how far a voter was heard.
+// Of returns the state received from a voter.
 func (o *Origins) Of(now time.Time, voter string) Known {
 	s := o.byVoter[voter]
 	return s.known(now, voter)
@@ -63,7 +64,7 @@
 	return Known{Voter: voter, Life: s.life, Version: s.version, Doubts: s.doubts, Age: now.Sub(s.contact)}
 }
 
-// Known returns how far each voter was heard, in the order of their names.
+// Known returns the state received from each voter, in the order of their names.
 func (o *Origins) Known(now time.Time) []Known {
 	out := make([]Known, 0, len(o.byVoter))
 	for _, voter := range slices.Sorted(maps.Keys(o.byVoter)) {
@@ -72,13 +73,12 @@
 	return out
 }
 
-// Accepts says whether what a voter said may be taken over what was heard of it before.
-// The way through other balancers may be slower than another one: a life that is over, or
-// a version that is, must not come back.
+// Accepts reports whether an update is not older than the state held for its voter. Relay paths
+// differ in delay, so an update of an earlier life or version may arrive late.
 func (o *Origins) Accepts(now time.Time, x Origin) bool {
-	s, heard := o.byVoter[x.Voter]
+	s, held := o.byVoter[x.Voter]
 	switch {
-	case !heard:
+	case !held:
 		return x.Life != 0
 	case x.Life != s.life:
 		return now.Add(-x.Age).After(s.contact)
@@ -87,7 +87,7 @@
 	}
 }
 
-// Complete adds what is known of a voter to what says only when it was in touch.
+// Complete fills in the held life and versions of an update that carries only an age.
 func (o *Origins) Complete(x Origin) Origin {
 	if s := o.byVoter[x.Voter]; x.Life == 0 {
 		x.Life, x.Version, x.Doubts = s.life, s.version, s.doubts
@@ -95,27 +95,27 @@
 	return x
 }
 
-// Take notes what a voter said, if it is accepted, and reports whether it brought news.
+// Take applies an update if it is accepted, and reports whether it changed the life or a version.
 func (o *Origins) Take(now time.Time, x Origin) bool {
 	x = o.Complete(x)
 	if !o.Accepts(now, x) {
 		return false
 	}
 	s := o.byVoter[x.Voter]
-	news := s.life != x.Life || s.version != x.Version || s.doubts != x.Doubts
+	changed := s.life != x.Life || s.version != x.Version || s.doubts != x.Doubts
 	s.life, s.version, s.zone = x.Life, x.Version, cmp.Or(x.Zone, s.zone)
 	if x.Doubted {
-		s.subjects, s.told = x.Subjects, now
+		s.subjects, s.subjectsAt = x.Subjects, now
 	}
 	s.doubts = x.Doubts
 	if contact := now.Add(-x.Age); contact.After(s.contact) {
 		s.contact = contact
 	}
 	o.byVoter[x.Voter] = s
-	return news
+	return changed
 }
 
-// Fresh counts the voters that were in touch within a time.
+// Fresh returns the number of voters whose last contact is at most a duration ago.
 func (o *Origins) Fresh(now time.Time, within time.Duration) int {
 	fresh := 0
 	for _, s := range o.byVoter {
@@ -126,56 +126,56 @@
 	return fresh
 }
 
-// Zone returns the availability zone of a voter, empty where it is not known.
+// Zone returns the availability zone of a voter, or an empty string if it is not known.
 func (o *Origins) Zone(voter string) string { return o.byVoter[voter].zone }
 
-// Forget drops a voter that is none any more.
+// Forget removes a process that is no longer a voter.
 func (o *Origins) Forget(voter string) { delete(o.byVoter, voter) }
 
-// After returns what a balancer is to be told that has heard the voters so far, without
-// their notices, and whether any of it is news. Where that balancer has heard a voter
-// better than this one nothing is: it would ask again at once, and for ever.
+// After returns the updates, without notices, for a balancer that holds the given state, and
+// whether any of them is a change. State of a voter that is newer there than here is no change;
+// otherwise that balancer would poll again at once in an endless loop.
 func (o *Origins) After(now time.Time, known []Known) ([]Origin, bool) {
-	heard := make(map[string]Known, len(known))
+	held := make(map[string]Known, len(known))
 	for _, k := range known {
-		heard[k.Voter] = k
+		held[k.Voter] = k
 	}
-	news := false
+	changed := false
 	out := make([]Origin, 0, len(o.byVoter))
 	for _, voter := range slices.Sorted(maps.Keys(o.byVoter)) {
 		s := o.byVoter[voter]
-		k, told := heard[voter]
+		k, found := held[voter]
 		x := Origin{Known: s.known(now, voter), Zone: s.zone}
-		if s.ahead(x.Known, k, told) {
-			news = true
+		if s.ahead(x.Known, k, found) {
+			changed = true
 		} else {
 			x = x.ContactOnly()
 		}
-		x.Doubted = x.Life != 0 && (!told || k.Life != s.life || k.Doubts != s.doubts)
+		x.Doubted = x.Life != 0 && (!found || k.Life != s.life || k.Doubts != s.doubts)
 		if x.Doubted {
-			x.Subjects = aged(s.subjects, now.Sub(s.told))
+			x.Subjects = aged(s.subjects, now.Sub(s.subjectsAt))
 		}
 		out = append(out, x)
 	}
-	return out, news
+	return out, changed
 }
 
-// ahead says that another balancer has heard less of the voter than this one.
-func (s state) ahead(here, there Known, told bool) bool {
+// ahead reports whether this balancer holds newer state of the voter than another one.
+func (s state) ahead(local, remote Known, found bool) bool {
 	switch {
-	case !told:
+	case !found:
 		return true
-	case there.Life != s.life:
-		return here.Age < there.Age
+	case remote.Life != s.life:
+		return local.Age < remote.Age
 	default:
-		return s.version >= there.Version && s.doubts >= there.Doubts && (s.version > there.Version || s.doubts > there.Doubts)
+		return s.version >= remote.Version && s.doubts >= remote.Doubts && (s.version > remote.Version || s.doubts > remote.Doubts)
 	}
 }
 
-func aged(subjects []word.Doubt, by time.Duration) []word.Doubt {
+func aged(subjects []word.Doubt, elapsed time.Duration) []word.Doubt {
 	out := slices.Clone(subjects)
 	for i := range out {
-		out[i].Age += by
+		out[i].Age += elapsed
 	}
 	return out
 }
