--- a/internal/fanout/rendezvous/doc.go
+++ b/internal/fanout/rendezvous/doc.go
@@ -1,3 +1,3 @@
-// Package rendezvous says which of some nodes have a thing, by the highest hash of both: where
-// a node joins or leaves, only its own things change hands.
+// Package rendezvous implements rendezvous hashing (highest random weight): a node that joins or
+// leaves moves only its own keys.
 package rendezvous
--- a/internal/fanout/rendezvous/rendezvous.go
+++ b/internal/fanout/rendezvous/rendezvous.go
@@ -6,13 +6,13 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Nodes are the nodes that share things, by the hashes of their names.
+// Nodes is a set of nodes with the hashes of their names.
 type Nodes struct {
 	names  []string
 	hashes []uint64
 }
 
-// New returns nodes of these names.
+// New returns the nodes with the given names.
 func New(names []string) Nodes {
 	n := Nodes{names: names, hashes: make([]uint64, len(names))}
 	for i, x := range names {
@@ -21,19 +21,20 @@
 	return n
 }
 
-// First returns the names of the nodes that come first for a thing, so many at the most.
-func (n Nodes) First(thing uint64, most int) []string {
-	if len(n.names) <= most {
+// First returns the names of the limit nodes with the highest weights for a key, highest first, or
+// all names in their given order if there are no more than limit.
+func (n Nodes) First(key uint64, limit int) []string {
+	if len(n.names) <= limit {
 		return n.names
 	}
 	var best []int
 	for i := range n.names {
 		at := len(best)
-		for at > 0 && Weight(n.hashes[i], thing) > Weight(n.hashes[best[at-1]], thing) {
+		for at > 0 && Weight(n.hashes[i], key) > Weight(n.hashes[best[at-1]], key) {
 			at--
 		}
-		if at < most {
-			best = slices.Insert(best, at, i)[:min(len(best)+1, most)]
+		if at < limit {
+			best = slices.Insert(best, at, i)[:min(len(best)+1, limit)]
 		}
 	}
 	out := make([]string, len(best))
@@ -43,9 +44,9 @@
 	return out
 }
 
-// Weight is that of a thing at a node, by the node's hash (the finalizer of SplitMix64).
-func Weight(node, thing uint64) uint64 {
-	x := node ^ thing
+// Weight returns the weight of a key at a node with a hash, by the finalizer of SplitMix64.
+func Weight(node, key uint64) uint64 {
+	x := node ^ key
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
 	return x ^ x>>31
