--- a/internal/control/voter/voter.go
+++ b/internal/control/voter/voter.go
@@ -170,8 +170,8 @@
 	v.source.PublishRoster(v.ledger.Roster())
 }
 
-// current reports whether this voter has every committed change: it leads with a lease, or it
-// heard from a leader within the election timeout.
+// current reports whether this voter is considered up to date: it leads with a lease, or it heard
+// from a leader within the election timeout.
 func (v *Voter) current() bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
