--- a/internal/silence/accrual/accrual.go
+++ b/internal/silence/accrual/accrual.go
@@ -10,238 +10,239 @@
 )
 
 const (
-	// doubtFrom is the evidence from which balancers are asked for signs of life: two
-	// packets where one in a hundred is lost.
-	doubtFrom = 8
-	// upstreamFrom is the evidence from which an upstream counts as unresponsive: a
-	// chance of one in a million, three packets where one in a hundred is lost.
-	upstreamFrom = 13.5
-	// zoneFrom is the same for a whole zone, whose flows are many times as many: five
-	// packets.
-	zoneFrom = 20
-	// zoneDoubtFrom is the evidence from which a zone is in doubt.
-	zoneDoubtFrom = 16
-	// alarmStep is by how much each doubt that was answered raises the evidence that
-	// further ones need, as a share of it, and alarmMost the most. On links of 2 Mbit/s
-	// that uploads fill packets are repeated all the time; each doubt asks all balancers
-	// for signs of life, and their answers took room from the uploads: 0.4 % of the
-	// requests of 71 balancers were not served, 0.06 % without doubts. alarmMemory is how
-	// long an answered doubt counts.
-	alarmStep   = 0.5
-	alarmMost   = 6
-	alarmMemory = 5 * time.Second
-	// zoneUpstreams is how many upstreams of a zone must have left packets unanswered.
-	zoneUpstreams = 2
-	// objectionTime is how long balancers have for a sign of life, and each packet's
-	// repetition for its answer: several round trips to the farthest zone, the work of
-	// a usual request, and a slow VM's turn.
-	objectionTime = 60 * time.Millisecond
-	// passingTime is added for each balancer that passes on the doubt and its
-	// refutation: the doubts of several voters are gathered there, reports are sent each 20 ms, and
-	// both wait on one more narrow link. Without it, flows of upstreams that live were reset
-	// where links were full and two balancers were on the way
-	// (TestRefutationsThroughOtherBalancersComeInTime).
-	passingTime = 120 * time.Millisecond
-	// eventFor is how long a packet counts as evidence: as long as its caller waits.
-	eventFor = 1500 * time.Millisecond
-	// unresponsiveFor is how long a subject stays unresponsive without new evidence.
-	// Its announcements are overdue then if it is gone, and balancers try it again if
-	// not.
-	unresponsiveFor = 2500 * time.Millisecond
-	// doubtsMost bounds the subjects that balancers are told of at once, 25 bytes each.
-	// Zones come first, so that those of a whole zone are among them.
-	doubtsMost = 64
-	// eventsMost bounds the events kept of one subject; more add nothing.
-	eventsMost = 32
-	// implicatedMost bounds the upstreams that are remembered of one doubt.
-	implicatedMost = 4
+	// suspectThreshold is the evidence at which an upstream is suspected and balancers are
+	// asked for responses from it: two packets at a loss rate of one in a hundred.
+	suspectThreshold = 8
+	// unresponsiveThreshold is the evidence at which an upstream counts as unresponsive: a
+	// false positive rate of one in a million, three packets at a loss of one in a hundred.
+	unresponsiveThreshold = 13.5
+	// zoneUnresponsiveThreshold is the same for a whole zone, which has many more flows:
+	// five packets.
+	zoneUnresponsiveThreshold = 20
+	// zoneSuspectThreshold is the evidence at which a zone is suspected.
+	zoneSuspectThreshold = 16
+	// Each refuted suspicion raises the suspect thresholds by the share refutedStep, up to
+	// the factor maxRefutedFactor. Packets are retransmitted all the time while uploads fill links of
+	// 2 Mbit/s, and the responses that all balancers send for each suspicion compete with
+	// the uploads: 71 balancers left 0.4 % of the requests unserved, 0.06 % without suspicions.
+	refutedStep      = 0.5
+	maxRefutedFactor = 6
+	// refutedDecay is the time constant with which refuted suspicions stop counting.
+	refutedDecay = 5 * time.Second
+	// minZoneUpstreams is how many upstreams of a zone must have left packets unanswered.
+	minZoneUpstreams = 2
+	// refutationTimeout is how long balancers have to report a response, and each
+	// retransmitted packet has to be answered: several round trips to the farthest zone,
+	// the processing of a usual request, and the scheduling delay of a slow VM.
+	refutationTimeout = 60 * time.Millisecond
+	// refutationTimeoutPerHop is added for each balancer that relays the suspicion and its
+	// refutation. A relay collects the suspicions of several voters, sends reports every
+	// 20 ms, and adds another narrow link. Without it, flows of live upstreams were reset
+	// where links were full and two balancers relayed.
+	refutationTimeoutPerHop = 120 * time.Millisecond
+	// evidenceTTL is how long a packet counts as evidence: as long as its caller waits.
+	evidenceTTL = 1500 * time.Millisecond
+	// unresponsiveTTL is how long a subject stays unresponsive without new evidence. By then
+	// its announcements are overdue if it is down; otherwise balancers try it again.
+	unresponsiveTTL = 2500 * time.Millisecond
+	// maxDoubts bounds the subjects reported to balancers at once, at 25 bytes each. Zones
+	// come first, so that a failed zone is reported even if many of its upstreams are.
+	maxDoubts = 64
+	// maxMissed bounds the unanswered packets kept for a subject; more do not change the result.
+	maxMissed = 32
+	// maxImplicated bounds the upstreams that are kept for a suspicion.
+	maxImplicated = 4
 )
 
-type evidence struct {
-	from string
-	// upstream is the one that the packet went to.
+// missedPacket is an unanswered packet that a balancer or voter reported.
+type missedPacket struct {
+	reporter string
+	// upstream is the destination of the packet.
 	upstream word.Subject
-	// sent is when the packet was first sent, told when its repetition was reported.
-	sent, told time.Time
-	weight     float64
+	// sent is when the packet was first sent, reported when its retransmission was reported.
+	sent, reported time.Time
+	weight         float64
 }
 
+// record holds the evidence on one subject.
 type record struct {
-	events []evidence
-	// alive is the last sign of life that was told.
-	alive time.Time
-	// doubted and unresponsive are since when it is so, zero where it is not.
-	doubted, unresponsive time.Time
-	// first is when the first of the packets was sent that the doubt rests on.
-	first time.Time
-	// implicated are the upstreams that left those packets unanswered, a few of them.
+	missed []missedPacket
+	// lastResponse is the time of the latest reported response.
+	lastResponse time.Time
+	// suspectedAt and unresponsiveAt are when these states began, zero outside of them.
+	suspectedAt, unresponsiveAt time.Time
+	// firstSent is when the earliest packet behind the suspicion was sent.
+	firstSent time.Time
+	// implicated are up to maxImplicated upstreams that left those packets unanswered.
 	implicated []word.Subject
 }
 
-// Accrual is the evidence that one voter was told of.
+// Accrual accumulates the evidence that was reported to one voter.
 type Accrual struct {
 	records map[word.Subject]*record
 	version uint64
-	// alarms counts the doubts that were answered lately, as of decayed.
-	alarms  float64
-	decayed time.Time
+	// refuted is the decayed count of refuted suspicions as of decayedAt.
+	refuted   float64
+	decayedAt time.Time
 }
 
 // New returns an accrual without evidence.
 func New() *Accrual { return &Accrual{records: map[word.Subject]*record{}} }
 
-// Version rises whenever Doubts changes.
+// Version increases whenever the result of Doubts changes.
 func (a *Accrual) Version() uint64 { return a.version }
 
-// subjects are what an event tells of: the upstream, and its zone as a whole.
+// subjects returns the subjects that an event concerns: the upstream and its whole zone.
 func subjects(e word.Event) [2]word.Subject {
 	return [2]word.Subject{{Incarnation: e.Incarnation, Born: e.Born}, {Zone: e.Zone}}
 }
 
-// Note takes an event of a balancer or voter.
-func (a *Accrual) Note(now time.Time, from string, e word.Event) {
+// Note records an event that a balancer or voter reported.
+func (a *Accrual) Note(now time.Time, reporter string, e word.Event) {
 	at := now.Add(-e.Age)
 	for _, s := range subjects(e) {
 		switch {
 		case s == word.Subject{}:
 		case e.Answered:
-			a.answered(s, at)
+			a.recordResponse(s, at)
 		default:
-			a.unanswered(now, s, evidence{from: from, upstream: word.Subject{Incarnation: e.Incarnation, Born: e.Born}, sent: at, told: now, weight: e.Weight})
+			a.recordMissed(now, s, missedPacket{reporter: reporter, upstream: word.Subject{Incarnation: e.Incarnation, Born: e.Born}, sent: at, reported: now, weight: e.Weight})
 		}
 	}
 }
 
-// Questioned says that a sign of life of the upstream would end a doubt.
+// Questioned reports whether a response of the upstream would refute a suspicion.
 func (a *Accrual) Questioned(e word.Event) bool {
 	for _, s := range subjects(e) {
-		if r := a.records[s]; r != nil && !r.doubted.IsZero() {
+		if r := a.records[s]; r != nil && !r.suspectedAt.IsZero() {
 			return true
 		}
 	}
 	return false
 }
 
-func (a *Accrual) unanswered(now time.Time, s word.Subject, e evidence) {
+func (a *Accrual) recordMissed(now time.Time, s word.Subject, e missedPacket) {
 	r := a.records[s]
 	if r == nil {
 		r = &record{}
 		a.records[s] = r
 	}
-	if len(r.events) >= eventsMost || !e.sent.After(r.alive) || now.Sub(e.sent) > eventFor {
+	if len(r.missed) >= maxMissed || !e.sent.After(r.lastResponse) || now.Sub(e.sent) > evidenceTTL {
 		return
 	}
-	r.events = append(r.events, e)
+	r.missed = append(r.missed, e)
 }
 
-func (a *Accrual) answered(s word.Subject, at time.Time) {
+func (a *Accrual) recordResponse(s word.Subject, at time.Time) {
 	r := a.records[s]
 	if r == nil {
 		return
 	}
-	if at.After(r.alive) {
-		r.alive = at
+	if at.After(r.lastResponse) {
+		r.lastResponse = at
 	}
-	r.events = slices.DeleteFunc(r.events, func(e evidence) bool { return !e.sent.After(at) })
-	if !r.doubted.IsZero() && !at.Before(r.first) {
-		r.doubted, r.unresponsive, r.first = time.Time{}, time.Time{}, time.Time{}
+	r.missed = slices.DeleteFunc(r.missed, func(e missedPacket) bool { return !e.sent.After(at) })
+	if !r.suspectedAt.IsZero() && !at.Before(r.firstSent) {
+		r.suspectedAt, r.unresponsiveAt, r.firstSent = time.Time{}, time.Time{}, time.Time{}
 		a.version++
-		a.alarms++
+		a.refuted++
 	}
 }
 
-// Decide weighs the evidence; balancers is how many ask this voter for news, passing how
-// many pass it on to those that are told last. It returns when it must be called again
-// without further evidence, zero where it need not.
-func (a *Accrual) Decide(now time.Time, balancers, passing int) time.Time {
-	var next time.Time
-	objection := objectionTime + time.Duration(passing)*passingTime
-	a.alarms *= math.Exp(-now.Sub(a.decayed).Seconds() / alarmMemory.Seconds())
-	a.decayed = now
+// Decide evaluates the evidence. balancers is how many balancers poll this voter, relays
+// the longest chain of balancers that relay its answers. It returns when it must be called
+// again even without further evidence, or zero.
+func (a *Accrual) Decide(now time.Time, balancers, relays int) time.Time {
+	var nextTimeout time.Time
+	timeout := refutationTimeout + time.Duration(relays)*refutationTimeoutPerHop
+	a.refuted *= math.Exp(-now.Sub(a.decayedAt).Seconds() / refutedDecay.Seconds())
+	a.decayedAt = now
 	for s, r := range a.records {
-		r.events = slices.DeleteFunc(r.events, func(e evidence) bool { return now.Sub(e.sent) > eventFor })
-		if a.over(now, r) {
+		r.missed = slices.DeleteFunc(r.missed, func(e missedPacket) bool { return now.Sub(e.sent) > evidenceTTL })
+		if a.expire(now, r) {
 			delete(a.records, s)
 			continue
 		}
-		a.decide(now, s, r, balancers, objection)
-		if end := r.next(now, objection); !end.IsZero() && (next.IsZero() || end.Before(next)) {
-			next = end
+		a.evaluate(now, s, r, balancers, timeout)
+		if end := r.nextTimeout(now, timeout); !end.IsZero() && (nextTimeout.IsZero() || end.Before(nextTimeout)) {
+			nextTimeout = end
 		}
 	}
-	return next
+	return nextTimeout
 }
 
-// next is when time alone may make a subject in doubt unresponsive, zero where it cannot.
-func (r *record) next(now time.Time, objection time.Duration) time.Time {
-	if r.doubted.IsZero() || !r.unresponsive.IsZero() {
+// nextTimeout returns when a suspected subject may become unresponsive without further
+// evidence, or zero.
+func (r *record) nextTimeout(now time.Time, timeout time.Duration) time.Time {
+	if r.suspectedAt.IsZero() || !r.unresponsiveAt.IsZero() {
 		return time.Time{}
 	}
-	for _, e := range r.events {
-		if end := e.told.Add(objection); end.After(now) {
+	for _, e := range r.missed {
+		if end := e.reported.Add(timeout); end.After(now) {
 			return end
 		}
 	}
 	return time.Time{}
 }
 
-// over ends what time alone ends, and says whether nothing is left of the record.
-func (a *Accrual) over(now time.Time, r *record) bool {
-	if len(r.events) > 0 || !r.unresponsive.IsZero() && now.Sub(r.unresponsive) < unresponsiveFor {
+// expire reports whether all state of the record has expired, so that it can be deleted.
+func (a *Accrual) expire(now time.Time, r *record) bool {
+	if len(r.missed) > 0 || !r.unresponsiveAt.IsZero() && now.Sub(r.unresponsiveAt) < unresponsiveTTL {
 		return false
 	}
-	if now.Sub(r.alive) < eventFor {
-		// Packets of before the sign of life may still be reported.
+	if now.Sub(r.lastResponse) < evidenceTTL {
+		// Packets that were sent before the response may still be reported.
 		return false
 	}
-	if !r.doubted.IsZero() {
+	if !r.suspectedAt.IsZero() {
 		a.version++
 	}
 	return true
 }
 
-func (a *Accrual) decide(now time.Time, s word.Subject, r *record, balancers int, objection time.Duration) {
-	weight, waited := 0.0, 0.0
-	for _, e := range r.events {
+func (a *Accrual) evaluate(now time.Time, s word.Subject, r *record, balancers int, timeout time.Duration) {
+	weight, overdue := 0.0, 0.0
+	for _, e := range r.missed {
 		weight += e.weight
-		if now.Sub(e.told) >= objection {
-			waited += e.weight
+		if now.Sub(e.reported) >= timeout {
+			overdue += e.weight
 		}
 	}
-	doubtful, enough := a.needed(s)
-	if r.doubted.IsZero() && weight >= doubtful {
-		r.doubted = now
-		r.first = slices.MinFunc(r.events, func(x, y evidence) int { return x.sent.Compare(y.sent) }).sent
+	suspect, unresponsive := a.thresholds(s)
+	if r.suspectedAt.IsZero() && weight >= suspect {
+		r.suspectedAt = now
+		r.firstSent = slices.MinFunc(r.missed, func(x, y missedPacket) int { return x.sent.Compare(y.sent) }).sent
 		r.implicated = nil
 		a.version++
 	}
-	r.implicate()
-	if r.doubted.IsZero() || !r.unresponsive.IsZero() || waited < enough || now.Sub(r.doubted) < objection {
+	r.recordImplicated()
+	if r.suspectedAt.IsZero() || !r.unresponsiveAt.IsZero() || overdue < unresponsive || now.Sub(r.suspectedAt) < timeout {
 		return
 	}
-	if r.witnesses(func(e evidence) any { return e.from }) < min(2, balancers) {
+	if r.countDistinct(func(e missedPacket) any { return e.reporter }) < min(2, balancers) {
 		return
 	}
-	if s.Zone != "" && r.witnesses(func(e evidence) any { return e.upstream }) < zoneUpstreams {
+	if s.Zone != "" && r.countDistinct(func(e missedPacket) any { return e.upstream }) < minZoneUpstreams {
 		return
 	}
-	r.unresponsive = now
+	r.unresponsiveAt = now
 	a.version++
 }
 
-// implicate remembers whose packets a doubt rests on, longer than the packets.
-func (r *record) implicate() {
-	if r.doubted.IsZero() {
+// recordImplicated keeps the upstreams behind a suspicion, longer than their packets.
+func (r *record) recordImplicated() {
+	if r.suspectedAt.IsZero() {
 		return
 	}
-	for _, e := range r.events {
-		if len(r.implicated) < implicatedMost && !slices.Contains(r.implicated, e.upstream) {
+	for _, e := range r.missed {
+		if len(r.implicated) < maxImplicated && !slices.Contains(r.implicated, e.upstream) {
 			r.implicated = append(r.implicated, e.upstream)
 		}
 	}
 }
 
-// Implicated returns the upstreams, a few of them, on whose packets a doubt rests.
+// Implicated returns up to maxImplicated upstreams whose unanswered packets caused the
+// suspicion of a subject.
 func (a *Accrual) Implicated(s word.Subject) []word.Subject {
 	if r := a.records[s]; r != nil {
 		return r.implicated
@@ -249,35 +250,35 @@
 	return nil
 }
 
-// needed returns the evidence for a doubt, and for being unresponsive.
-func (a *Accrual) needed(s word.Subject) (doubtful, enough float64) {
-	doubtful, enough = doubtFrom, upstreamFrom
+// thresholds returns the evidence at which a subject is suspected and unresponsive.
+func (a *Accrual) thresholds(s word.Subject) (suspect, unresponsive float64) {
+	suspect, unresponsive = suspectThreshold, unresponsiveThreshold
 	if s.Zone != "" {
-		doubtful, enough = zoneDoubtFrom, zoneFrom
+		suspect, unresponsive = zoneSuspectThreshold, zoneUnresponsiveThreshold
 	}
-	doubtful *= min(1+alarmStep*a.alarms, alarmMost)
-	return doubtful, max(doubtful, enough)
+	suspect *= min(1+refutedStep*a.refuted, maxRefutedFactor)
+	return suspect, max(suspect, unresponsive)
 }
 
-// witnesses counts the different values of a key among the events.
-func (r *record) witnesses(key func(evidence) any) int {
+// countDistinct counts the distinct values of a key among the unanswered packets.
+func (r *record) countDistinct(key func(missedPacket) any) int {
 	seen := map[any]bool{}
-	for _, e := range r.events {
+	for _, e := range r.missed {
 		seen[key(e)] = true
 	}
 	return len(seen)
 }
 
-// Doubts returns the subjects in doubt, zones first.
+// Doubts returns up to maxDoubts suspected subjects, zones first.
 func (a *Accrual) Doubts(now time.Time) []word.Doubt {
 	var out []word.Doubt
 	for s, r := range a.records {
-		if !r.doubted.IsZero() {
-			out = append(out, word.Doubt{Subject: s, Age: now.Sub(r.first), Unresponsive: !r.unresponsive.IsZero()})
+		if !r.suspectedAt.IsZero() {
+			out = append(out, word.Doubt{Subject: s, Age: now.Sub(r.firstSent), Unresponsive: !r.unresponsiveAt.IsZero()})
 		}
 	}
 	slices.SortFunc(out, func(x, y word.Doubt) int {
 		return cmp.Or(cmp.Compare(y.Zone, x.Zone), cmp.Compare(x.Incarnation, y.Incarnation), cmp.Compare(x.Born, y.Born))
 	})
-	return out[:min(len(out), doubtsMost)]
+	return out[:min(len(out), maxDoubts)]
 }
--- a/internal/silence/accrual/accrual_test.go
+++ b/internal/silence/accrual/accrual_test.go
@@ -15,7 +15,7 @@
 
 func at(milliseconds int) time.Time { return epoch.Add(time.Duration(milliseconds) * time.Millisecond) }
 
-// usual is the weight of a packet where one in a hundred is lost.
+// usual is the weight of an unanswered packet at a loss rate of one in a hundred.
 const usual = 4.6
 
 func unanswered(incarnation uint64, weight float64) word.Event {
@@ -26,7 +26,8 @@
 	return word.Event{Incarnation: incarnation, Zone: "a", Age: age, Answered: true}
 }
 
-// doubts names what is in doubt: u for upstreams, z for zones, capital where unresponsive.
+// doubts encodes the suspected subjects: u is an upstream, z a zone, and upper case means
+// unresponsive.
 func doubts(a *accrual.Accrual, now time.Time) string {
 	out := ""
 	for _, d := range a.Doubts(now) {
@@ -42,36 +43,33 @@
 	return out
 }
 
-// Symptom: requests on open flows waited for upstreams without power until their
-// deadlines; each balancer found out after a second or more.
-// Events: an upstream loses power; three balancers see a packet unanswered each.
-// Cause: each of them knew of one, which is no proof.
-func TestSilenceSeenBySeveralBalancersCounts(t *testing.T) {
+// Guards against requests that wait until their deadlines for an upstream that lost power:
+// one unanswered packet per balancer is too little evidence unless reports are combined.
+func TestTimeoutsOfSeveralBalancersAreCombined(t *testing.T) {
 	a := accrual.New()
 	a.Note(at(0), "b1", unanswered(1, usual))
 	require.Zero(t, a.Decide(at(0), 7, 0))
 	require.Empty(t, doubts(a, at(0)))
 	a.Note(at(10), "b2", unanswered(1, usual))
 	require.Equal(t, at(60), a.Decide(at(10), 7, 0))
-	require.Contains(t, doubts(a, at(10)), "u", "balancers are asked for signs of life")
+	require.Contains(t, doubts(a, at(10)), "u", "balancers are asked for responses of the upstream")
 	a.Note(at(20), "b3", unanswered(1, usual))
 	a.Decide(at(20), 7, 0)
-	require.NotContains(t, doubts(a, at(20)), "U", "they have some time for it")
+	require.NotContains(t, doubts(a, at(20)), "U", "the refutation timeout of the balancers has not passed")
 	require.Equal(t, at(80), a.Decide(at(70), 7, 0))
-	require.NotContains(t, doubts(a, at(70)), "U", "and the last packet's repetition for its answer")
+	require.NotContains(t, doubts(a, at(70)), "U", "the refutation timeout of the last packet has not passed")
 	a.Decide(at(80), 7, 0)
 	require.Contains(t, doubts(a, at(80)), "U")
 	require.Equal(t, 280*time.Millisecond, a.Doubts(at(80))[len(a.Doubts(at(80)))-1].Age)
 	a.Decide(at(2000), 7, 0)
 	require.Contains(t, doubts(a, at(2000)), "U")
 	a.Decide(at(2700), 7, 0)
-	require.Empty(t, doubts(a, at(2700)), "without new evidence it is tried again")
+	require.Empty(t, doubts(a, at(2700)), "expires without new evidence")
 }
 
-// Symptom: flows of upstreams that served were reset.
-// Events: one balancer's link loses what it sends; every upstream seems silent to it.
-// Cause: one balancer's word was enough.
-func TestOneBalancerAloneProvesNothing(t *testing.T) {
+// Guards against resets of flows to live upstreams: a balancer whose link drops what it sends
+// gets no answer from any upstream.
+func TestOneBalancerAloneIsNotEnough(t *testing.T) {
 	a := accrual.New()
 	for i := range 20 {
 		a.Note(at(i), "b1", unanswered(uint64(i%4), usual))
@@ -81,10 +79,10 @@
 	require.NotContains(t, doubts(a, at(200)), "U")
 	require.NotContains(t, doubts(a, at(200)), "Z")
 	a.Decide(at(201), 1, 0)
-	require.Contains(t, doubts(a, at(201)), "U", "it counts where no other balancer listens here")
+	require.Contains(t, doubts(a, at(201)), "U", "it is enough if no other balancer polls this voter")
 }
 
-func TestSignOfLifeEndsTheEvidenceOfBefore(t *testing.T) {
+func TestResponseDiscardsEarlierEvidence(t *testing.T) {
 	a := accrual.New()
 	for i, from := range []string{"b1", "b2", "b3", "b4"} {
 		a.Note(at(i), from, unanswered(1, usual))
@@ -92,19 +90,18 @@
 	a.Decide(at(5), 7, 0)
 	require.True(t, a.Questioned(answered(1, 0)))
 	a.Note(at(10), "b5", answered(1, 400*time.Millisecond))
-	require.Contains(t, doubts(a, at(10)), "u", "it came before the first of the packets was sent")
+	require.Contains(t, doubts(a, at(10)), "u", "the response precedes the first unanswered packet")
 	a.Note(at(20), "b5", answered(1, 0))
 	require.Empty(t, doubts(a, at(20)))
 	require.False(t, a.Questioned(answered(1, 0)))
 	a.Note(at(30), "b1", unanswered(1, usual))
 	a.Note(at(30), "b2", unanswered(1, usual))
 	a.Decide(at(100), 7, 0)
-	require.Empty(t, doubts(a, at(100)), "packets of before the sign of life say nothing")
+	require.Empty(t, doubts(a, at(100)), "packets sent before the response are ignored")
 }
 
-// Symptom: flows were reset on links that lose packets.
-// Events: one packet in three is lost; some upstream's three last ones were.
-// Cause: three packets counted alike on good links and on bad ones.
+// Guards against resets of flows on lossy links: at a loss rate of one in three, three
+// unanswered packets in a row are common.
 func TestLossyLinksNeedMoreEvidence(t *testing.T) {
 	a := accrual.New()
 	for i, from := range []string{"b1", "b2", "b3", "b4", "b5", "b6"} {
@@ -115,10 +112,9 @@
 	require.Empty(t, doubts(a, at(100)))
 }
 
-// Symptom: requests on flows into a zone that was cut off waited until their deadlines.
-// Events: the zone is cut off; each of its upstreams has few flows from elsewhere.
-// Cause: no upstream gave enough evidence by itself.
-func TestZoneIsSilentAsAWhole(t *testing.T) {
+// Guards against requests that wait until their deadlines for a partitioned zone: each of its
+// upstreams has too few flows from other zones to be suspected alone.
+func TestEvidenceOfAZoneIsCombined(t *testing.T) {
 	a := accrual.New()
 	for i := range 5 {
 		a.Note(at(i), []string{"b1", "b2"}[i%2], unanswered(uint64(i), usual))
@@ -127,14 +123,12 @@
 	a.Decide(at(100), 7, 0)
 	require.Equal(t, "Z", doubts(a, at(100)))
 	a.Note(at(110), "b3", answered(9, 0))
-	require.Empty(t, doubts(a, at(110)), "one of its upstreams lives")
+	require.Empty(t, doubts(a, at(110)), "one of its upstreams responds")
 }
 
-// Symptom: flows into a zone that served were reset by a balancer that had stood still.
-// Events: a sign of life ends a doubt; packets that were sent before it are reported
-// late, by balancers that stood still.
-// Cause: the sign of life was forgotten with the evidence that it ended.
-func TestPacketsOfBeforeTheSignOfLifeSayNothing(t *testing.T) {
+// Guards against resets of flows to a live zone: balancers that were stalled report packets
+// after a later response has already refuted the suspicion. The response must be kept.
+func TestPacketsSentBeforeAResponseAreIgnored(t *testing.T) {
 	a := accrual.New()
 	a.Note(at(0), "b1", unanswered(1, 2*usual))
 	a.Decide(at(0), 7, 0)
@@ -149,7 +143,7 @@
 	require.Empty(t, doubts(a, at(410)))
 }
 
-func TestUpstreamsLaterLifeIsInNoDoubt(t *testing.T) {
+func TestRestartedUpstreamIsNotSuspected(t *testing.T) {
 	a := accrual.New()
 	for i, from := range []string{"b1", "b2", "b3"} {
 		e := unanswered(1, usual)
@@ -164,8 +158,8 @@
 	}
 }
 
-// TestUpstreamThatAnswersIsNeverUnresponsive plays random words of balancers, of which
-// one at least sees a sign of life at least every objection time.
+// TestUpstreamThatAnswersIsNeverUnresponsive applies random reports of balancers, one of which
+// receives a response at least once per refutation timeout.
 func TestUpstreamThatAnswersIsNeverUnresponsive(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a := accrual.New()
@@ -195,15 +189,13 @@
 	a.Decide(at(0), 7, 0)
 	all := a.Doubts(at(0))
 	require.Len(t, all, 64)
-	require.Equal(t, "a", all[0].Zone, "one word for all of them")
+	require.Equal(t, "a", all[0].Zone, "the zone is reported first")
 }
 
-// Symptom: one request in 250 was refused on links of 2 Mbit/s, one in 1,600 before
-// balancers told each other of silence.
-// Events: uploads fill the links; packets are repeated all the time; each doubt is
-// answered by all balancers at once.
-// Cause: the question was asked as easily after a hundred answers as after none.
-func TestAnsweredDoubtsMakeFurtherOnesRarer(t *testing.T) {
+// Guards against refutations that fill narrow links: uploads on links of 2 Mbit/s cause
+// retransmissions all the time, and all balancers respond to each suspicion. One request in
+// 250 was rejected, and one in 1,600 without suspicions.
+func TestRefutedSuspicionsRaiseTheThreshold(t *testing.T) {
 	a := accrual.New()
 	raised := 0
 	for n := range 200 {
@@ -215,12 +207,12 @@
 			a.Note(now, "b2", word.Event{Incarnation: d.Incarnation, Zone: d.Zone, Answered: true})
 		}
 	}
-	require.Less(t, raised, 25, "69 where answers count for nothing")
+	require.Less(t, raised, 25, "69 if refutations do not raise the threshold")
 	now := at(30_000)
 	for i, from := range []string{"b1", "b2", "b3"} {
 		a.Note(now.Add(time.Duration(i)*time.Millisecond), from, unanswered(1, usual))
 	}
 	a.Decide(now.Add(5*time.Millisecond), 7, 0)
 	a.Decide(now.Add(100*time.Millisecond), 7, 0)
-	require.Contains(t, doubts(a, now.Add(100*time.Millisecond)), "U", "quick again after half a minute")
+	require.Contains(t, doubts(a, now.Add(100*time.Millisecond)), "U", "the threshold is back to normal after half a minute")
 }
--- a/internal/silence/accrual/doc.go
+++ b/internal/silence/accrual/doc.go
@@ -1,17 +1,16 @@
-// Package accrual decides from the evidence of many balancers which upstreams have
-// fallen silent.
+// Package accrual implements an accrual failure detector: a voter combines the packet
+// timeouts that many balancers report and decides which upstreams are unresponsive.
 //
-// The load pattern it answers: some upstreams of a pool lose power at once. Each of N
-// balancers sees an Nth of the packets that go there, and takes N times as long as all
-// together to be sure; meanwhile requests on open flows wait for an answer until their
-// deadlines, and one that may not be repeated is lost with each flow that is used again.
+// When some upstreams of a pool lose power, each of N balancers sees only an Nth of the
+// unanswered packets and needs N times as long as all of them together to be certain.
+// Meanwhile requests on open flows wait until their deadlines, and each reused flow loses
+// a request that cannot be retried.
 //
-// Evidence is additive: each unanswered packet weighs the negative logarithm of its
-// chance where the upstream lives, so that a link that loses one packet in three needs
-// more of them than one that loses none. A sign of life that any balancer or voter sees
-// ends all evidence of before. Balancers are asked for one before a subject counts as
-// unresponsive, and more than one of them must have seen the silence: a single one may
-// be the cause of it.
+// Evidence is additive: an unanswered packet weighs the negative logarithm of the
+// probability that it occurs while the upstream is alive, so lossy links need more
+// packets. A response seen by any balancer or voter discards all earlier evidence.
+// Balancers are asked for such a response before a subject counts as unresponsive, and
+// more than one of them must report timeouts: a single reporter may cause them itself.
 //
-// It has no I/O and no clock; one goroutine owns it.
+// The package does no I/O and reads no clock; it is not safe for concurrent use.
 package accrual
