--- a/internal/silence/confirmation/confirmation.go
+++ b/internal/silence/confirmation/confirmation.go
@@ -8,62 +8,62 @@
 )
 
 const (
-	// again is the time between two probes of an upstream, and soon that after one which told
-	// nothing.
-	again = time.Second
-	soon  = 100 * time.Millisecond
-	// runningMost bounds the probes under way.
-	runningMost = 64
-	// zoneProbes is how many upstreams of a zone are probed, and zoneGone how many of them must be
-	// gone.
+	// probeInterval is the time between two probes of an upstream, retryInterval the time
+	// after an inconclusive one.
+	probeInterval = time.Second
+	retryInterval = 100 * time.Millisecond
+	// maxRunning bounds the concurrent probes.
+	maxRunning = 64
+	// zoneProbes is how many upstreams of a zone are probed, zoneGone how many of those must be
+	// gone for the zone to be unresponsive.
 	zoneProbes = 4
 	zoneGone   = 2
-	// forgetAfter is how long an outcome is remembered after its upstream was in doubt last.
+	// forgetAfter is how long an outcome is kept after the upstream was last suspected.
 	forgetAfter = 5 * time.Second
 )
 
-// Suspicion is a doubt with the upstreams on whose packets it rests.
+// Suspicion is a suspected subject with the upstreams that left packets unanswered.
 type Suspicion struct {
 	word.Doubt
-	// Upstreams are the one in doubt, or some of the zone.
+	// Upstreams are the suspected upstream, or some upstreams of the suspected zone.
 	Upstreams []word.Subject
 }
 
-// probed is what is known of the host of one upstream.
-type probed struct {
+// hostState is the probe state of the host of one upstream.
+type hostState struct {
 	running bool
-	// begun and ended are those of the last probe that has ended, outcome what it told.
-	begun, ended time.Time
-	outcome      probe.Outcome
-	// asked is when the upstream was in doubt last.
-	asked time.Time
+	// startedAt and endedAt are the times of the last finished probe, outcome is its result.
+	startedAt, endedAt time.Time
+	outcome            probe.Outcome
+	// suspectedAt is when the upstream was last suspected.
+	suspectedAt time.Time
 }
 
-// Confirmation is the probes of one voter.
+// Confirmation schedules the probes of one voter and keeps their outcomes.
 type Confirmation struct {
-	hosts   map[word.Subject]*probed
+	hosts   map[word.Subject]*hostState
 	running int
 	version uint64
 }
 
-// New returns one without probes.
-func New() *Confirmation { return &Confirmation{hosts: map[word.Subject]*probed{}} }
+// New returns a confirmation without outcomes.
+func New() *Confirmation { return &Confirmation{hosts: map[word.Subject]*hostState{}} }
 
-// Version rises whenever a probe has told something new.
+// Version increases whenever a probe changes whether a host counts as gone.
 func (c *Confirmation) Version() uint64 { return c.version }
 
-// Due returns the upstreams that are to be probed now, and takes them for under way.
+// Due returns the upstreams to probe now and marks their probes as running.
 func (c *Confirmation) Due(now time.Time, all []Suspicion) []word.Subject {
 	var due []word.Subject
 	for _, s := range all {
-		for _, u := range s.chosen() {
+		for _, u := range s.targets() {
 			h := c.hosts[u]
 			if h == nil {
-				h = &probed{}
+				h = &hostState{}
 				c.hosts[u] = h
 			}
-			h.asked = now
-			if c.running < runningMost && h.due(now, now.Add(-s.Age)) {
+			h.suspectedAt = now
+			if c.running < maxRunning && h.due(now, now.Add(-s.Age)) {
 				h.running = true
 				c.running++
 				due = append(due, u)
@@ -71,29 +71,29 @@
 		}
 	}
 	for u, h := range c.hosts {
-		if !h.running && now.Sub(h.asked) > forgetAfter {
+		if !h.running && now.Sub(h.suspectedAt) > forgetAfter {
 			delete(c.hosts, u)
 		}
 	}
 	return due
 }
 
-// due says that a host is to be probed for a doubt that rests on packets since a time.
-func (h *probed) due(now, first time.Time) bool {
+// due reports whether to probe a host for a suspicion whose first packet was sent at a time.
+func (h *hostState) due(now, firstSent time.Time) bool {
 	switch {
 	case h.running:
 		return false
-	case h.ended.IsZero(), h.begun.Before(first) && now.Sub(h.ended) >= soon:
+	case h.endedAt.IsZero(), h.startedAt.Before(firstSent) && now.Sub(h.endedAt) >= retryInterval:
 		return true
 	case h.outcome == probe.Inconclusive:
-		return now.Sub(h.ended) >= soon
+		return now.Sub(h.endedAt) >= retryInterval
 	default:
-		return now.Sub(h.ended) >= again
+		return now.Sub(h.endedAt) >= probeInterval
 	}
 }
 
-// Probed takes the outcome of a probe that Due asked for.
-func (c *Confirmation) Probed(now, begun time.Time, u word.Subject, o probe.Outcome) {
+// Probed records the outcome of a probe that Due requested.
+func (c *Confirmation) Probed(now, startedAt time.Time, u word.Subject, o probe.Outcome) {
 	h := c.hosts[u]
 	if h == nil || !h.running {
 		return
@@ -103,25 +103,25 @@
 	if o.Gone() != h.outcome.Gone() {
 		c.version++
 	}
-	h.begun, h.ended, h.outcome = begun, now, o
+	h.startedAt, h.endedAt, h.outcome = startedAt, now, o
 }
 
-// Confirm returns the doubts, unresponsive only where probes say so as well.
+// Confirm returns the suspicions, marked as unresponsive only if probes agree.
 func (c *Confirmation) Confirm(now time.Time, all []Suspicion) []word.Doubt {
 	out := make([]word.Doubt, 0, len(all))
 	for _, s := range all {
 		d := s.Doubt
-		d.Unresponsive = d.Unresponsive && c.confirms(now, s)
+		d.Unresponsive = d.Unresponsive && c.confirmed(now, s)
 		out = append(out, d)
 	}
 	return out
 }
 
-func (c *Confirmation) confirms(now time.Time, s Suspicion) bool {
+func (c *Confirmation) confirmed(now time.Time, s Suspicion) bool {
 	gone := 0
-	for _, u := range s.chosen() {
+	for _, u := range s.targets() {
 		h := c.hosts[u]
-		if h == nil || h.begun.Before(now.Add(-s.Age)) {
+		if h == nil || h.startedAt.Before(now.Add(-s.Age)) {
 			continue
 		}
 		if h.outcome == probe.Accepted {
@@ -137,5 +137,5 @@
 	return gone > 0
 }
 
-// chosen are the upstreams that are probed for the doubt.
-func (s Suspicion) chosen() []word.Subject { return s.Upstreams[:min(len(s.Upstreams), zoneProbes)] }
+// targets returns the upstreams to probe for the suspicion.
+func (s Suspicion) targets() []word.Subject { return s.Upstreams[:min(len(s.Upstreams), zoneProbes)] }
--- a/internal/silence/confirmation/confirmation_test.go
+++ b/internal/silence/confirmation/confirmation_test.go
@@ -23,7 +23,7 @@
 	return out
 }
 
-// silent is a suspicion with evidence enough that rests on packets sent at -300 ms.
+// silent returns an unresponsive subject whose first unanswered packet was sent at -300 ms.
 func silent(now time.Time, s word.Subject, upstreams []word.Subject) []confirmation.Suspicion {
 	return []confirmation.Suspicion{{
 		Doubt: word.Doubt{Subject: s, Age: now.Sub(at(-300)), Unresponsive: true}, Upstreams: upstreams,
@@ -38,7 +38,7 @@
 		all := silent(at(0), word.Subject{Incarnation: 1}, upstreams(1))
 		require.False(t, c.Confirm(at(0), all)[0].Unresponsive, "not probed yet")
 		require.Equal(t, upstreams(1), c.Due(at(0), all))
-		require.Empty(t, c.Due(at(10), all), "a probe is under way")
+		require.Empty(t, c.Due(at(10), all), "a probe is running")
 		before := c.Version()
 		c.Probed(at(500), at(0), word.Subject{Incarnation: 1}, o)
 		require.Equal(t, want, c.Version() > before)
@@ -47,8 +47,8 @@
 	}
 }
 
-// Guards against an outcome of before that counts for a later silence.
-func TestProbeOfBeforeTheSilenceTellsNothing(t *testing.T) {
+// Guards against confirming a suspicion by a probe that started before its first packet.
+func TestProbeBeforeTheSuspicionIsIgnored(t *testing.T) {
 	c := confirmation.New()
 	all := silent(at(0), word.Subject{Incarnation: 1}, upstreams(1))
 	c.Due(at(0), all)
@@ -58,8 +58,8 @@
 	require.Equal(t, upstreams(1), c.Due(at(1000), all))
 }
 
-// Guards against a verdict that stands after the host is back.
-func TestHostThatIsBackEndsTheVerdict(t *testing.T) {
+// Guards against an upstream that stays unresponsive after its host has recovered.
+func TestRecoveredHostIsNoLongerUnresponsive(t *testing.T) {
 	c := confirmation.New()
 	all := silent(at(0), word.Subject{Incarnation: 1}, upstreams(1))
 	c.Due(at(0), all)
@@ -67,20 +67,20 @@
 	all[0].Age = 2 * time.Second
 	require.Empty(t, c.Due(at(1400), all))
 	require.Equal(t, upstreams(1), c.Due(at(1600), all))
-	require.True(t, c.Confirm(at(1600), all)[0].Unresponsive, "until it is known")
+	require.True(t, c.Confirm(at(1600), all)[0].Unresponsive, "until the next probe ends")
 	c.Probed(at(1601), at(1600), word.Subject{Incarnation: 1}, probe.Accepted)
 	require.False(t, c.Confirm(at(1601), all)[0].Unresponsive)
 }
 
-func TestZoneIsUnresponsiveOnlyIfAllThatWereProbedAreGone(t *testing.T) {
+func TestZoneIsUnresponsiveOnlyIfEnoughHostsAreGoneAndNoneAccepts(t *testing.T) {
 	zone := word.Subject{Zone: "a"}
 	for name, c := range map[string]struct {
 		outcomes []probe.Outcome
 		want     bool
 	}{
-		"two are gone":              {[]probe.Outcome{probe.Unanswered, probe.Unanswered, probe.Inconclusive}, true},
-		"one is":                    {[]probe.Outcome{probe.Unanswered, probe.Inconclusive, probe.Inconclusive}, false},
-		"two are, and one is there": {[]probe.Outcome{probe.Unanswered, probe.Refused, probe.Accepted}, false},
+		"two gone":              {[]probe.Outcome{probe.Unanswered, probe.Unanswered, probe.Inconclusive}, true},
+		"one gone":              {[]probe.Outcome{probe.Unanswered, probe.Inconclusive, probe.Inconclusive}, false},
+		"two gone, one accepts": {[]probe.Outcome{probe.Unanswered, probe.Refused, probe.Accepted}, false},
 	} {
 		x := confirmation.New()
 		all := silent(at(0), zone, upstreams(1, 2, 3))
--- a/internal/silence/confirmation/doc.go
+++ b/internal/silence/confirmation/doc.go
@@ -1,10 +1,10 @@
-// Package confirmation holds back what the evidence of balancers says of silent upstreams until
-// probes of their hosts say the same.
+// Package confirmation confirms suspicions by active probes: an upstream that the evidence
+// of balancers shows as unresponsive is reported as such only once a probe of its host agrees.
 //
-// Packets that are repeated show that someone is late: the upstream, its callers, a balancer or a
-// voter, each of which may only wait for a processor. A reset of an open flow cannot be
-// undone, so it takes evidence that no such delay brings about: a host that completes no
-// handshake.
+// Retransmitted packets only show that some process is late: the upstream, its callers, a
+// balancer or a voter, any of which may be waiting for a CPU. Resetting an open flow cannot
+// be undone, so it requires evidence that no such delay causes: a host that completes no
+// TCP handshake.
 //
-// It has no I/O and no clock; one goroutine owns it.
+// The package does no I/O and reads no clock; it is not safe for concurrent use.
 package confirmation
