--- a/internal/silence/confirmation/confirmation.go
+++ b/internal/silence/confirmation/confirmation.go
@@ -14,10 +14,10 @@
 	retryInterval = 100 * time.Millisecond
 	// maxRunning bounds the concurrent probes.
 	maxRunning = 64
-	// zoneProbes is how many upstreams of a zone are probed, zoneGone how many of those must be
-	// gone for the zone to be unresponsive.
-	zoneProbes = 4
-	zoneGone   = 2
+	// zoneProbes is how many upstreams of a zone are probed, minZoneDown how many of those must be
+	// down for the zone to be unresponsive.
+	zoneProbes  = 4
+	minZoneDown = 2
 	// forgetAfter is how long an outcome is kept after the upstream was last suspected.
 	forgetAfter = 5 * time.Second
 )
@@ -49,7 +49,7 @@
 // New returns a confirmation without outcomes.
 func New() *Confirmation { return &Confirmation{hosts: map[word.Subject]*hostState{}} }
 
-// Version increases whenever a probe changes whether a host counts as gone.
+// Version increases whenever a probe changes whether a host counts as down.
 func (c *Confirmation) Version() uint64 { return c.version }
 
 // Due returns the upstreams to probe now and marks their probes as running.
@@ -118,7 +118,7 @@
 }
 
 func (c *Confirmation) confirmed(now time.Time, s Suspicion) bool {
-	gone := 0
+	down := 0
 	for _, u := range s.targets() {
 		h := c.hosts[u]
 		if h == nil || h.startedAt.Before(now.Add(-s.Age)) {
@@ -128,13 +128,13 @@
 			return false
 		}
 		if h.outcome.Gone() {
-			gone++
+			down++
 		}
 	}
 	if s.Zone != "" {
-		return gone >= zoneGone
+		return down >= minZoneDown
 	}
-	return gone > 0
+	return down > 0
 }
 
 // targets returns the upstreams to probe for the suspicion.
--- a/internal/silence/confirmation/confirmation_test.go
+++ b/internal/silence/confirmation/confirmation_test.go
@@ -23,8 +23,8 @@
 	return out
 }
 
-// silent returns an unresponsive subject whose first unanswered packet was sent at -300 ms.
-func silent(now time.Time, s word.Subject, upstreams []word.Subject) []confirmation.Suspicion {
+// unresponsive returns an unresponsive subject whose first unanswered packet was sent at -300 ms.
+func unresponsive(now time.Time, s word.Subject, upstreams []word.Subject) []confirmation.Suspicion {
 	return []confirmation.Suspicion{{
 		Doubt: word.Doubt{Subject: s, Age: now.Sub(at(-300)), Unresponsive: true}, Upstreams: upstreams,
 	}}
@@ -35,14 +35,14 @@
 		probe.Inconclusive: false, probe.Accepted: false, probe.Refused: true, probe.Unanswered: true,
 	} {
 		c := confirmation.New()
-		all := silent(at(0), word.Subject{Incarnation: 1}, upstreams(1))
+		all := unresponsive(at(0), word.Subject{Incarnation: 1}, upstreams(1))
 		require.False(t, c.Confirm(at(0), all)[0].Unresponsive, "not probed yet")
 		require.Equal(t, upstreams(1), c.Due(at(0), all))
 		require.Empty(t, c.Due(at(10), all), "a probe is running")
 		before := c.Version()
 		c.Probed(at(500), at(0), word.Subject{Incarnation: 1}, o)
 		require.Equal(t, want, c.Version() > before)
-		all = silent(at(500), word.Subject{Incarnation: 1}, upstreams(1))
+		all = unresponsive(at(500), word.Subject{Incarnation: 1}, upstreams(1))
 		require.Equal(t, want, c.Confirm(at(500), all)[0].Unresponsive, o.String())
 	}
 }
@@ -50,7 +50,7 @@
 // Guards against confirming a suspicion by a probe that started before its first packet.
 func TestProbeBeforeTheSuspicionIsIgnored(t *testing.T) {
 	c := confirmation.New()
-	all := silent(at(0), word.Subject{Incarnation: 1}, upstreams(1))
+	all := unresponsive(at(0), word.Subject{Incarnation: 1}, upstreams(1))
 	c.Due(at(0), all)
 	c.Probed(at(500), at(0), word.Subject{Incarnation: 1}, probe.Unanswered)
 	all[0].Age = 300 * time.Millisecond
@@ -61,7 +61,7 @@
 // Guards against an upstream that stays unresponsive after its host has recovered.
 func TestRecoveredHostIsNoLongerUnresponsive(t *testing.T) {
 	c := confirmation.New()
-	all := silent(at(0), word.Subject{Incarnation: 1}, upstreams(1))
+	all := unresponsive(at(0), word.Subject{Incarnation: 1}, upstreams(1))
 	c.Due(at(0), all)
 	c.Probed(at(500), at(0), word.Subject{Incarnation: 1}, probe.Unanswered)
 	all[0].Age = 2 * time.Second
@@ -72,23 +72,23 @@
 	require.False(t, c.Confirm(at(1601), all)[0].Unresponsive)
 }
 
-func TestZoneIsUnresponsiveOnlyIfEnoughHostsAreGoneAndNoneAccepts(t *testing.T) {
+func TestZoneIsUnresponsiveOnlyIfEnoughHostsAreDownAndNoneAccepts(t *testing.T) {
 	zone := word.Subject{Zone: "a"}
 	for name, c := range map[string]struct {
 		outcomes []probe.Outcome
 		want     bool
 	}{
-		"two gone":              {[]probe.Outcome{probe.Unanswered, probe.Unanswered, probe.Inconclusive}, true},
-		"one gone":              {[]probe.Outcome{probe.Unanswered, probe.Inconclusive, probe.Inconclusive}, false},
-		"two gone, one accepts": {[]probe.Outcome{probe.Unanswered, probe.Refused, probe.Accepted}, false},
+		"two down":              {[]probe.Outcome{probe.Unanswered, probe.Unanswered, probe.Inconclusive}, true},
+		"one down":              {[]probe.Outcome{probe.Unanswered, probe.Inconclusive, probe.Inconclusive}, false},
+		"two down, one accepts": {[]probe.Outcome{probe.Unanswered, probe.Refused, probe.Accepted}, false},
 	} {
 		x := confirmation.New()
-		all := silent(at(0), zone, upstreams(1, 2, 3))
+		all := unresponsive(at(0), zone, upstreams(1, 2, 3))
 		x.Due(at(0), all)
 		for i, o := range c.outcomes {
 			x.Probed(at(500), at(0), word.Subject{Incarnation: uint64(i + 1)}, o)
 		}
-		all = silent(at(500), zone, upstreams(1, 2, 3))
+		all = unresponsive(at(500), zone, upstreams(1, 2, 3))
 		require.Equal(t, c.want, x.Confirm(at(500), all)[0].Unresponsive, name)
 	}
 }
@@ -97,7 +97,7 @@
 	c := confirmation.New()
 	var all []confirmation.Suspicion
 	for id := range uint64(500) {
-		all = append(all, silent(at(0), word.Subject{Incarnation: id}, upstreams(id))...)
+		all = append(all, unresponsive(at(0), word.Subject{Incarnation: id}, upstreams(id))...)
 	}
 	require.Len(t, c.Due(at(0), all), 64)
 	require.Empty(t, c.Due(at(100), all))
