--- a/internal/silence/doubts/doc.go
+++ b/internal/silence/doubts/doc.go
@@ -1,3 +1,3 @@
-// Package doubts joins what several voters tell a balancer of subjects that leave
-// packets unanswered.
+// Package doubts merges the suspicions that several voters report to a balancer: the
+// upstreams and zones that leave packets unanswered.
 package doubts
--- a/internal/silence/doubts/doubts.go
+++ b/internal/silence/doubts/doubts.go
@@ -6,99 +6,101 @@
 	"wasabideal/internal/silence/word"
 )
 
-// Doubt is one subject's doubt on the balancer's own clock.
+// Doubt is the suspicion of one subject, in the balancer's own time.
 type Doubt struct {
 	// First is when the first of the unanswered packets was sent.
 	First time.Time
-	// Unresponsive says that a voter has enough evidence.
+	// Unresponsive reports whether a voter has enough evidence.
 	Unresponsive bool
-	// Voter is the one that has it.
+	// Voter is the voter with that evidence, empty if there is none.
 	Voter string
 }
 
-type told struct {
-	// at is when the voter said so, contact when it was last in touch.
+// report is the latest report of one voter.
+type report struct {
+	// at is when the report arrived, contact when the voter was last reachable.
 	at, contact time.Time
 	doubts      []word.Doubt
-	// expired says that the voter is out of touch for longer than the lease.
+	// expired reports whether the voter's lease has expired.
 	expired bool
 }
 
-// Doubts are the voters' words; one goroutine owns them.
+// Doubts holds the latest report of each voter. It is not safe for concurrent use.
 type Doubts struct {
-	lease time.Duration
-	told  map[string]told
+	lease   time.Duration
+	reports map[string]report
 }
 
-// New returns no doubts; a voter's word holds for the lease without an answer from it.
-func New(lease time.Duration) *Doubts { return &Doubts{lease: lease, told: map[string]told{}} }
+// New returns an empty set. A voter's report expires after the lease without contact.
+func New(lease time.Duration) *Doubts { return &Doubts{lease: lease, reports: map[string]report{}} }
 
-// Take notes all that one voter doubts, and reports whether that may change the whole.
+// Take replaces the report of a voter that is reachable now, and returns whether All may
+// have changed.
 func (d *Doubts) Take(now time.Time, voter string, all []word.Doubt) bool {
 	return d.Hear(now, now, voter, all)
 }
 
-// Hear notes the same for what was passed on: the voter itself was in touch earlier.
+// Hear does the same for a relayed report; contact is when the voter was last reachable.
 func (d *Doubts) Hear(now, contact time.Time, voter string, all []word.Doubt) bool {
-	before := d.told[voter]
+	before := d.reports[voter]
 	if len(all) == 0 {
-		delete(d.told, voter)
+		delete(d.reports, voter)
 		return len(before.doubts) > 0
 	}
-	d.told[voter] = told{at: now, contact: contact, doubts: all}
+	d.reports[voter] = report{at: now, contact: contact, doubts: all}
 	return true
 }
 
-// Contact notes that a voter was in touch and doubts what it did before.
+// Contact records that a voter was reachable and its report is unchanged.
 func (d *Doubts) Contact(contact time.Time, voter string) {
-	if t, doubts := d.told[voter]; doubts && contact.After(t.contact) {
-		t.contact = contact
-		d.told[voter] = t
+	if r, ok := d.reports[voter]; ok && contact.After(r.contact) {
+		r.contact = contact
+		d.reports[voter] = r
 	}
 }
 
-// Stand says that any voter in touch doubts anything.
+// Stand returns whether any voter with a valid lease suspects anything.
 func (d *Doubts) Stand() bool {
-	for _, t := range d.told {
-		if !t.expired {
+	for _, r := range d.reports {
+		if !r.expired {
 			return true
 		}
 	}
 	return false
 }
 
-// Expired says whether the reports of some voters do not count any more, since those have not
-// answered for the lease, or count again.
+// Expired updates which reports have expired because their voter has not answered for the
+// lease, and returns whether any expired or became valid again.
 func (d *Doubts) Expired(now time.Time) bool {
 	changed := false
-	for voter, t := range d.told {
-		if expired := now.Sub(t.contact) > d.lease; expired != t.expired {
-			t.expired = expired
-			d.told[voter] = t
+	for voter, r := range d.reports {
+		if expired := now.Sub(r.contact) > d.lease; expired != r.expired {
+			r.expired = expired
+			d.reports[voter] = r
 			changed = true
 		}
 	}
 	return changed
 }
 
-// All joins the words: one voter's suffices, since the others may be cut off from those
-// who saw the silence.
+// All merges the valid reports. The report of one voter suffices, since the others may be
+// partitioned from the balancers that observed the timeouts.
 func (d *Doubts) All() map[word.Subject]Doubt {
 	all := map[word.Subject]Doubt{}
-	for voter, t := range d.told {
-		if t.expired {
+	for voter, r := range d.reports {
+		if r.expired {
 			continue
 		}
-		for _, x := range t.doubts {
-			first := t.at.Add(-x.Age)
-			j, known := all[x.Subject]
-			if !known || first.Before(j.First) {
-				j.First = first
+		for _, x := range r.doubts {
+			first := r.at.Add(-x.Age)
+			merged, known := all[x.Subject]
+			if !known || first.Before(merged.First) {
+				merged.First = first
 			}
-			if x.Unresponsive && (!j.Unresponsive || voter < j.Voter) {
-				j.Unresponsive, j.Voter = true, voter
+			if x.Unresponsive && (!merged.Unresponsive || voter < merged.Voter) {
+				merged.Unresponsive, merged.Voter = true, voter
 			}
-			all[x.Subject] = j
+			all[x.Subject] = merged
 		}
 	}
 	return all
--- a/internal/silence/doubts/doubts_test.go
+++ b/internal/silence/doubts/doubts_test.go
@@ -12,7 +12,7 @@
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func TestWordsOfVotersAreJoined(t *testing.T) {
+func TestReportsOfVotersAreMerged(t *testing.T) {
 	d := doubts.New(3 * time.Second)
 	one := word.Subject{Incarnation: 1}
 	require.False(t, d.Take(epoch, "v1", nil))
@@ -25,17 +25,16 @@
 	require.False(t, d.All()[one].Unresponsive)
 }
 
-// Symptom: an upstream that was back got no flow.
-// Events: a voter doubts it and loses power.
-// Cause: the voter's last word held for ever.
-func TestWordOfAVoterThatIsGoneExpires(t *testing.T) {
+// Guards against a recovered upstream that gets no flow because a voter suspected it and then
+// lost power: the last report of that voter must expire.
+func TestReportOfAnUnreachableVoterExpires(t *testing.T) {
 	d := doubts.New(3 * time.Second)
 	d.Take(epoch, "v1", []word.Doubt{{Subject: word.Subject{Zone: "a"}}})
 	require.False(t, d.Expired(epoch.Add(2*time.Second)))
 	require.True(t, d.Expired(epoch.Add(4*time.Second)))
 	require.Empty(t, d.All())
 	d.Contact(epoch.Add(4*time.Second), "v1")
-	require.True(t, d.Expired(epoch.Add(4*time.Second)), "it is back, and doubts what it did")
+	require.True(t, d.Expired(epoch.Add(4*time.Second)), "the voter is back and its report is unchanged")
 	require.Len(t, d.All(), 1)
 	require.False(t, d.Expired(epoch.Add(5*time.Second)))
 	d.Contact(epoch.Add(4*time.Second), "v2")
