--- a/internal/silence/probe/doc.go
+++ b/internal/silence/probe/doc.go
@@ -1,7 +1,7 @@
-// Package probe finds out whether the host of an upstream that leaves packets unanswered is
-// there, by TCP handshakes with the upstream's address.
+// Package probe checks by TCP handshakes whether the host of an upstream that leaves packets
+// unanswered is up.
 //
-// A handshake is completed by the host's kernel: an upstream whose process waits for a
-// processor still accepts one, and the delay of the process that asks is told apart by
-// handshakes with other upstreams in the same time.
+// The host's kernel completes a handshake, so an upstream whose process waits for a CPU still
+// accepts one. Simultaneous handshakes with other upstreams show whether the probing process
+// itself is delayed.
 package probe
--- a/internal/silence/probe/probe.go
+++ b/internal/silence/probe/probe.go
@@ -14,37 +14,36 @@
 
 // The outcomes.
 const (
-	// Inconclusive probes prove nothing: no other host answered either, or this process stood
-	// still.
+	// Inconclusive means that no other host answered either, or that this process stalled.
 	Inconclusive Outcome = iota
-	// Accepted means that the host is there and listens.
+	// Accepted means that the host is up and listens on the port.
 	Accepted
-	// Refused means that the host is there and nothing listens.
+	// Refused means that the host is up and no process listens on the port.
 	Refused
-	// Unanswered means that the host gave no answer, while another one did.
+	// Unanswered means that the host did not answer while another host did.
 	Unanswered
 )
 
 var outcomeNames = [...]string{"Inconclusive", "Accepted", "Refused", "Unanswered"}
 
-// String returns the outcome's name as it stands in logs.
+// String returns the name of the outcome as used in logs.
 func (o Outcome) String() string { return outcomeNames[o] }
 
-// Gone says that no process of the upstream can be at work there.
+// Gone reports whether the outcome rules out that the upstream is running.
 func (o Outcome) Gone() bool { return o == Refused || o == Unanswered }
 
 const (
-	// Patience is how long a host has for an answer.
+	// Patience is the timeout for the answer of a host.
 	Patience = 500 * time.Millisecond
-	// attempts is how many handshakes are tried in that time: some packets are lost.
+	// attempts is the number of handshakes started in that time, since packets may be lost.
 	attempts = 3
-	// stallMost is by how much longer than planned a wait may take before this process counts as
-	// having stood still, and drain how long answers that arrived meanwhile are waited for.
-	stallMost = 100 * time.Millisecond
-	drain     = 20 * time.Millisecond
+	// maxStall is by how much a probe may exceed its planned duration before this process counts
+	// as stalled, drain the final wait for answers that have already arrived.
+	maxStall = 100 * time.Millisecond
+	drain    = 20 * time.Millisecond
 )
 
-// Prober asks hosts; it is safe for concurrent use.
+// Prober probes hosts; it is safe for concurrent use.
 type Prober struct {
 	clock func() time.Time
 	dial  func(ctx context.Context, address string) error
@@ -65,40 +64,40 @@
 	return c.Close()
 }
 
-// Check probes a suspect, and references beside it that are believed to be there.
+// Check probes a suspect, along with references that are believed to be up.
 func (p *Prober) Check(ctx context.Context, suspect netip.AddrPort, references []netip.AddrPort) Outcome {
-	// Handshakes outlive the wait a little: one that is cut short at its end might have an
-	// answer that was not read yet.
-	ctx, cancel := context.WithTimeout(ctx, Patience+stallMost+2*drain)
+	// The dial timeout exceeds the wait, so that no handshake is cancelled while its answer
+	// is still unread.
+	ctx, cancel := context.WithTimeout(ctx, Patience+maxStall+2*drain)
 	defer cancel()
 	answers := make(chan Outcome, attempts)
-	// The first and the last attempt must each have a reference that answered.
+	// References must answer during both the first and the last attempt.
 	first := make(chan struct{}, len(references))
 	last := make(chan struct{}, len(references))
-	begun := p.clock()
+	startedAt := p.clock()
 	for n := range attempts {
-		p.ask(ctx, suspect, answers)
+		p.dialSuspect(ctx, suspect, answers)
 		switch n {
 		case 0:
-			p.refer(ctx, references, first)
+			p.dialReferences(ctx, references, first)
 		case attempts - 1:
-			p.refer(ctx, references, last)
+			p.dialReferences(ctx, references, last)
 		}
-		if o, told := p.wait(ctx, answers, Patience/attempts); told {
+		if o, ok := p.wait(ctx, answers, Patience/attempts); ok {
 			return o
 		}
 	}
-	if o, told := p.wait(ctx, answers, drain); told {
+	if o, ok := p.wait(ctx, answers, drain); ok {
 		return o
 	}
-	if p.clock().Sub(begun) > Patience+drain+stallMost || len(first) == 0 || len(last) == 0 {
+	if p.clock().Sub(startedAt) > Patience+drain+maxStall || len(first) == 0 || len(last) == 0 {
 		return Inconclusive
 	}
 	return Unanswered
 }
 
-// ask tries one handshake, and tells its outcome if there is any.
-func (p *Prober) ask(ctx context.Context, suspect netip.AddrPort, answers chan<- Outcome) {
+// dialSuspect starts one handshake and sends its outcome, if there is one.
+func (p *Prober) dialSuspect(ctx context.Context, suspect netip.AddrPort, answers chan<- Outcome) {
 	go func() {
 		switch err := p.dial(ctx, suspect.String()); {
 		case err == nil:
@@ -109,8 +108,8 @@
 	}()
 }
 
-// refer tries one handshake with each reference.
-func (p *Prober) refer(ctx context.Context, references []netip.AddrPort, answered chan<- struct{}) {
+// dialReferences starts one handshake with each reference.
+func (p *Prober) dialReferences(ctx context.Context, references []netip.AddrPort, answered chan<- struct{}) {
 	for _, r := range references {
 		go func() {
 			if err := p.dial(ctx, r.String()); err == nil || errors.Is(err, syscall.ECONNREFUSED) {
@@ -120,6 +119,7 @@
 	}
 }
 
+// wait returns the first outcome within a duration, and whether there is one.
 func (p *Prober) wait(ctx context.Context, answers <-chan Outcome, d time.Duration) (Outcome, bool) {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -130,7 +130,7 @@
 		return Inconclusive, true
 	case <-t.C:
 	}
-	// An answer may have come while this process stood still.
+	// An answer may have arrived while this process was stalled.
 	select {
 	case o := <-answers:
 		return o, true
--- a/internal/silence/probe/probe_test.go
+++ b/internal/silence/probe/probe_test.go
@@ -19,7 +19,7 @@
 	references = []netip.AddrPort{netip.MustParseAddrPort("10.0.0.2:80"), netip.MustParseAddrPort("10.0.0.3:80")}
 )
 
-// hosts answers handshakes; those that are not named give no answer.
+// hosts maps addresses to the results of dialing them; other addresses never answer.
 type hosts map[netip.AddrPort]error
 
 func (h hosts) dial(ctx context.Context, address string) error {
@@ -37,10 +37,10 @@
 		want  probe.Outcome
 	}{
 		{"the host listens", hosts{suspect: nil}, probe.Accepted},
-		{"nothing listens", hosts{suspect: syscall.ECONNREFUSED}, probe.Refused},
-		{"silent while another answers", hosts{references[1]: nil}, probe.Unanswered},
-		{"silent while another refuses", hosts{references[0]: syscall.ECONNREFUSED}, probe.Unanswered},
-		{"all are silent: the own link", hosts{}, probe.Inconclusive},
+		{"no process listens", hosts{suspect: syscall.ECONNREFUSED}, probe.Refused},
+		{"no answer, a reference accepts", hosts{references[1]: nil}, probe.Unanswered},
+		{"no answer, a reference refuses", hosts{references[0]: syscall.ECONNREFUSED}, probe.Unanswered},
+		{"no answer from any host", hosts{}, probe.Inconclusive},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -49,12 +49,12 @@
 	}
 }
 
-func TestWithoutReferencesSilenceTellsNothing(t *testing.T) {
+func TestNoAnswerWithoutReferencesIsInconclusive(t *testing.T) {
 	require.Equal(t, probe.Inconclusive, probe.New(time.Now, hosts{}.dial).Check(t.Context(), suspect, nil))
 }
 
-// Guards against the delay of the process that asks, taken for the silence of the host.
-func TestProberThatStoodStillTellsNothing(t *testing.T) {
+// Guards against mistaking a stall of the probing process for a host that does not answer.
+func TestStalledProberIsInconclusive(t *testing.T) {
 	var mu sync.Mutex
 	offset := time.Duration(0)
 	clock := func() time.Time {
@@ -68,10 +68,10 @@
 		mu.Unlock()
 		return hosts{references[0]: nil}.dial(ctx, address)
 	}
-	begun := false
+	started := false
 	p := probe.New(func() time.Time {
-		if !begun {
-			begun = true
+		if !started {
+			started = true
 			return time.Now()
 		}
 		return clock()
@@ -79,9 +79,9 @@
 	require.Equal(t, probe.Inconclusive, p.Check(t.Context(), suspect, references))
 }
 
-// Guards against a process without a processor that is taken for gone: the kernel completes
-// handshakes in its name.
-func TestHostOfAProcessThatStandsStillAccepts(t *testing.T) {
+// Guards against an upstream that waits for a CPU and counts as down: the kernel completes
+// handshakes on its behalf.
+func TestHostOfAStalledProcessAccepts(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = l.Close() })
