--- a/internal/silence/sample/doc.go
+++ b/internal/silence/sample/doc.go
@@ -1,9 +1,9 @@
-// Package sample chooses which reports of silence a balancer passes on for those that
-// follow it.
+// Package sample limits the reports of unanswered packets that a balancer relays for its
+// followers.
 //
-// Where many upstreams fall silent each balancer of the fleet reports each of them, and a
-// few such reports are all that a voter needs. Passing on a few of each upstream keeps what
-// reaches the voters by the number of upstreams, whatever the number of balancers.
+// When many upstreams fail, every balancer of the fleet reports each of them, but a voter
+// needs only a few reports per upstream. Relaying a few of each bounds the reports that reach
+// the voters by the number of upstreams, independent of the number of balancers.
 //
-// It has no I/O and no clock; one goroutine owns it.
+// The package does no I/O and reads no clock; it is not safe for concurrent use.
 package sample
--- a/internal/silence/sample/sample.go
+++ b/internal/silence/sample/sample.go
@@ -7,64 +7,66 @@
 )
 
 const (
-	// window is the time in which the events of one upstream are counted together: the
-	// time in which a caller repeats a packet.
+	// window is the time over which the events of one upstream are counted: the time after
+	// which a caller retransmits a packet.
 	window = 200 * time.Millisecond
-	// missedMost is how many unanswered packets of an upstream are passed on in it, and
-	// missedEach how many of one balancer: three packets of two balancers suffice as
-	// evidence, and some may have been answered meanwhile.
-	missedMost = 6
-	missedEach = 3
-	// answeredMost is how many liveness reports are in any case: one refutes the evidence of
-	// before, and another is for a report that is lost. Beyond that one passes that is
-	// answeredStep later than the last: a packet is unanswered for much longer before it
-	// counts, so that a later liveness report than one that was held back comes in time.
-	answeredMost = 2
-	answeredStep = 20 * time.Millisecond
+	// maxMissed bounds the unanswered packets of an upstream relayed per window, and
+	// maxMissedPerBalancer those of one balancer. Three packets of two balancers suffice as
+	// evidence; the rest is a margin for packets that are answered late.
+	maxMissed            = 6
+	maxMissedPerBalancer = 3
+	// minAnswered is how many liveness reports are always relayed per window: one refutes the
+	// earlier evidence, a second covers the loss of a report. A further one must be
+	// answeredInterval later than the last: packets count as unanswered only after a much
+	// longer time, so the next relayed report still precedes them.
+	minAnswered      = 2
+	answeredInterval = 20 * time.Millisecond
 )
 
+// subject identifies one run of an upstream.
 type subject struct{ incarnation, born uint64 }
 
-type counted struct {
-	since            time.Time
+// counter counts the relayed events of one subject in the current window.
+type counter struct {
+	startedAt        time.Time
 	missed, answered int
 	byBalancer       map[string]int
-	// alive is the latest liveness report that was passed on.
-	alive time.Time
+	// answeredAt is the time of the latest relayed liveness report.
+	answeredAt time.Time
 }
 
-// Sample counts what was passed on lately.
+// Sample counts the recently relayed events of each upstream.
 type Sample struct {
-	bySubject map[subject]*counted
-	swept     time.Time
+	bySubject map[subject]*counter
+	sweptAt   time.Time
 }
 
 // New returns an empty sample.
-func New() *Sample { return &Sample{bySubject: map[subject]*counted{}} }
+func New() *Sample { return &Sample{bySubject: map[subject]*counter{}} }
 
-// Take returns those of a balancer's events that are to be passed on.
+// Take returns the events of a balancer that are to be relayed.
 func (s *Sample) Take(now time.Time, from string, events []word.Event) []word.Event {
 	s.sweep(now)
 	var out []word.Event
 	for _, e := range events {
-		if s.passes(now, from, e) {
+		if s.allow(now, from, e) {
 			out = append(out, e)
 		}
 	}
 	return out
 }
 
-func (s *Sample) passes(now time.Time, from string, e word.Event) bool {
+func (s *Sample) allow(now time.Time, from string, e word.Event) bool {
 	k := subject{incarnation: e.Incarnation, born: e.Born}
 	c := s.bySubject[k]
-	if c == nil || now.Sub(c.since) >= window {
-		c = &counted{since: now, byBalancer: map[string]int{}}
+	if c == nil || now.Sub(c.startedAt) >= window {
+		c = &counter{startedAt: now, byBalancer: map[string]int{}}
 		s.bySubject[k] = c
 	}
 	if e.Answered {
-		return c.answers(now.Add(-e.Age))
+		return c.allowAnswered(now.Add(-e.Age))
 	}
-	if c.missed >= missedMost || c.byBalancer[from] >= missedEach {
+	if c.missed >= maxMissed || c.byBalancer[from] >= maxMissedPerBalancer {
 		return false
 	}
 	c.missed++
@@ -72,24 +74,24 @@
 	return true
 }
 
-func (c *counted) answers(alive time.Time) bool {
-	if c.answered >= answeredMost && alive.Sub(c.alive) < answeredStep {
+func (c *counter) allowAnswered(answeredAt time.Time) bool {
+	if c.answered >= minAnswered && answeredAt.Sub(c.answeredAt) < answeredInterval {
 		return false
 	}
 	c.answered++
-	if alive.After(c.alive) {
-		c.alive = alive
+	if answeredAt.After(c.answeredAt) {
+		c.answeredAt = answeredAt
 	}
 	return true
 }
 
 func (s *Sample) sweep(now time.Time) {
-	if now.Sub(s.swept) < window {
+	if now.Sub(s.sweptAt) < window {
 		return
 	}
-	s.swept = now
+	s.sweptAt = now
 	for k, c := range s.bySubject {
-		if now.Sub(c.since) >= window {
+		if now.Sub(c.startedAt) >= window {
 			delete(s.bySubject, k)
 		}
 	}
--- a/internal/silence/sample/sample_test.go
+++ b/internal/silence/sample/sample_test.go
@@ -22,24 +22,23 @@
 	return word.Event{Incarnation: incarnation, Zone: "a", Age: age, Answered: true}
 }
 
-// Symptom: voters were busy with reports when some upstreams lost power.
-// Events: each of 80 balancers reports ten packets to each of twenty silent upstreams.
-// Cause: all reports were passed on, though a few suffice.
-func TestAFewReportsOfEachUpstreamArePassedOn(t *testing.T) {
+// Guards against voters overloaded with reports when some upstreams lose power: each of 80
+// balancers reports ten unanswered packets for each of twenty upstreams.
+func TestAFewReportsPerUpstreamAreRelayed(t *testing.T) {
 	s := sample.New()
-	passed := 0
+	relayed := 0
 	for b := range 80 {
 		for u := range uint64(20) {
 			for range 10 {
-				passed += len(s.Take(epoch, fmt.Sprint("b", b), []word.Event{missed(u + 1)}))
+				relayed += len(s.Take(epoch, fmt.Sprint("b", b), []word.Event{missed(u + 1)}))
 			}
 		}
 	}
-	require.Equal(t, 20*6, passed)
-	require.NotEmpty(t, s.Take(epoch.Add(time.Second), "b1", []word.Event{missed(1)}), "later ones are news")
+	require.Equal(t, 20*6, relayed)
+	require.NotEmpty(t, s.Take(epoch.Add(time.Second), "b1", []word.Event{missed(1)}), "events of the next window are relayed")
 }
 
-func TestWhatIsPassedOnSufficesAsEvidence(t *testing.T) {
+func TestRelayedReportsSufficeAsEvidence(t *testing.T) {
 	s, a := sample.New(), accrual.New()
 	for _, from := range []string{"b1", "b1", "b1", "b1", "b2", "b2", "b3"} {
 		for _, e := range s.Take(epoch, from, []word.Event{missed(1)}) {
@@ -50,15 +49,14 @@
 		a.Decide(now, 40, 0)
 	}
 	for _, d := range a.Doubts(epoch.Add(300 * time.Millisecond)) {
-		require.Equal(t, d.Zone == "", d.Unresponsive, "the upstream is, its zone is not")
+		require.Equal(t, d.Zone == "", d.Unresponsive, "the upstream is unresponsive, its zone is not")
 	}
 	require.Len(t, a.Doubts(epoch), 2)
 }
 
-// Symptom: flows of an upstream that lives were reset.
-// Events: balancers see it answer, one after the other; packets to it were lost between.
-// Cause: later liveness reports were held back with the earlier ones.
-func TestLaterLivenessReportsArePassedOn(t *testing.T) {
+// Guards against resets of flows to a live upstream: balancers receive responses one after
+// another, packets to it are lost in between, and the later liveness reports are dropped.
+func TestLaterLivenessReportsAreRelayed(t *testing.T) {
 	s := sample.New()
 	now := epoch
 	for i := range 10 {
