--- a/internal/silence/witness/doc.go
+++ b/internal/silence/witness/doc.go
@@ -1,6 +1,6 @@
-// Package witness divides the evidence of silent upstreams among voters.
+// Package witness distributes the evidence of unresponsive upstreams among voters.
 //
-// Told everything, each of many voters weighed the same evidence and reported the same
-// upstreams to all balancers, as many at the most as one report holds: of hundreds that fell
-// silent together most were never reported.
+// When every voter received all evidence, all of them reported the same upstreams to all
+// balancers, up to the limit of one report: of hundreds of upstreams that failed together,
+// most were never reported.
 package witness
--- a/internal/silence/witness/witness.go
+++ b/internal/silence/witness/witness.go
@@ -5,21 +5,21 @@
 	"wasabideal/internal/silence/word"
 )
 
-// each is how many voters weigh the evidence of one upstream: one of them may have just
-// restarted, or be cut off.
-const each = 2
+// replicas is how many voters receive the evidence of one upstream, since one of them may have
+// just restarted or be partitioned.
+const replicas = 2
 
-// Share returns the events that each voter is to be told of. Liveness reports go to all: any
-// voter may suspect the upstream's zone.
+// Share returns the events to send to each voter. Liveness reports go to all voters, since any
+// of them may suspect the upstream's zone.
 func Share(voters []string, events []word.Event) map[string][]word.Event {
 	nodes := rendezvous.New(voters)
 	shares := make(map[string][]word.Event, len(voters))
 	for _, e := range events {
-		to := voters
+		recipients := voters
 		if !e.Answered {
-			to = nodes.First(e.Incarnation, each)
+			recipients = nodes.First(e.Incarnation, replicas)
 		}
-		for _, voter := range to {
+		for _, voter := range recipients {
 			shares[voter] = append(shares[voter], e)
 		}
 	}
--- a/internal/silence/witness/witness_test.go
+++ b/internal/silence/witness/witness_test.go
@@ -22,9 +22,9 @@
 	return out
 }
 
-// Guards against callers of silent upstreams that balancers never hear of: each voter reported
-// the same 64 of 430.
-func TestAllOfManySilentUpstreamsAreReported(t *testing.T) {
+// Guards against unresponsive upstreams that are never reported to balancers: of 430 upstreams,
+// each voter reported the same 64.
+func TestAllOfManyUnresponsiveUpstreamsAreReported(t *testing.T) {
 	const silent = 430
 	all := map[string]*accrual.Accrual{}
 	for _, v := range voters(25) {
@@ -58,16 +58,16 @@
 
 func TestLivenessReportsGoToAllVoters(t *testing.T) {
 	shares := witness.Share(voters(5), []word.Event{{Incarnation: 1, Answered: true}, {Incarnation: 2}})
-	told := 0
+	missed := 0
 	require.Len(t, shares, 5)
 	for _, events := range shares {
 		require.True(t, events[0].Answered)
-		told += len(events) - 1
+		missed += len(events) - 1
 	}
-	require.Equal(t, 2, told)
+	require.Equal(t, 2, missed)
 }
 
-func TestParentIsToldAll(t *testing.T) {
+func TestSingleParentReceivesAllEvents(t *testing.T) {
 	events := []word.Event{{Incarnation: 1}, {Incarnation: 2}, {Incarnation: 3, Answered: true}}
 	require.Equal(t, map[string][]word.Event{"parent": events}, witness.Share([]string{"parent"}, events))
 }
