--- a/internal/silence/word/doc.go
+++ b/internal/silence/word/doc.go
@@ -1,3 +1,3 @@
-// Package word holds what balancers and voters tell each other of upstreams that leave
-// packets unanswered.
+// Package word defines the messages that balancers and voters exchange about upstreams that
+// leave packets unanswered.
 package word
--- a/internal/silence/word/word.go
+++ b/internal/silence/word/word.go
@@ -2,45 +2,46 @@
 
 import "time"
 
-// Subject is what may be silent: one life of an upstream, or all upstreams of an
-// availability zone, whose name stands alone then.
+// Subject identifies what may be unresponsive: one run of an upstream, or a whole availability
+// zone. For a zone only Zone is set.
 type Subject struct {
 	_                 struct{} `cbor:",toarray"`
 	Incarnation, Born uint64
 	Zone              string
 }
 
-// Event is what one balancer saw of an upstream: a packet that had to be repeated, with
-// no sign of life since it was first sent, or a sign of life while it was in doubt.
+// Event is an observation of an upstream by one balancer: a packet that had to be
+// retransmitted without any response since it was first sent, or a response of a suspected
+// upstream.
 type Event struct {
 	_                 struct{} `cbor:",toarray"`
 	Incarnation, Born uint64
 	// Zone is the upstream's availability zone.
 	Zone string
-	// Age is the time since the packet was first sent, or since the sign of life.
-	// Clocks of VMs differ, spans of some hundred milliseconds do not.
+	// Age is the time since the packet was first sent or the response was received. It is
+	// relative, since the clocks of VMs differ but do not drift within some hundred milliseconds.
 	Age time.Duration
-	// Weight says how unlikely the event is where the upstream lives, as the negative
-	// logarithm of the chance; 0 for a sign of life.
+	// Weight is the negative logarithm of the probability of the event while the upstream is
+	// alive, and 0 for a response.
 	Weight float64
-	// Answered marks a sign of life.
+	// Answered reports whether the event is a response.
 	Answered bool
 }
 
-// Report is the events of one balancer.
+// Report holds the events of one balancer.
 type Report struct {
-	// From names the balancer.
+	// From identifies the balancer.
 	From   string
 	Events []Event
 }
 
-// Doubt is what a voter tells balancers of a subject that leaves packets unanswered.
+// Doubt is the suspicion that a voter reports to balancers: a subject leaves packets unanswered.
 type Doubt struct {
 	_ struct{} `cbor:",toarray"`
 	Subject
-	// Age is the time since the first of those packets was sent.
+	// Age is the time since the earliest of those packets was sent.
 	Age time.Duration
-	// Unresponsive says that the evidence suffices; before that, balancers are asked
-	// for signs of life.
+	// Unresponsive reports whether the evidence suffices. Until then, balancers are asked to
+	// report responses of the subject.
 	Unresponsive bool
 }
