--- a/internal/upstream/view/doc.go
+++ b/internal/upstream/view/doc.go
@@ -1,3 +1,3 @@
-// Package view joins what several voters tell of upstreams into the one picture
-// by which a balancer places flows.
+// Package view merges the notices that several voters send about upstreams into the single
+// view by which a balancer places flows.
 package view
--- a/internal/upstream/view/fleet_test.go
+++ b/internal/upstream/view/fleet_test.go
@@ -14,7 +14,7 @@
 	"wasabideal/internal/upstream/view"
 )
 
-// fleet is one balancer of a fleet: what it heard of many voters, and its router.
+// fleet is one balancer of a large fleet, with its view of many voters and its router.
 type fleet struct {
 	view    *view.View
 	router  *router.Router
@@ -39,13 +39,13 @@
 		for id := v; id < upstreams; id += voters {
 			all = append(all, fleetNotice(id, 1))
 		}
-		f.hear(epoch, v, all...)
+		f.apply(epoch, v, all...)
 	}
 	f.refresh(epoch)
 	return f
 }
 
-func (f *fleet) hear(now time.Time, voter int, notices ...directory.Notice) {
+func (f *fleet) apply(now time.Time, voter int, notices ...directory.Notice) {
 	f.version++
 	f.view.Hear(now, view.News{Voter: fmt.Sprintf("v%d", voter), Life: 1, Version: f.version, Contact: now, Notices: notices})
 }
@@ -56,14 +56,14 @@
 	}
 }
 
-// contact lets all voters but the first say that they are in touch.
+// contact records contact with all voters but the first.
 func (f *fleet) contact(now time.Time) {
 	for v := 1; v < f.voters; v++ {
-		f.hear(now, v)
+		f.apply(now, v)
 	}
 }
 
-// BenchmarkFleetNotice is one upstream's news at a balancer of a fleet.
+// BenchmarkFleetNotice measures the update of one upstream at one balancer.
 func BenchmarkFleetNotice(b *testing.B) {
 	for _, n := range []int{150, 3000, 10000, 20000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -71,14 +71,14 @@
 			for i := range b.N {
 				x := fleetNotice(i%n, uint64(i)+2)
 				x.Upstream.State = upstream.State(i / n % 2)
-				f.hear(epoch, i%n%25, x)
+				f.apply(epoch, i%n%25, x)
 				f.refresh(epoch)
 			}
 		})
 	}
 }
 
-// BenchmarkFleetContact is a voter that is out of touch for a moment.
+// BenchmarkFleetContact measures the short unreachability of one voter.
 func BenchmarkFleetContact(b *testing.B) {
 	for _, n := range []int{150, 3000, 10000, 20000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -88,14 +88,14 @@
 				now = now.Add(4 * time.Second)
 				f.contact(now)
 				f.refresh(now)
-				f.hear(now, 0)
+				f.apply(now, 0)
 				f.refresh(now)
 			}
 		})
 	}
 }
 
-// BenchmarkFleetDoubt is a voter's word on an upstream that leaves packets unanswered.
+// BenchmarkFleetDoubt measures the suspicion of one upstream.
 func BenchmarkFleetDoubt(b *testing.B) {
 	for _, n := range []int{150, 3000, 10000, 20000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/internal/upstream/view/record.go
+++ b/internal/upstream/view/record.go
@@ -8,115 +8,118 @@
 	"wasabideal/internal/upstream/directory"
 )
 
-// told is one voter's notice on one upstream.
-type told struct {
+// voterNotice is the latest notice of one voter on one upstream.
+type voterNotice struct {
 	directory.Notice
-	at time.Time
-	// life and version are the voter's when it said so.
+	receivedAt time.Time
+	// life and version are those of the voter when it sent the notice.
 	life, version uint64
-	// until ends a notice that a restarted voter no longer confirms; zero where it still
-	// does.
-	until time.Time
+	// expiresAt ends a notice that the voter has not confirmed since its restart, and is zero
+	// for a confirmed one.
+	expiresAt time.Time
 }
 
-func (t *told) gone() bool {
-	return t.Silent || t.Replaced || t.Upstream.State == upstream.Withdrawn || !t.until.IsZero()
+// obsolete reports whether the notice may be forgotten after some time.
+func (t *voterNotice) obsolete() bool {
+	return t.Silent || t.Replaced || t.Upstream.State == upstream.Withdrawn || !t.expiresAt.IsZero()
 }
 
-// last is until when the notice counted; one that a restarted voter inherited
-// counts on, whatever its age.
-func (t *told) last() time.Time {
-	if t.until.After(t.at) {
-		return t.until
+// lastValid returns the last time at which the notice was known to be valid: on receipt, or at
+// its expiry if that is later, however old a notice from before the voter's restart is.
+func (t *voterNotice) lastValid() time.Time {
+	if t.expiresAt.After(t.receivedAt) {
+		return t.expiresAt
 	}
-	return t.at
+	return t.receivedAt
 }
 
-// statement is a notice with the voter that told it.
-type statement struct {
+// sourcedNotice is a notice with the voter that sent it.
+type sourcedNotice struct {
 	source *source
-	told   *told
+	notice *voterNotice
 }
 
-// record is what all voters told of one incarnation: one of them mostly, all where it left.
+// record holds the notices on one incarnation. Usually one voter has sent one; all voters have
+// if it withdrew.
 type record struct {
-	statements []statement
-	// born is the latest start that any voter told of. A voter that missed it may tell of
-	// the life before for a while, and must not undo it.
+	byVoter []sourcedNotice
+	// born is the latest start in any notice. A voter that missed that start may still send
+	// notices on an earlier run for a while; they are ignored.
 	born uint64
 }
 
-// put takes a voter's notice in place of its last one, and returns where it is kept.
-func (r *record) put(s *source, t told) *told {
+// put replaces the notice of a voter and returns the stored copy.
+func (r *record) put(s *source, t voterNotice) *voterNotice {
 	r.born = max(r.born, t.Upstream.Born)
-	for _, x := range r.statements {
+	for _, x := range r.byVoter {
 		if x.source == s {
-			*x.told = t
-			return x.told
+			*x.notice = t
+			return x.notice
 		}
 	}
-	r.statements = append(r.statements, statement{source: s, told: &t})
+	r.byVoter = append(r.byVoter, sourcedNotice{source: s, notice: &t})
 	return &t
 }
 
-// forget drops the notices that have not counted for a time, and says whether any were.
+// forget deletes the notices that have been obsolete for a duration, and returns whether there
+// were any.
 func (r *record) forget(now time.Time, id uint64, after time.Duration) bool {
-	before := len(r.statements)
-	r.statements = slices.DeleteFunc(r.statements, func(x statement) bool {
-		if !x.told.gone() || now.Sub(x.told.last()) <= after {
+	before := len(r.byVoter)
+	r.byVoter = slices.DeleteFunc(r.byVoter, func(x sourcedNotice) bool {
+		if !x.notice.obsolete() || now.Sub(x.notice.lastValid()) <= after {
 			return false
 		}
 		delete(x.source.notices, id)
 		return true
 	})
-	return len(r.statements) != before
+	return len(r.byVoter) != before
 }
 
-// target joins the notices of one upstream, and says whether there are any on its latest life.
-// Out of touch with all voters, each one's last report holds.
-func (r *record) target(now time.Time, anyInTouch bool) (Target, bool) {
-	var j joined
+// target merges the notices of one upstream, and returns whether there are any on its latest
+// run. While no voter is reachable, the last notices of all voters stay valid.
+func (r *record) target(now time.Time, anyReachable bool) (Target, bool) {
+	var m merger
 	if r == nil {
 		return Target{}, false
 	}
-	for _, x := range r.statements {
-		if x.told.Upstream.Born >= r.born {
-			j.add(now, x.told, x.source.inTouch || !anyInTouch)
+	for _, x := range r.byVoter {
+		if x.notice.Upstream.Born >= r.born {
+			m.add(now, x.notice, x.source.reachable || !anyReachable)
 		}
 	}
-	return j.target(), !j.best.at.IsZero()
+	return m.target(), !m.latest.receivedAt.IsZero()
 }
 
-// joined collects the voters' notices on one upstream.
-type joined struct {
-	best told
-	live bool
-	// heard says that its announcements are not overdue at some voter.
-	heard     bool
+// merger accumulates the notices of all voters on one upstream.
+type merger struct {
+	latest voterNotice
+	live   bool
+	// announced reports whether some voter receives its announcements in time.
+	announced bool
 	replaced  bool
 	withdrawn bool
 	ended     bool
 }
 
-func (j *joined) add(now time.Time, t *told, inTouch bool) {
+func (m *merger) add(now time.Time, t *voterNotice, reachable bool) {
 	withdrawn := t.Upstream.State == upstream.Withdrawn
-	if !j.withdrawn && (j.best.at.IsZero() || withdrawn || t.Upstream.Later(j.best.Upstream)) {
-		j.best = *t
+	if !m.withdrawn && (m.latest.receivedAt.IsZero() || withdrawn || t.Upstream.Later(m.latest.Upstream)) {
+		m.latest = *t
 	}
-	j.withdrawn = j.withdrawn || withdrawn
-	j.ended = j.ended || withdrawn && t.Silent
-	j.replaced = j.replaced || t.Replaced
-	heard := !t.Silent && (t.until.IsZero() || now.Before(t.until))
-	j.heard = j.heard || heard
-	j.live = j.live || heard && !t.Replaced && inTouch
+	m.withdrawn = m.withdrawn || withdrawn
+	m.ended = m.ended || withdrawn && t.Silent
+	m.replaced = m.replaced || t.Replaced
+	announced := !t.Silent && (t.expiresAt.IsZero() || now.Before(t.expiresAt))
+	m.announced = m.announced || announced
+	m.live = m.live || announced && !t.Replaced && reachable
 }
 
-func (j *joined) target() Target {
+func (m *merger) target() Target {
 	return Target{
-		Upstream: j.best.Upstream, ColdUntil: j.best.at.Add(j.best.Cold), Live: j.live && !j.withdrawn,
-		// One that has withdrawn serves its open flows until it ends. Another incarnation at
-		// the address ends this one only once it is silent: a delayed announcement of an
-		// earlier one would otherwise reset the flows of an upstream that serves.
-		Ended: j.ended || j.replaced && !j.heard,
+		Upstream: m.latest.Upstream, ColdUntil: m.latest.receivedAt.Add(m.latest.Cold), Live: m.live && !m.withdrawn,
+		// A withdrawn upstream serves its open flows until it has ended. A replaced one counts
+		// as ended only once its announcements are overdue: otherwise a delayed announcement of
+		// an earlier incarnation would reset the flows of an upstream that still serves.
+		Ended: m.ended || m.replaced && !m.announced,
 	}
 }
--- a/internal/upstream/view/source.go
+++ b/internal/upstream/view/source.go
@@ -6,67 +6,68 @@
 	"time"
 )
 
-// changesMost bounds the changes that are remembered of one voter. Whoever missed more
-// is told all that the voter said: 40 bytes an upstream, as 16 bytes are here for each.
-const changesMost = 1024
+// maxChanges bounds the changes that are kept per voter, at 16 bytes each. A follower that
+// missed more receives all notices of the voter, at 40 bytes per upstream.
+const maxChanges = 1024
 
-// source is what one voter told.
+// source holds the state received from one voter.
 type source struct {
 	life    uint64
 	contact time.Time
-	// inTouch says that its liveness reports counted when Changes looked last.
-	inTouch bool
-	// changes are the latest notices of this life, for those who follow this balancer.
+	// reachable reports whether the voter's contact lease was valid when the view was last aged.
+	reachable bool
+	// changes are the latest changes since the voter started, for followers of this balancer.
 	changes []change
-	// inherited is until when notices of an earlier life count; lapses says that some do
-	// until then.
-	inherited time.Time
-	lapses    bool
-	notices   map[uint64]*told
+	// provisionalUntil is when provisional notices expire: those from before the voter's
+	// restart, and recalled ones.
+	provisionalUntil time.Time
+	// hasProvisional reports whether there are any.
+	hasProvisional bool
+	notices        map[uint64]*voterNotice
 }
 
-// change says that a notice on an incarnation came with a version of the voter.
+// change records that a notice on an incarnation arrived with a version of the voter.
 type change struct{ version, incarnation uint64 }
 
-func newSource(life uint64) *source { return &source{life: life, notices: map[uint64]*told{}} }
+func newSource(life uint64) *source { return &source{life: life, notices: map[uint64]*voterNotice{}} }
 
-// restart notes another life of the voter, and until when what the last one told counts.
-func (s *source) restart(life uint64, until time.Time) {
+// restart records a restart of the voter, and when its earlier notices expire.
+func (s *source) restart(life uint64, expiresAt time.Time) {
 	s.life, s.changes = life, nil
-	s.inherited, s.lapses = until, true
+	s.provisionalUntil, s.hasProvisional = expiresAt, true
 	for _, t := range s.notices {
-		t.until = until
+		t.expiresAt = expiresAt
 	}
 }
 
-// lapse returns until when a notice counts that the voter recalled: it forgets the upstream
-// without a notice unless it hears it itself. All that one voter recalled lapses together, or
-// the end of one would be missed.
-func (s *source) lapse(now, until time.Time) time.Time {
-	if !s.inherited.After(now) {
-		s.inherited = until
+// addProvisional returns when a recalled notice expires: the voter forgets a recalled upstream
+// without a notice unless the upstream announces itself. All provisional notices of a voter
+// expire together, since only one expiry time is tracked per voter.
+func (s *source) addProvisional(now, expiresAt time.Time) time.Time {
+	if !s.provisionalUntil.After(now) {
+		s.provisionalUntil = expiresAt
 	}
-	s.lapses = true
-	return s.inherited
+	s.hasProvisional = true
+	return s.provisionalUntil
 }
 
-// lapsed says, once, that what the voter inherited or recalled counts no longer.
-func (s *source) lapsed(now time.Time) bool {
-	if !s.lapses || now.Before(s.inherited) {
+// provisionalExpired returns true once after the provisional notices have expired.
+func (s *source) provisionalExpired(now time.Time) bool {
+	if !s.hasProvisional || now.Before(s.provisionalUntil) {
 		return false
 	}
-	s.lapses = false
+	s.hasProvisional = false
 	return true
 }
 
-// trim bounds the changes that are remembered.
+// trim drops the oldest changes beyond maxChanges.
 func (s *source) trim() {
-	if len(s.changes) > 2*changesMost {
-		s.changes = slices.Clone(s.changes[len(s.changes)-changesMost:])
+	if len(s.changes) > 2*maxChanges {
+		s.changes = slices.Clone(s.changes[len(s.changes)-maxChanges:])
 	}
 }
 
-// changedSince returns the incarnations of which a voter told after a version, each once.
+// changedSince returns the distinct incarnations with a notice after a version.
 func (s *source) changedSince(version uint64) []uint64 {
 	first := len(s.changes)
 	if first == 0 {
@@ -76,7 +77,7 @@
 		first--
 	}
 	if first == 0 {
-		// The changes may begin later than the version asked for.
+		// Changes after the requested version may have been trimmed.
 		return slices.Collect(maps.Keys(s.notices))
 	}
 	seen := make(map[uint64]bool, len(s.changes)-first)
--- a/internal/upstream/view/view.go
+++ b/internal/upstream/view/view.go
@@ -9,51 +9,52 @@
 	"wasabideal/internal/upstream/directory"
 )
 
-// Settings bound a view.
+// Settings configures a view.
 type Settings struct {
-	// ContactLease is how long a voter's word on who is alive holds without an
-	// answer from it.
+	// ContactLease is how long the liveness reports of a voter stay valid without contact.
 	ContactLease time.Duration
-	// InheritFor is how long upstreams count as alive that only a voter's life
-	// before its restart, or another voter before that, has heard.
+	// InheritFor is how long an upstream stays live that a voter knows only from before its
+	// restart, or has recalled.
 	InheritFor time.Duration
-	// ForgetAfter is how long an upstream is remembered that no voter tells of.
+	// ForgetAfter is how long an upstream is kept without a valid notice.
 	ForgetAfter time.Duration
 }
 
-// Target is one upstream as the balancer sees it.
+// Target is the merged state of one upstream.
 type Target struct {
 	upstream.Upstream
 	ColdUntil time.Time
-	// Live says that some voter heard it lately.
+	// Live reports whether some reachable voter has recently received its announcements.
 	Live bool
-	// Ended says that this incarnation is certainly over, and so are its flows.
+	// Ended reports whether this incarnation has certainly ended, and with it its flows.
 	Ended bool
 }
 
-// News is what one voter told, directly or through balancers that pass it on.
+// News is an update from one voter, received directly or through relaying balancers.
 type News struct {
-	// Voter names it, Life tells its restarts apart.
+	// Voter identifies the voter, Life its current run.
 	Voter string
 	Life  uint64
-	// Version is that of the voter's list of upstreams with these notices.
+	// Version is the version of the voter's directory that includes these notices.
 	Version uint64
-	// Contact is when the voter said so at the latest.
+	// Contact is when the voter was last known to be reachable.
 	Contact time.Time
 	Notices []directory.Notice
 }
 
-// View is what one balancer was told; one goroutine owns it.
+// View holds the notices that one balancer received. It is not safe for concurrent use.
 type View struct {
 	settings Settings
 	sources  map[string]*source
-	// records are what all voters told of each incarnation.
+	// records holds the notices of all voters by incarnation.
 	records map[uint64]*record
-	// inTouch is how many voters' liveness reports counted when Changes looked last.
-	inTouch int
-	// changed are the upstreams that may differ from what Changes returned.
-	changed  map[uint64]bool
-	whole    bool
+	// reachable is the number of reachable voters when the view was last aged.
+	reachable int
+	// changed holds the upstreams that may differ from the last result of Changes.
+	changed map[uint64]bool
+	// whole makes Changes return all upstreams.
+	whole bool
+	// forgotAt is when obsolete notices were last deleted.
 	forgotAt time.Time
 }
 
@@ -62,14 +63,14 @@
 	return &View{settings: s, sources: map[string]*source{}, records: map[uint64]*record{}, changed: map[uint64]bool{}, whole: true}
 }
 
-// Take notes a voter's answer; life tells its restarts apart. A voter that
-// restarted empty takes nothing away: upstreams that it has not heard yet stay
-// for a while, and others may have heard them.
+// Take applies notices that a voter sent just now. If the voter has restarted, its earlier
+// notices stay valid for Settings.InheritFor, since it has not yet received the announcements
+// of all its upstreams.
 func (v *View) Take(now time.Time, name string, life uint64, notices []directory.Notice) {
 	v.Hear(now, News{Voter: name, Life: life, Contact: now, Notices: notices})
 }
 
-// Hear notes what a voter told some time ago; see Take.
+// Hear applies an update that may have been relayed; see Take.
 func (v *View) Hear(now time.Time, news News) {
 	s := v.sources[news.Voter]
 	if s == nil {
@@ -78,36 +79,37 @@
 	}
 	if s.life != news.Life {
 		s.restart(news.Life, now.Add(v.settings.InheritFor))
-		v.mark(s)
+		v.markChanged(s)
 	}
-	if s.lapsed(now) {
-		v.mark(s)
+	if s.provisionalExpired(now) {
+		v.markChanged(s)
 	}
 	if news.Contact.After(s.contact) {
 		s.contact = news.Contact
 	}
 	for _, n := range news.Notices {
-		t := told{Notice: n, at: now, life: news.Life, version: news.Version}
+		t := voterNotice{Notice: n, receivedAt: now, life: news.Life, version: news.Version}
 		if n.Recalled {
-			t.until = s.lapse(now, now.Add(v.settings.InheritFor))
+			t.expiresAt = s.addProvisional(now, now.Add(v.settings.InheritFor))
 		}
-		v.note(s, t)
+		v.store(s, t)
 	}
 	s.trim()
 	v.forget(now)
-	v.bound()
+	v.limitChanged()
 }
 
-// bound keeps a view whose changes nobody takes from remembering every upstream that ever was.
-func (v *View) bound() {
+// limitChanged bounds the memory of a view whose changes are never collected: it would otherwise
+// keep the identifiers of all past upstreams.
+func (v *View) limitChanged() {
 	if len(v.changed) > len(v.records) {
 		v.whole = true
 		clear(v.changed)
 	}
 }
 
-// note keeps what a voter told of one upstream.
-func (v *View) note(s *source, t told) {
+// store keeps a voter's notice on one upstream.
+func (v *View) store(s *source, t voterNotice) {
 	id := t.Upstream.Incarnation
 	r := v.records[id]
 	if r == nil {
@@ -119,15 +121,15 @@
 	v.changed[id] = true
 }
 
-// mark notes that all that a voter told may count otherwise now.
-func (v *View) mark(s *source) {
+// markChanged marks all upstreams with a notice of a voter as changed.
+func (v *View) markChanged(s *source) {
 	for id := range s.notices {
 		v.changed[id] = true
 	}
 }
 
-// Since returns what a voter told in a life after a version, as the voter would tell it
-// now. What it only recalled is left out: that lapses by the clock of the receiver.
+// Since returns the notices of a voter's run after a version, as the voter would send them
+// now. Recalled notices are left out, since their expiry depends on the receiver's clock.
 func (v *View) Since(now time.Time, voter string, life, version uint64) []directory.Notice {
 	s := v.sources[voter]
 	if s == nil || s.life != life {
@@ -140,14 +142,14 @@
 			continue
 		}
 		n := t.Notice
-		n.Cold = max(n.Cold-now.Sub(t.at), 0)
-		n.Age += now.Sub(t.at)
+		n.Cold = max(n.Cold-now.Sub(t.receivedAt), 0)
+		n.Age += now.Sub(t.receivedAt)
 		out = append(out, n)
 	}
 	return out
 }
 
-// forget drops what has not counted for long.
+// forget deletes notices that have been obsolete for Settings.ForgetAfter.
 func (v *View) forget(now time.Time) {
 	if now.Sub(v.forgotAt) < v.settings.ForgetAfter/10 {
 		return
@@ -157,21 +159,21 @@
 		if r.forget(now, id, v.settings.ForgetAfter) {
 			v.changed[id] = true
 		}
-		if len(r.statements) == 0 {
+		if len(r.byVoter) == 0 {
 			delete(v.records, id)
 		}
 	}
 }
 
-// Changes are the upstreams that differ from what was told before.
+// Changes holds the upstreams that differ from an earlier state.
 type Changes struct {
-	// Whole means that Targets are all there are.
+	// Whole means that Targets holds all upstreams.
 	Whole   bool
 	Targets []Target
 	Gone    []uint64
 }
 
-// Changes returns what differs since the last call, and whether anything may.
+// Changes returns the upstreams that may differ since the last call, and whether there are any.
 func (v *View) Changes(now time.Time) (Changes, bool) {
 	v.age(now)
 	if v.whole {
@@ -184,7 +186,7 @@
 	}
 	var c Changes
 	for id := range v.changed {
-		if t, known := v.records[id].target(now, v.inTouch > 0); known {
+		if t, known := v.records[id].target(now, v.reachable > 0); known {
 			c.Targets = append(c.Targets, t)
 		} else {
 			c.Gone = append(c.Gone, id)
@@ -195,22 +197,22 @@
 	return c, true
 }
 
-// Targets returns all upstreams known, in the order of incarnations.
+// Targets returns all known upstreams, sorted by incarnation.
 func (v *View) Targets(now time.Time) []Target {
 	v.age(now)
 	return v.targets(now)
 }
 
-// Target returns one upstream, if it is known.
+// Target returns one upstream and whether it is known.
 func (v *View) Target(now time.Time, incarnation uint64) (Target, bool) {
 	v.age(now)
-	return v.records[incarnation].target(now, v.inTouch > 0)
+	return v.records[incarnation].target(now, v.reachable > 0)
 }
 
 func (v *View) targets(now time.Time) []Target {
 	out := make([]Target, 0, len(v.records))
 	for _, r := range v.records {
-		if t, known := r.target(now, v.inTouch > 0); known {
+		if t, known := r.target(now, v.reachable > 0); known {
 			out = append(out, t)
 		}
 	}
@@ -220,26 +222,27 @@
 
 func byIncarnation(a, b Target) int { return cmp.Compare(a.Incarnation, b.Incarnation) }
 
-// age marks what time alone has changed: the upstreams of voters that fell out of touch or
-// are back, and those that a restarted voter no longer reports. Of one voter among many these
-// are a small part of all upstreams.
+// age marks the upstreams that change with time alone: those of voters that became
+// unreachable or reachable, and those with expired provisional
+// notices. For one voter among many these are
+// few, so the others need not be merged again.
 func (v *View) age(now time.Time) {
-	inTouch := 0
+	reachable := 0
 	for _, s := range v.sources {
-		if is := now.Sub(s.contact) <= v.settings.ContactLease; is != s.inTouch {
-			s.inTouch = is
-			v.mark(s)
+		if r := now.Sub(s.contact) <= v.settings.ContactLease; r != s.reachable {
+			s.reachable = r
+			v.markChanged(s)
 		}
-		if s.inTouch {
-			inTouch++
+		if s.reachable {
+			reachable++
 		}
-		if s.lapsed(now) {
-			v.mark(s)
+		if s.provisionalExpired(now) {
+			v.markChanged(s)
 		}
 	}
-	if (inTouch == 0) != (v.inTouch == 0) {
-		// Out of touch with all voters, each one's last report holds.
+	if (reachable == 0) != (v.reachable == 0) {
+		// While no voter is reachable, the last notices of all voters stay valid.
 		v.whole = true
 	}
-	v.inTouch = inTouch
+	v.reachable = reachable
 }
--- a/internal/upstream/view/view_test.go
+++ b/internal/upstream/view/view_test.go
@@ -32,7 +32,7 @@
 
 func after(seconds int) time.Time { return epoch.Add(time.Duration(seconds) * time.Second) }
 
-func TestOneVoterThatHearsAnUpstreamIsEnough(t *testing.T) {
+func TestUpstreamIsLiveIfOneVoterReceivesItsAnnouncements(t *testing.T) {
 	v := newView()
 	silent := notice(5, upstream.Ready)
 	silent.Silent = true
@@ -42,11 +42,9 @@
 	require.Equal(t, uint64(7), v.Targets(epoch)[0].Sequence)
 }
 
-// Symptom: a draining upstream got new flows after its departure was acknowledged.
-// Events: it tells one voter that it drains; another voter's older word that it
-// is ready reaches the balancer later.
-// Cause: the word that came last won, not the one with the higher sequence.
-func TestOlderWordDoesNotUndoADeparture(t *testing.T) {
+// Guards against new flows to a draining upstream after one voter has acknowledged the drain:
+// an older notice of another voter, with a lower sequence, reaches the balancer later.
+func TestOlderNoticeDoesNotUndoADrain(t *testing.T) {
 	v := newView()
 	v.Take(epoch, "v1", 1, []directory.Notice{notice(9, upstream.Draining)})
 	v.Take(after(1), "v2", 1, []directory.Notice{notice(8, upstream.Ready)})
@@ -57,12 +55,12 @@
 	require.False(t, v.Targets(after(3))[0].Live)
 }
 
-// Guards against resets of flows that an upstream still serves between its departure and its end.
-func TestUpstreamThatHasWithdrawnKeepsItsFlowsUntilItEnds(t *testing.T) {
+// Guards against resets of flows that a withdrawn upstream still serves.
+func TestWithdrawnUpstreamKeepsItsFlowsUntilItEnds(t *testing.T) {
 	v := newView()
 	d := directory.New(directory.Settings{SilentAfter: 4 * time.Second, ForgetAfter: time.Minute})
 	version := uint64(0)
-	hear := func(now time.Time) view.Target {
+	next := func(now time.Time) view.Target {
 		d.Tick(now)
 		v.Take(now, "v1", 1, d.Since(now, version))
 		version = d.Version()
@@ -70,79 +68,73 @@
 	}
 	x := notice(1, upstream.Ready).Upstream
 	d.Announce(epoch, x, 0)
-	require.True(t, hear(epoch).Live)
+	require.True(t, next(epoch).Live)
 	d.Announce(epoch, x.WithState(upstream.Withdrawn), 0)
 	for _, seconds := range []int{0, 2, 5, 9} {
-		require.False(t, hear(after(seconds)).Live, "new flows go elsewhere at once")
-		require.False(t, hear(after(seconds)).Ended, "an acknowledgement that is late or lost lets it serve on for seconds")
+		require.False(t, next(after(seconds)).Live, "a withdrawn upstream gets no new flows")
+		require.False(t, next(after(seconds)).Ended, "it serves on for seconds if the acknowledgement is late or lost")
 	}
-	require.True(t, hear(after(11)).Ended)
+	require.True(t, next(after(11)).Ended)
 }
 
-// Symptom: balancers had no upstream for seconds after a voter's restart.
-// Events: the only voter in reach restarts and has heard nothing yet.
-// Cause: its empty answer replaced what it had told before.
-func TestRestartedVoterTakesNothingAway(t *testing.T) {
+// Guards against a balancer without upstreams for seconds after the only reachable voter has
+// restarted: its first answer is empty and must not replace the earlier notices.
+func TestRestartedVoterRemovesNothingAtOnce(t *testing.T) {
 	v := newView()
 	v.Take(epoch, "v1", 1, []directory.Notice{notice(1, upstream.Ready)})
 	v.Take(after(1), "v1", 2, nil)
 	require.True(t, v.Targets(after(1))[0].Live)
 	v.Take(after(6), "v1", 2, nil)
-	require.False(t, v.Targets(after(6))[0].Live, "unless nobody hears it again")
+	require.False(t, v.Targets(after(6))[0].Live, "no voter has received an announcement since")
 	v.Take(after(7), "v1", 2, []directory.Notice{notice(3, upstream.Ready)})
 	require.True(t, v.Targets(after(7))[0].Live)
 }
 
-func TestVoterOutOfReachDoesNotVouchUnlessAllAre(t *testing.T) {
+func TestNoticesOfUnreachableVotersCountOnlyIfAllAreUnreachable(t *testing.T) {
 	v := newView()
 	v.Take(epoch, "far", 1, []directory.Notice{notice(1, upstream.Ready)})
 	v.Take(epoch, "near", 1, nil)
 	v.Take(after(5), "near", 1, nil)
 	require.False(t, v.Targets(after(5))[0].Live)
-	require.True(t, v.Targets(after(20))[0].Live, "cut off from all voters, the last word holds")
+	require.True(t, v.Targets(after(20))[0].Live, "while no voter is reachable, the last notices stay valid")
 }
 
-// Symptom: open flows of an upstream that served were reset.
-// Events: an upstream crashes behind a cut, another starts at its address and
-// takes flows; the first one's delayed announcement arrives at the only voter
-// that heard the second.
-// Cause: the incarnation that was heard last at an address ended the other at
-// once, although that one had announced itself a second before.
-func TestReplacedIncarnationEndsOnlyOnceItIsSilentEverywhere(t *testing.T) {
+// Guards against resets of open flows to a live upstream: it has replaced a crashed one at the
+// same address, and a delayed announcement of that one reaches the only voter that knows the
+// new one. A replaced incarnation must not end while its own announcements are recent.
+func TestReplacedIncarnationEndsOnlyOnceItIsSilentAtAllVoters(t *testing.T) {
 	v := newView()
 	replaced := notice(1, upstream.Ready)
 	replaced.Replaced = true
 	v.Take(epoch, "v1", 1, []directory.Notice{replaced})
 	v.Take(epoch, "v2", 1, []directory.Notice{notice(2, upstream.Ready)})
-	require.False(t, v.Targets(epoch)[0].Ended, "the second voter still vouches for it")
+	require.False(t, v.Targets(epoch)[0].Ended, "the second voter reports it as live")
 	v.Take(epoch, "v2", 1, []directory.Notice{replaced})
-	require.False(t, v.Targets(epoch)[0].Ended, "it was heard lately")
-	require.False(t, v.Targets(epoch)[0].Live, "but it takes no new flow before others")
+	require.False(t, v.Targets(epoch)[0].Ended, "its last announcement is recent")
+	require.False(t, v.Targets(epoch)[0].Live, "but it gets no new flows")
 	silent := replaced
 	silent.Silent = true
 	v.Take(after(3), "v1", 1, []directory.Notice{silent})
-	require.False(t, v.Targets(after(3))[0].Ended, "the second voter heard it lately")
+	require.False(t, v.Targets(after(3))[0].Ended, "the second voter received a recent announcement")
 	v.Take(after(4), "v2", 1, []directory.Notice{silent})
 	require.True(t, v.Targets(after(4))[0].Ended)
 }
 
-func TestRecalledUpstreamCountsForAWhile(t *testing.T) {
+func TestRecalledUpstreamIsLiveUntilItExpires(t *testing.T) {
 	v := newView()
 	recalled := notice(1, upstream.Ready)
 	recalled.Recalled = true
 	v.Take(epoch, "v1", 1, []directory.Notice{recalled})
 	require.True(t, v.Targets(epoch)[0].Live)
 	v.Take(after(6), "v1", 1, nil)
-	require.False(t, v.Targets(after(6))[0].Live, "nobody has heard it since")
+	require.False(t, v.Targets(after(6))[0].Live, "no voter has received an announcement since")
 	v.Take(after(7), "v1", 1, []directory.Notice{notice(2, upstream.Ready)})
 	require.True(t, v.Targets(after(7))[0].Live)
 }
 
-// Symptom: the changes that a balancer was told left an upstream in its pool that had
-// lapsed.
-// Events: a voter tells of a recalled upstream, and of another a moment later.
-// Cause: what lapses was looked at only when the last of them did.
-func TestRecalledUpstreamsOfAVoterLapseTogether(t *testing.T) {
+// Guards against an expired upstream that stays in the pool of a balancer: a voter recalls
+// another upstream shortly after it, and expiry is only checked at the later time.
+func TestRecalledUpstreamsOfAVoterExpireTogether(t *testing.T) {
 	v := newView()
 	first, second := notice(1, upstream.Ready), notice(1, upstream.Ready)
 	first.Recalled, second.Recalled = true, true
@@ -158,8 +150,8 @@
 	require.False(t, c.Targets[1].Live)
 }
 
-// relived returns the upstreams of which a view tells a change, and whether each is live.
-func relived(v *view.View, now time.Time) map[uint64]bool {
+// changedLiveness returns the changed upstreams of a view, and whether each is live.
+func changedLiveness(v *view.View, now time.Time) map[uint64]bool {
 	c, _ := v.Changes(now)
 	out := map[uint64]bool{}
 	for _, t := range c.Targets {
@@ -168,28 +160,28 @@
 	return out
 }
 
-func TestTimeAloneChangesAView(t *testing.T) {
+func TestViewChangesWithTime(t *testing.T) {
 	v := newView()
 	v.Take(epoch, "v1", 1, []directory.Notice{notice(1, upstream.Ready)})
 	v.Take(epoch, "v2", 1, nil)
-	require.Equal(t, map[uint64]bool{1: true}, relived(v, epoch))
-	require.Empty(t, relived(v, after(2)))
+	require.Equal(t, map[uint64]bool{1: true}, changedLiveness(v, epoch))
+	require.Empty(t, changedLiveness(v, after(2)))
 	v.Take(after(2), "v2", 1, nil)
-	require.Equal(t, map[uint64]bool{1: false}, relived(v, after(4)), "v1 has not answered for longer than its lease")
-	require.Empty(t, relived(v, after(4)))
+	require.Equal(t, map[uint64]bool{1: false}, changedLiveness(v, after(4)), "v1 has not answered for longer than its lease")
+	require.Empty(t, changedLiveness(v, after(4)))
 	v.Take(after(4), "v1", 2, nil)
-	require.Equal(t, map[uint64]bool{1: true}, relived(v, after(4)))
+	require.Equal(t, map[uint64]bool{1: true}, changedLiveness(v, after(4)))
 	v.Take(after(7), "v1", 2, nil)
 	v.Take(after(7), "v2", 1, nil)
-	require.Empty(t, relived(v, after(7)))
+	require.Empty(t, changedLiveness(v, after(7)))
 	v.Take(after(9), "v1", 2, nil)
 	v.Take(after(9), "v2", 1, nil)
-	require.Equal(t, map[uint64]bool{1: false}, relived(v, after(9)), "what v1 heard before its restart counts no more")
+	require.Equal(t, map[uint64]bool{1: false}, changedLiveness(v, after(9)), "the notices from before v1's restart have expired")
 }
 
-// Guards against packets that wait for hundreds of ms at a balancer: one voter out of touch
-// had it look at all upstreams of the fleet anew.
-func TestOneVoterOutOfTouchConcernsItsUpstreamsOnly(t *testing.T) {
+// Guards against packets delayed by hundreds of ms at a balancer that processes all upstreams
+// of the fleet again whenever one voter is unreachable.
+func TestUnreachableVoterChangesOnlyItsUpstreams(t *testing.T) {
 	v := newView()
 	const voters = 25
 	for voter := range voters {
@@ -200,26 +192,24 @@
 	for voter := 1; voter < voters; voter++ {
 		v.Take(after(4), fmt.Sprint("v", voter), 1, nil)
 	}
-	require.Equal(t, map[uint64]bool{1: false}, relived(v, after(4)))
+	require.Equal(t, map[uint64]bool{1: false}, changedLiveness(v, after(4)))
 	v.Take(after(5), "v0", 1, nil)
-	require.Equal(t, map[uint64]bool{1: true}, relived(v, after(5)))
+	require.Equal(t, map[uint64]bool{1: true}, changedLiveness(v, after(5)))
 	v.Take(after(5), "v0", 2, nil)
-	require.Equal(t, map[uint64]bool{1: true}, relived(v, after(5)), "a restart")
+	require.Equal(t, map[uint64]bool{1: true}, changedLiveness(v, after(5)), "a restart")
 	v.Take(after(10), "v0", 2, nil)
 	for voter := 1; voter < voters; voter++ {
 		v.Take(after(10), fmt.Sprint("v", voter), 1, nil)
 	}
 	c, _ := v.Changes(after(10))
 	require.False(t, c.Whole)
-	require.Len(t, c.Targets, 1, "what the restarted voter inherited lapses")
+	require.Len(t, c.Targets, 1, "the notices from before the restart expire")
 	require.False(t, c.Targets[0].Live)
 }
 
-// Symptom: upstreams that had been up for minutes got no flow for a second after
-// a voter's restart.
-// Events: an upstream was told of long ago; the only voter restarts.
-// Cause: the inherited word was forgotten at once, for its age.
-func TestInheritedWordOutlivesItsAge(t *testing.T) {
+// Guards against upstreams that get no flow for a second after the only voter has restarted:
+// their notices are minutes old, and were forgotten at once because of their age.
+func TestOldNoticeIsKeptAfterARestart(t *testing.T) {
 	v := newView()
 	v.Take(epoch, "v1", 1, []directory.Notice{notice(1, upstream.Ready)})
 	v.Take(after(600), "v1", 1, nil)
@@ -230,43 +220,43 @@
 	require.Empty(t, v.Targets(after(800)))
 }
 
-// held is what one who takes all changes knows.
-type held map[uint64]view.Target
+// replica is the state that results from applying all changes.
+type replica map[uint64]view.Target
 
-func (h held) take(c view.Changes) {
+func (r replica) apply(c view.Changes) {
 	if c.Whole {
-		clear(h)
+		clear(r)
 	}
 	for _, id := range c.Gone {
-		delete(h, id)
+		delete(r, id)
 	}
 	for _, t := range c.Targets {
-		h[t.Incarnation] = t
+		r[t.Incarnation] = t
 	}
 }
 
-func (h held) sorted() []view.Target {
+func (r replica) sorted() []view.Target {
 	out := []view.Target{}
-	for _, id := range slices.Sorted(maps.Keys(h)) {
-		out = append(out, h[id])
+	for _, id := range slices.Sorted(maps.Keys(r)) {
+		out = append(out, r[id])
 	}
 	return out
 }
 
-// TestChangesLeadToTheSamePools plays random words of three voters, and holds
-// that a router that takes changes has the pools of one that takes all.
+// TestChangesLeadToTheSamePools applies random notices of three voters and checks that a router
+// that applies the changes has the same pools as one that is given all targets.
 func TestChangesLeadToTheSamePools(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		v := newView()
-		follows := router.New(router.Settings{Zone: "a"})
+		incremental := router.New(router.Settings{Zone: "a"})
 		now := epoch
-		lives := map[string]uint64{}
-		held := held{}
+		runs := map[string]uint64{}
+		replica := replica{}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 4000).Draw(t, "pause")) * time.Millisecond)
 			name := rapid.SampledFrom([]string{"v1", "v2", "v3"}).Draw(t, "voter")
 			if rapid.IntRange(0, 9).Draw(t, "restart") == 0 {
-				lives[name]++
+				runs[name]++
 			}
 			var notices []directory.Notice
 			for range rapid.IntRange(0, 3).Draw(t, "notices") {
@@ -279,30 +269,28 @@
 				n.Recalled = rapid.IntRange(0, 4).Draw(t, "recalled") == 0
 				notices = append(notices, n)
 			}
-			v.Take(now, name, lives[name], notices)
+			v.Take(now, name, runs[name], notices)
 			if rapid.IntRange(0, 2).Draw(t, "late") == 0 {
 				continue
 			}
 			if c, changed := v.Changes(now); changed {
-				follows.Update(now, c)
-				held.take(c)
+				incremental.Update(now, c)
+				replica.apply(c)
 			}
-			require.Equal(t, v.Targets(now), held.sorted())
+			require.Equal(t, v.Targets(now), replica.sorted())
 			fresh := router.New(router.Settings{Zone: "a"})
 			fresh.SetTargets(now, v.Targets(now))
 			for _, service := range []string{"orders", "notes"} {
-				require.Equal(t, fresh.Pool(service), follows.Pool(service))
+				require.Equal(t, fresh.Pool(service), incremental.Pool(service))
 			}
-			require.Equal(t, fresh.Upstreams(), follows.Upstreams())
+			require.Equal(t, fresh.Upstreams(), incremental.Upstreams())
 		}
 	})
 }
 
-// Symptom: an upstream that had started again got no flow, or its flows were reset.
-// Events: one voter heard its new life; others still tell of the life before, as ready,
-// silent, replaced or withdrawn, before and after the balancer hears of the new one.
-// Cause: words of two lives were joined as if they were one.
-func TestWordsOfAnEarlierLifeDoNotCount(t *testing.T) {
+// Guards against a restarted upstream that gets no flow or whose flows are reset: one voter
+// knows the new run, while others still send notices on the earlier run, before or after.
+func TestNoticesOnAnEarlierRunAreIgnored(t *testing.T) {
 	before := notice(90, upstream.Withdrawn)
 	before.Upstream.Born, before.Replaced, before.Silent = 100, true, true
 	again := notice(1, upstream.Ready)
@@ -319,9 +307,9 @@
 	}
 }
 
-// The voter that heard the new life restarts and has not heard it again: the life
-// before, of which another voter tells, is over all the same.
-func TestEarlierLifeStaysOver(t *testing.T) {
+// The voter that knows the new run restarts and receives no announcement: notices of another
+// voter on the earlier run are still ignored.
+func TestEarlierRunStaysEnded(t *testing.T) {
 	v := newView()
 	before := notice(90, upstream.Ready)
 	before.Upstream.Born = 100
@@ -353,79 +341,77 @@
 	return out
 }
 
-func hear(v *view.View, at time.Time, life, version uint64, notices ...directory.Notice) {
+func apply(v *view.View, at time.Time, life, version uint64, notices ...directory.Notice) {
 	v.Hear(at, view.News{Voter: "v1", Life: life, Version: version, Contact: at, Notices: notices})
 }
 
-func TestWhatFollowersMissed(t *testing.T) {
+func TestSinceReturnsLaterNotices(t *testing.T) {
 	v := newView()
-	hear(v, epoch, 1, 5, numbered(1, 1), numbered(2, 1))
-	hear(v, after(1), 1, 6, numbered(3, 1))
+	apply(v, epoch, 1, 5, numbered(1, 1), numbered(2, 1))
+	apply(v, after(1), 1, 6, numbered(3, 1))
 	require.Equal(t, []uint64{1, 2, 3}, incarnations(v.Since(after(1), "v1", 1, 0)))
 	require.Equal(t, []uint64{3}, incarnations(v.Since(after(1), "v1", 1, 5)))
 	require.Empty(t, v.Since(after(1), "v1", 1, 6))
-	require.Empty(t, v.Since(after(1), "v1", 2, 0), "another life")
+	require.Empty(t, v.Since(after(1), "v1", 2, 0), "another run")
 	require.Empty(t, v.Since(after(1), "v2", 1, 0))
-	hear(v, after(2), 1, 7, numbered(1, 9))
+	apply(v, after(2), 1, 7, numbered(1, 9))
 	require.Equal(t, []uint64{1, 3}, incarnations(v.Since(after(2), "v1", 1, 5)))
 }
 
-// Symptom: a follower kept an upstream of a voter's earlier life, or took it for new.
-// Events: the voter restarts; a balancer passes on what it said.
-// Cause: notices of both lives were passed on as one.
-func TestOnlyThePresentLifeIsPassedOn(t *testing.T) {
+// Guards against followers that take notices from before a voter's restart for current ones,
+// because a balancer relays both together.
+func TestOnlyNoticesOfTheCurrentRunAreRelayed(t *testing.T) {
 	v := newView()
-	hear(v, epoch, 1, 5, numbered(1, 1))
-	hear(v, after(1), 2, 1, numbered(2, 1))
+	apply(v, epoch, 1, 5, numbered(1, 1))
+	apply(v, after(1), 2, 1, numbered(2, 1))
 	require.Equal(t, []uint64{2}, incarnations(v.Since(after(1), "v1", 2, 0)))
 	recalled := numbered(3, 1)
 	recalled.Recalled = true
-	hear(v, after(1), 2, 2, recalled)
-	require.Equal(t, []uint64{2}, incarnations(v.Since(after(1), "v1", 2, 0)), "what lapses by itself is not passed on")
+	apply(v, after(1), 2, 2, recalled)
+	require.Equal(t, []uint64{2}, incarnations(v.Since(after(1), "v1", 2, 0)), "recalled notices are not relayed")
 }
 
-func TestNoticesGrowOlderWhileTheyWait(t *testing.T) {
+func TestRelayedNoticesAge(t *testing.T) {
 	v := newView()
 	n := numbered(1, 1)
 	n.Cold, n.Age = 3*time.Second, time.Second
-	hear(v, epoch, 1, 1, n)
-	passed := v.Since(after(2), "v1", 1, 0)[0]
-	require.Equal(t, time.Second, passed.Cold)
-	require.Equal(t, 3*time.Second, passed.Age)
+	apply(v, epoch, 1, 1, n)
+	relayed := v.Since(after(2), "v1", 1, 0)[0]
+	require.Equal(t, time.Second, relayed.Cold)
+	require.Equal(t, 3*time.Second, relayed.Age)
 	require.Zero(t, v.Since(after(9), "v1", 1, 0)[0].Cold)
 }
 
-// Guards against memory that grows with every upstream that ever was, at a voter that keeps a
-// view for its disk and takes no changes.
-func TestChangesThatNobodyTakesAreBounded(t *testing.T) {
+// Guards against memory that grows with every past upstream, at a voter that keeps a view for
+// its disk and never collects the changes.
+func TestUncollectedChangesAreBounded(t *testing.T) {
 	v := newView()
 	for n := range 100 {
 		gone := numbered(uint64(n)+1, 1)
 		gone.Silent = true
-		hear(v, after(100*n), 1, uint64(n)+1, gone)
+		apply(v, after(100*n), 1, uint64(n)+1, gone)
 	}
 	c, changed := v.Changes(after(10_000))
 	require.True(t, changed)
 	require.LessOrEqual(t, len(c.Targets)+len(c.Gone), 2)
 }
 
-// What was missed longest ago is told whole.
-func TestWhoMissedMuchIsToldAll(t *testing.T) {
+// A follower that missed more changes than are kept receives all notices.
+func TestSinceReturnsAllNoticesIfChangesWereTrimmed(t *testing.T) {
 	v := newView()
 	for n := range uint64(5000) {
-		hear(v, epoch, 1, n+1, numbered(n%50+1, n))
+		apply(v, epoch, 1, n+1, numbered(n%50+1, n))
 	}
 	require.Len(t, v.Since(epoch, "v1", 1, 10), 50)
 	require.Len(t, v.Since(epoch, "v1", 1, 4995), 5)
 }
 
-// Symptom: upstreams of a zone that was cut off counted as alive everywhere.
-// Events: a balancer passes on what it heard of a voter before the cut.
-// Cause: a voter counted as in touch whenever anything of it was passed on.
-func TestContactIsThatOfTheVoterItself(t *testing.T) {
+// Guards against upstreams of a partitioned zone that stay live: a balancer relays older updates
+// of a voter there, which must not count as contact with that voter.
+func TestRelayedUpdatesAreNoContact(t *testing.T) {
 	v := newView()
 	v.Hear(epoch, view.News{Voter: "v2", Life: 1, Version: 1, Contact: epoch})
-	hear(v, epoch, 1, 5, numbered(1, 1))
+	apply(v, epoch, 1, 5, numbered(1, 1))
 	for s := range 6 {
 		v.Hear(after(s), view.News{Voter: "v1", Life: 1, Version: 5, Contact: epoch})
 		v.Hear(after(s), view.News{Voter: "v2", Life: 1, Version: 1, Contact: after(s)})
