--- a/internal/upstream/directory/directory.go
+++ b/internal/upstream/directory/directory.go
@@ -11,59 +11,61 @@
 	"wasabideal/internal/model/upstream"
 )
 
-// departedAfter is how long after its departure an upstream may still serve its open flows: it ends
-// once the departure is acknowledged, or some seconds later where no acknowledgement reaches it.
-const departedAfter = 10 * time.Second
+// withdrawnGrace is how long a withdrawn upstream may still serve its open flows: it ends once its
+// withdrawal is acknowledged, or some seconds later if no acknowledgement reaches it.
+const withdrawnGrace = 10 * time.Second
 
-// Settings bound a directory.
+// Settings configures a directory.
 type Settings struct {
 	// SilentAfter is the time without an announcement after which an upstream
 	// counts as silent.
 	SilentAfter time.Duration
-	// ForgetAfter is how long silent and withdrawn upstreams are remembered.
+	// ForgetAfter is how long silent and withdrawn upstreams are kept.
 	ForgetAfter time.Duration
 }
 
-// Notice is what a directory tells of one upstream.
+// Notice is the state of one upstream as the directory publishes it.
 type Notice struct {
 	_        struct{} `cbor:",toarray"`
 	Upstream upstream.Upstream
-	// Cold is how much longer the upstream is slow after its start.
+	// Cold is the remaining time of the slow start of the upstream.
 	Cold time.Duration
-	// Silent says that announcements are overdue here, or, of an upstream that has withdrawn,
-	// that it has ended.
+	// Silent reports whether announcements are overdue here or, for a withdrawn upstream,
+	// whether it has ended.
 	Silent bool
-	// Replaced says that another incarnation was heard at the address since; of one that is
-	// silent, that the other one lives.
+	// Replaced reports whether another incarnation has announced itself at the address since
+	// and, for a silent upstream, whether that incarnation is alive.
 	Replaced bool
 	// Age is the time since the last announcement.
 	Age time.Duration
-	// Recalled says that it was not heard here: another voter heard it before this
-	// one restarted.
+	// Recalled reports whether this voter has not received the announcement itself: it was
+	// received by another voter before this one restarted.
 	Recalled bool
 }
 
+// entry is the latest announcement of one incarnation.
 type entry struct {
 	upstream.Upstream
-	coldUntil time.Time
-	heard     time.Time
-	silent    bool
-	replaced  bool
-	// succeeded says that the one that was heard at its address lives.
-	succeeded bool
-	recalled  bool
-	// returned says that a replaced upstream was heard once more.
+	coldUntil     time.Time
+	lastAnnounced time.Time
+	silent        bool
+	replaced      bool
+	// successorAlive reports whether the incarnation that replaced it is alive.
+	successorAlive bool
+	recalled       bool
+	// returned reports whether a replaced upstream has announced itself once more.
 	returned bool
-	// changed is the directory's version when others last had to be told.
+	// changed is the directory's version at the last change to publish.
 	changed uint64
 }
 
-// Directory is the announcements that one process heard; one goroutine owns it.
+// Directory holds the announcements that one voter received. It is not safe for concurrent use.
 type Directory struct {
 	settings Settings
 	entries  map[uint64]*entry
-	holders  map[netip.AddrPort]uint64
-	version  uint64
+	// holders maps each address to the incarnation that last announced itself there.
+	holders map[netip.AddrPort]uint64
+	version uint64
 }
 
 // New returns an empty directory.
@@ -71,93 +73,92 @@
 	return &Directory{settings: s, entries: map[uint64]*entry{}, holders: map[netip.AddrPort]uint64{}}
 }
 
-// Version rises whenever Since has news.
+// Version increases with each change that Since returns.
 func (d *Directory) Version() uint64 { return d.version }
 
-// Announce takes an announcement, and reports whether it is news to others and
-// whether it is newer than what was known; late and repeated ones are not.
-func (d *Directory) Announce(now time.Time, u upstream.Upstream, cold time.Duration) (news, newer bool) {
+// Announce stores an announcement. It returns whether it is a change to publish, and whether
+// it is newer than the stored one; delayed and repeated announcements are not.
+func (d *Directory) Announce(now time.Time, u upstream.Upstream, cold time.Duration) (publish, newer bool) {
 	old := d.entries[u.Incarnation]
 	if old != nil && u.State == upstream.Withdrawn && (u.Born == 0 || u.Born >= old.Born) {
-		// A departure may come without a description of the upstream.
+		// A withdrawal may carry only the incarnation of the upstream.
 		born := max(u.Born, old.Born)
 		u = old.WithState(upstream.Withdrawn)
 		u.Born = born
 	}
-	if old != nil && !follows(u, old.Upstream) {
+	if old != nil && !supersedes(u, old.Upstream) {
 		return false, false
 	}
-	d.leaveAddress(u, old)
-	e := &entry{Upstream: u, coldUntil: now.Add(cold), heard: now}
+	d.releaseAddress(u, old)
+	e := &entry{Upstream: u, coldUntil: now.Add(cold), lastAnnounced: now}
 	d.entries[u.Incarnation] = e
-	news = old == nil || old.silent || old.replaced || old.recalled || !sameBut(old.Upstream, u)
-	if u.State == upstream.Ready && d.late(now, u, old) {
+	publish = old == nil || old.silent || old.replaced || old.recalled || !equalExceptSequence(old.Upstream, u)
+	if u.State == upstream.Ready && d.maybeDelayed(now, u, old) {
 		e.replaced, e.returned, e.changed = true, true, old.changed
 		return false, true
 	}
-	if !news {
+	if !publish {
 		e.changed = old.changed
 	}
-	if d.hold(u) || news {
-		d.tell(e)
+	if d.takeAddress(u) || publish {
+		d.markChanged(e)
 		return true, true
 	}
 	return false, true
 }
 
-// Recall takes an upstream that another voter heard before a restart, if it is not
-// known. It is forgotten without a word where it is not heard here: in a fleet of
-// thousands its silence would be news for each of them to every balancer from each
-// voter, seconds after a loss of power everywhere.
+// Recall adds an upstream that another voter received before a restart, unless the same or a
+// later run of it is known. It is forgotten without a notice if it does not announce itself
+// here: otherwise, seconds after a power loss of all VMs, each voter would publish thousands of
+// silent upstreams to every balancer.
 func (d *Directory) Recall(now time.Time, u upstream.Upstream, cold time.Duration) {
 	if old := d.entries[u.Incarnation]; old != nil && u.Born <= old.Born {
 		return
 	}
-	d.leaveAddress(u, d.entries[u.Incarnation])
-	e := &entry{Upstream: u, coldUntil: now.Add(cold), heard: now, recalled: true}
+	d.releaseAddress(u, d.entries[u.Incarnation])
+	e := &entry{Upstream: u, coldUntil: now.Add(cold), lastAnnounced: now, recalled: true}
 	d.entries[u.Incarnation] = e
-	d.tell(e)
+	d.markChanged(e)
 }
 
-// follows says that an announcement is later than what was heard of the upstream. A life
-// that was withdrawn stays so, or a delayed announcement would revive it; a later start
-// of the same incarnation is another life, whatever its sequence.
-func follows(u, heard upstream.Upstream) bool {
-	if u.Born != heard.Born {
-		return u.Born > heard.Born
+// supersedes reports whether an announcement is later than the stored one. A withdrawn run
+// stays withdrawn, or a delayed announcement would revive it. A later start of the same
+// incarnation is a new run and supersedes regardless of its sequence.
+func supersedes(u, stored upstream.Upstream) bool {
+	if u.Born != stored.Born {
+		return u.Born > stored.Born
 	}
-	return heard.State != upstream.Withdrawn && (u.State == upstream.Withdrawn || u.Sequence > heard.Sequence)
+	return stored.State != upstream.Withdrawn && (u.State == upstream.Withdrawn || u.Sequence > stored.Sequence)
 }
 
-// sameBut says that two announcements differ in their sequence only.
-func sameBut(a, b upstream.Upstream) bool {
+// equalExceptSequence reports whether two announcements differ in at most their sequence.
+func equalExceptSequence(a, b upstream.Upstream) bool {
 	a.Sequence = b.Sequence
 	return a == b
 }
 
-// late says that a replaced upstream's announcement may be one that was delayed,
-// sent before another started at its address: that one is heard, and this one was
-// not since. A delayed one would take the address from an upstream that serves until
-// that announces itself again, and new flows would be sent to one that is gone. A
-// second announcement shows that it lives.
-func (d *Directory) late(now time.Time, u upstream.Upstream, old *entry) bool {
+// maybeDelayed reports whether the announcement of a replaced upstream may have been sent
+// before its successor started: it is the first one since, and the successor still announces
+// itself. Accepting it would take the address from a live upstream and send new flows to a
+// dead one until the next announcement. A second announcement shows that it is alive.
+func (d *Directory) maybeDelayed(now time.Time, u upstream.Upstream, old *entry) bool {
 	if old == nil || !old.replaced || old.returned || u.Born != old.Born {
 		return false
 	}
 	holder := d.entries[d.holders[old.Address]]
-	return holder != nil && holder.State != upstream.Withdrawn && now.Sub(holder.heard) <= d.settings.SilentAfter
+	return holder != nil && holder.State != upstream.Withdrawn && now.Sub(holder.lastAnnounced) <= d.settings.SilentAfter
 }
 
-// leaveAddress takes the address that an upstream had before from it. Another one that
-// starts there later would otherwise count as its successor, and this one as replaced.
-func (d *Directory) leaveAddress(u upstream.Upstream, old *entry) {
+// releaseAddress releases the former address of an upstream that has moved. Otherwise it would
+// count as replaced by any upstream that starts at that address later.
+func (d *Directory) releaseAddress(u upstream.Upstream, old *entry) {
 	if old != nil && old.Address != u.Address && d.holders[old.Address] == u.Incarnation {
 		delete(d.holders, old.Address)
 	}
 }
 
-// hold makes the upstream the holder of its address, and says whether another was.
-func (d *Directory) hold(u upstream.Upstream) bool {
+// takeAddress makes the upstream the holder of its address, and returns whether another one was.
+func (d *Directory) takeAddress(u upstream.Upstream) bool {
 	if u.State == upstream.Withdrawn || !u.Address.IsValid() {
 		return false
 	}
@@ -168,21 +169,23 @@
 	}
 	if o := d.entries[before]; o != nil && o.State != upstream.Withdrawn {
 		o.replaced = true
-		d.tell(o)
+		d.markChanged(o)
 	}
 	return true
 }
 
-func (d *Directory) tell(e *entry) {
+// markChanged assigns a new version to a changed entry, so that Since returns it.
+func (d *Directory) markChanged(e *entry) {
 	d.version++
 	e.changed = d.version
 }
 
-// Tick notes silence and forgets, and reports whether others must be told.
+// Tick marks silent upstreams and forgets old ones, and returns whether there is a change to
+// publish.
 func (d *Directory) Tick(now time.Time) bool {
 	before := d.version
 	for id, e := range d.entries {
-		age := now.Sub(e.heard)
+		age := now.Sub(e.lastAnnounced)
 		if age > d.settings.ForgetAfter || e.recalled && age > d.settings.SilentAfter {
 			delete(d.entries, id)
 			if d.holders[e.Address] == id {
@@ -192,36 +195,36 @@
 		}
 		if !e.silent && age > d.silentAfter(e.State) {
 			e.silent = true
-			d.tell(e)
+			d.markChanged(e)
 		}
-		if e.silent && e.replaced && !e.succeeded && d.succeeds(e) {
-			e.succeeded = true
-			d.tell(e)
+		if e.silent && e.replaced && !e.successorAlive && d.hasLiveSuccessor(e) {
+			e.successorAlive = true
+			d.markChanged(e)
 		}
 	}
 	return d.version != before
 }
 
-// succeeds says that the upstream that took the address of another one announced itself for some
-// time after that was last heard. A single announcement may be one that was delayed, of an
-// upstream that is gone.
-func (d *Directory) succeeds(e *entry) bool {
+// hasLiveSuccessor reports whether the current holder of an entry's address has announced itself
+// some time after the entry's last announcement. A single announcement right after it may be a
+// delayed one of a dead upstream.
+func (d *Directory) hasLiveSuccessor(e *entry) bool {
 	holder := d.entries[d.holders[e.Address]]
-	return holder != nil && holder.Incarnation != e.Incarnation && holder.heard.Sub(e.heard) >= d.settings.SilentAfter/2
+	return holder != nil && holder.Incarnation != e.Incarnation && holder.lastAnnounced.Sub(e.lastAnnounced) >= d.settings.SilentAfter/2
 }
 
 func (d *Directory) silentAfter(s upstream.State) time.Duration {
 	if s == upstream.Withdrawn {
-		return departedAfter
+		return withdrawnGrace
 	}
 	return d.settings.SilentAfter
 }
 
-// Since returns what is news after a version, in the order of incarnations.
+// Since returns the upstreams that changed after a version, sorted by incarnation.
 func (d *Directory) Since(now time.Time, version uint64) []Notice {
 	if version == d.version {
-		// Most questions find no news; looking at all upstreams for each cost
-		// 30 ns an upstream.
+		// Most requests find no change, and iterating over all upstreams costs 30 ns per
+		// upstream.
 		return nil
 	}
 	var out []Notice
@@ -234,7 +237,7 @@
 	return out
 }
 
-// Address returns where the life of an upstream is, if it was heard.
+// Address returns the address of one run of an upstream, if known.
 func (d *Directory) Address(incarnation, born uint64) (netip.AddrPort, bool) {
 	e := d.entries[incarnation]
 	if e == nil || e.Born != born || !e.Address.IsValid() {
@@ -243,28 +246,28 @@
 	return e.Address, true
 }
 
-// Heard returns the addresses of the upstreams that announced themselves last, but for those
-// that are left out.
-func (d *Directory) Heard(most int, leftOut func(incarnation uint64) bool) []netip.AddrPort {
-	latestFirst := func(a, b *entry) int { return b.heard.Compare(a.heard) }
-	var last []*entry
+// Heard returns the addresses of the upstreams with the most recent announcements, except for
+// the excluded ones.
+func (d *Directory) Heard(limit int, excluded func(incarnation uint64) bool) []netip.AddrPort {
+	latestFirst := func(a, b *entry) int { return b.lastAnnounced.Compare(a.lastAnnounced) }
+	var latest []*entry
 	for id, e := range d.entries {
 		if e.recalled || e.silent || e.replaced || e.State != upstream.Ready {
 			continue
 		}
-		if len(last) == most && !e.heard.After(last[most-1].heard) || leftOut(id) {
+		if len(latest) == limit && !e.lastAnnounced.After(latest[limit-1].lastAnnounced) || excluded(id) {
 			continue
 		}
-		last = append(last, e)
-		slices.SortFunc(last, latestFirst)
-		last = last[:min(most, len(last))]
+		latest = append(latest, e)
+		slices.SortFunc(latest, latestFirst)
+		latest = latest[:min(limit, len(latest))]
 	}
-	return lo.Map(last, func(e *entry, _ int) netip.AddrPort { return e.Address })
+	return lo.Map(latest, func(e *entry, _ int) netip.AddrPort { return e.Address })
 }
 
 func (e *entry) notice(now time.Time) Notice {
 	return Notice{
-		Upstream: e.Upstream, Cold: max(e.coldUntil.Sub(now), 0), Silent: e.silent, Replaced: e.replaced && (!e.silent || e.succeeded), Age: now.Sub(e.heard),
+		Upstream: e.Upstream, Cold: max(e.coldUntil.Sub(now), 0), Silent: e.silent, Replaced: e.replaced && (!e.silent || e.successorAlive), Age: now.Sub(e.lastAnnounced),
 		Recalled: e.recalled,
 	}
 }
--- a/internal/upstream/directory/directory_test.go
+++ b/internal/upstream/directory/directory_test.go
@@ -24,32 +24,32 @@
 	}
 }
 
-func TestOnlyChangesAreNews(t *testing.T) {
+func TestOnlyChangesArePublished(t *testing.T) {
 	d := newDirectory()
 	for _, c := range []struct {
-		name        string
-		u           upstream.Upstream
-		news, newer bool
+		name           string
+		u              upstream.Upstream
+		publish, newer bool
 	}{
 		{"first", announced(1, 1, upstream.Ready), true, true},
 		{"again", announced(1, 2, upstream.Ready), false, true},
 		{"repeated", announced(1, 2, upstream.Ready), false, false},
 		{"draining", announced(1, 4, upstream.Draining), true, true},
-		{"late", announced(1, 3, upstream.Ready), false, false},
-		{"gone", upstream.Upstream{Identity: upstream.Identity{Incarnation: 1}, State: upstream.Withdrawn}, true, true},
-		{"delayed after that", announced(1, 9, upstream.Ready), false, false},
+		{"delayed", announced(1, 3, upstream.Ready), false, false},
+		{"withdrawn", upstream.Upstream{Identity: upstream.Identity{Incarnation: 1}, State: upstream.Withdrawn}, true, true},
+		{"delayed after withdrawal", announced(1, 9, upstream.Ready), false, false},
 	} {
-		news, newer := d.Announce(epoch, c.u, 0)
-		require.Equal(t, c.news, news, c.name)
+		publish, newer := d.Announce(epoch, c.u, 0)
+		require.Equal(t, c.publish, publish, c.name)
 		require.Equal(t, c.newer, newer, c.name)
 	}
 	notices := d.Since(epoch, 0)
 	require.Len(t, notices, 1)
 	require.Equal(t, upstream.Withdrawn, notices[0].Upstream.State)
-	require.Equal(t, "orders", notices[0].Upstream.Service, "a departure need not describe the upstream")
+	require.Equal(t, "orders", notices[0].Upstream.Service, "a withdrawal may carry only the incarnation")
 }
 
-func TestSilenceIsNewsOnceAndEndsWithAnAnnouncement(t *testing.T) {
+func TestSilenceIsPublishedOnceAndEndsWithAnAnnouncement(t *testing.T) {
 	d := newDirectory()
 	d.Announce(epoch, announced(1, 1, upstream.Ready), 2*time.Second)
 	require.False(t, d.Tick(epoch.Add(3*time.Second)))
@@ -57,50 +57,45 @@
 	require.False(t, d.Tick(epoch.Add(6*time.Second)))
 	require.True(t, d.Since(epoch.Add(6*time.Second), 0)[0].Silent)
 	version := d.Version()
-	news, _ := d.Announce(epoch.Add(7*time.Second), announced(1, 2, upstream.Ready), 0)
-	require.True(t, news)
+	publish, _ := d.Announce(epoch.Add(7*time.Second), announced(1, 2, upstream.Ready), 0)
+	require.True(t, publish)
 	require.False(t, d.Since(epoch.Add(7*time.Second), version)[0].Silent)
 	d.Tick(epoch.Add(2 * time.Minute))
 	require.Empty(t, d.Since(epoch.Add(2*time.Minute), 0))
 }
 
-// Symptom: an upstream got no flow although it announced itself every second, and
-// flows were sent to one that was gone.
-// Events: an upstream crashes behind a cut, another starts at its address; the
-// first one's delayed announcement arrives.
-// Cause: the delayed announcement took the address until the next of the second.
+// Guards against flows to a crashed upstream instead of its live successor at the same address:
+// a delayed announcement of the first must not take the address back.
 func TestOneDelayedAnnouncementTakesNoAddress(t *testing.T) {
 	d := newDirectory()
 	d.Announce(epoch, announced(1, 1, upstream.Ready), 0)
 	d.Announce(epoch.Add(time.Second), announced(2, 1, upstream.Ready), 0)
 	require.Equal(t, []bool{true, false}, replaced(d))
-	news, newer := d.Announce(epoch.Add(2*time.Second), announced(1, 2, upstream.Ready), 0)
-	require.False(t, news)
+	publish, newer := d.Announce(epoch.Add(2*time.Second), announced(1, 2, upstream.Ready), 0)
+	require.False(t, publish)
 	require.True(t, newer)
 	require.Equal(t, []bool{true, false}, replaced(d))
-	news, _ = d.Announce(epoch.Add(2*time.Second), announced(1, 3, upstream.Draining), 0)
-	require.True(t, news, "that it leaves is told whoever holds the address")
+	publish, _ = d.Announce(epoch.Add(2*time.Second), announced(1, 3, upstream.Draining), 0)
+	require.True(t, publish, "draining is published whichever upstream holds the address")
 }
 
-// Symptom: an upstream got no flow although it announced itself every second.
-// Events: the delayed announcement of one that is gone is the first that a voter
-// hears of it; or two of them are delayed.
-// Cause: it took the address for good.
-func TestUpstreamThatLivesTakesItsAddressBack(t *testing.T) {
+// Guards against a live upstream that gets no flow because a dead one keeps its address: the
+// voter knows only delayed announcements of the dead one, or receives two of them.
+func TestLiveUpstreamTakesItsAddressBack(t *testing.T) {
 	d := newDirectory()
 	d.Announce(epoch, announced(2, 1, upstream.Ready), 0)
 	d.Announce(epoch.Add(time.Second), announced(1, 7, upstream.Ready), 0)
 	require.Equal(t, []bool{false, true}, replaced(d))
 	d.Announce(epoch.Add(2*time.Second), announced(2, 2, upstream.Ready), 0)
-	news, _ := d.Announce(epoch.Add(3*time.Second), announced(2, 3, upstream.Ready), 0)
-	require.True(t, news)
+	publish, _ := d.Announce(epoch.Add(3*time.Second), announced(2, 3, upstream.Ready), 0)
+	require.True(t, publish)
 	require.Equal(t, []bool{true, false}, replaced(d))
 	d.Announce(epoch.Add(3100*time.Millisecond), announced(1, 8, upstream.Ready), 0)
 	require.Equal(t, []bool{true, false}, replaced(d))
 }
 
-// Where the one at the address is silent, the one before need not wait.
-func TestReplacedUpstreamTakesASilentOnesAddressAtOnce(t *testing.T) {
+// A replaced upstream takes its address back with one announcement if its successor is silent.
+func TestReplacedUpstreamTakesTheAddressOfASilentOneAtOnce(t *testing.T) {
 	d := newDirectory()
 	d.Announce(epoch, announced(1, 1, upstream.Ready), 0)
 	d.Announce(epoch.Add(time.Second), announced(2, 1, upstream.Ready), 0)
@@ -108,19 +103,19 @@
 	require.Equal(t, []bool{false, true}, replaced(d))
 }
 
-// Guards against the reset of flows of an upstream that serves: a delayed announcement of an
-// earlier one at its address came last before its own were held up for seconds.
-func TestUpstreamWithoutASuccessorThatLivesIsSilentAndNotReplaced(t *testing.T) {
+// Guards against resets of flows to a live upstream: a delayed announcement of an earlier one at
+// its address arrives, and then its own announcements are delayed for seconds.
+func TestSilentUpstreamWithoutLiveSuccessorIsNotReplaced(t *testing.T) {
 	d := newDirectory()
 	d.Announce(epoch, announced(1, 1, upstream.Ready), 0)
 	d.Announce(epoch.Add(100*time.Millisecond), announced(2, 1, upstream.Ready), 0)
-	require.Equal(t, []bool{true, false}, replaced(d), "new flows go elsewhere")
+	require.Equal(t, []bool{true, false}, replaced(d), "it gets no new flows")
 	d.Tick(epoch.Add(5 * time.Second))
 	require.Equal(t, []bool{false, false}, replaced(d))
 }
 
-// Guards against flows that wait for an upstream whose address another one has taken.
-func TestUpstreamWhoseSuccessorLivesIsReplaced(t *testing.T) {
+// Guards against flows that wait for an upstream whose address a live successor has taken.
+func TestSilentUpstreamWithLiveSuccessorIsReplaced(t *testing.T) {
 	for _, after := range []time.Duration{2500 * time.Millisecond, 4500 * time.Millisecond} {
 		d := newDirectory()
 		d.Announce(epoch, announced(1, 1, upstream.Ready), 0)
@@ -133,13 +128,13 @@
 		if after > 4*time.Second {
 			d.Announce(epoch.Add(after), announced(2, 2, upstream.Ready), 0)
 			d.Tick(epoch.Add(after))
-			require.Greater(t, d.Version(), before, "that is news")
+			require.Greater(t, d.Version(), before, "the change is published")
 		}
 		require.Equal(t, []bool{true, false}, replaced(d), after.String())
 	}
 }
 
-func TestUpstreamsHeardLastComeFirst(t *testing.T) {
+func TestMostRecentlyAnnouncedUpstreamsComeFirst(t *testing.T) {
 	d := newDirectory()
 	for id := range uint64(9) {
 		u := announced(id+1, 1, upstream.Ready)
@@ -168,11 +163,10 @@
 	return out
 }
 
-// Symptom: seconds after a loss of power everywhere voters sent megabytes to each of
-// 290 balancers, and upstreams that got no answer in time all turned to one voter.
-// Events: each voter recalls 3,000 upstreams, most of which speak to other voters.
-// Cause: each of them was news again when it was overdue here.
-func TestSilenceOfARecalledUpstreamIsNoNews(t *testing.T) {
+// Guards against load peaks after a power loss of all VMs: each voter recalls 3,000 upstreams, of
+// which most announce themselves to other voters, and publishes each as silent. Voters sent
+// megabytes to each of 290 balancers, and upstreams that timed out all switched to one voter.
+func TestSilenceOfARecalledUpstreamIsNotPublished(t *testing.T) {
 	d := newDirectory()
 	d.Recall(epoch, announced(1, 7, upstream.Ready), 0)
 	require.True(t, d.Since(epoch, 0)[0].Recalled)
@@ -182,75 +176,71 @@
 	require.Empty(t, d.Since(epoch.Add(5*time.Second), 0))
 }
 
-func TestRecalledUpstreamThatIsHeardIsNews(t *testing.T) {
+func TestAnnouncementOfARecalledUpstreamIsPublished(t *testing.T) {
 	d := newDirectory()
 	d.Recall(epoch, announced(1, 7, upstream.Ready), 0)
-	news, newer := d.Announce(epoch.Add(time.Second), announced(1, 8, upstream.Ready), 0)
-	require.True(t, news)
+	publish, newer := d.Announce(epoch.Add(time.Second), announced(1, 8, upstream.Ready), 0)
+	require.True(t, publish)
 	require.True(t, newer)
 	require.False(t, d.Since(epoch, 0)[0].Recalled)
 	d.Recall(epoch.Add(time.Second), announced(1, 7, upstream.Ready), 0)
-	require.False(t, d.Since(epoch, 0)[0].Recalled, "what is heard here is not recalled")
+	require.False(t, d.Since(epoch, 0)[0].Recalled, "an announced upstream is not recalled")
 }
 
-// life is an announcement of an upstream that says when it started.
-func life(born, sequence uint64, s upstream.State) upstream.Upstream {
+// startedAt returns an announcement with the time of the start.
+func startedAt(born, sequence uint64, s upstream.State) upstream.Upstream {
 	u := announced(1, sequence, s)
 	u.Born = born
 	return u
 }
 
-// Symptom: an upstream got no flow for minutes after it had started again.
-// Events: it crashes, or leaves, and starts again as the incarnation that it was; its
-// sequence starts anew.
-// Cause: its announcements counted as late ones of its life before.
-func TestUpstreamThatStartsAgainIsHeardAtOnce(t *testing.T) {
+// Guards against an upstream that gets no flow for minutes after a restart: it keeps its
+// incarnation but restarts its sequence, so that its announcements look like delayed ones.
+func TestRestartedUpstreamIsPublishedAtOnce(t *testing.T) {
 	for _, before := range []upstream.State{upstream.Ready, upstream.Draining, upstream.Withdrawn} {
 		d := newDirectory()
-		d.Announce(epoch, life(100, 50, upstream.Ready), 0)
-		d.Announce(epoch, life(100, 51, before), 0)
-		news, newer := d.Announce(epoch.Add(time.Second), life(200, 1, upstream.Ready), 0)
-		require.True(t, news)
+		d.Announce(epoch, startedAt(100, 50, upstream.Ready), 0)
+		d.Announce(epoch, startedAt(100, 51, before), 0)
+		publish, newer := d.Announce(epoch.Add(time.Second), startedAt(200, 1, upstream.Ready), 0)
+		require.True(t, publish)
 		require.True(t, newer)
 		n := d.Since(epoch, 0)[0]
-		require.Equal(t, life(200, 1, upstream.Ready), n.Upstream)
+		require.Equal(t, startedAt(200, 1, upstream.Ready), n.Upstream)
 		require.False(t, n.Silent || n.Replaced)
 	}
 }
 
-// Symptom: an upstream that had just started lost its flows, or got none.
-// Events: announcements of its life before arrive late: that it is ready, drains or left.
-// Cause: what the earlier life said counted for the one that serves.
-func TestDelayedWordsOfAnEarlierLifeChangeNothing(t *testing.T) {
+// Guards against a restarted upstream that loses its flows or gets none because announcements
+// of its earlier run arrive late.
+func TestDelayedAnnouncementsOfAnEarlierRunAreIgnored(t *testing.T) {
 	for _, s := range []upstream.State{upstream.Ready, upstream.Draining, upstream.Withdrawn} {
 		d := newDirectory()
-		d.Announce(epoch, life(200, 1, upstream.Ready), 0)
-		news, newer := d.Announce(epoch.Add(time.Second), life(100, 90, s), 0)
-		require.False(t, news)
+		d.Announce(epoch, startedAt(200, 1, upstream.Ready), 0)
+		publish, newer := d.Announce(epoch.Add(time.Second), startedAt(100, 90, s), 0)
+		require.False(t, publish)
 		require.False(t, newer)
-		d.Recall(epoch, life(100, 95, s), 0)
-		require.Equal(t, life(200, 1, upstream.Ready), d.Since(epoch, 0)[0].Upstream)
+		d.Recall(epoch, startedAt(100, 95, s), 0)
+		require.Equal(t, startedAt(200, 1, upstream.Ready), d.Since(epoch, 0)[0].Upstream)
 	}
 }
 
-func TestDepartureWithoutAStartEndsTheLifeThatIsHeard(t *testing.T) {
+func TestWithdrawalWithoutAStartEndsTheCurrentRun(t *testing.T) {
 	d := newDirectory()
-	d.Announce(epoch, life(200, 1, upstream.Ready), 0)
+	d.Announce(epoch, startedAt(200, 1, upstream.Ready), 0)
 	gone := upstream.Upstream{Identity: upstream.Identity{Incarnation: 1}, State: upstream.Withdrawn}
 	_, newer := d.Announce(epoch, gone, 0)
 	require.True(t, newer)
 	require.Equal(t, uint64(200), d.Since(epoch, 0)[0].Upstream.Born)
-	_, newer = d.Announce(epoch, life(200, 9, upstream.Ready), 0)
-	require.False(t, newer, "a delayed announcement revives no life")
+	_, newer = d.Announce(epoch, startedAt(200, 9, upstream.Ready), 0)
+	require.False(t, newer, "a delayed announcement does not revive a run")
 }
 
-// Symptom: an upstream counted as replaced though no other had its address.
-// Events: it starts again at another address, and another upstream at its former one.
-// Cause: the former address still counted as its own.
+// Guards against an upstream that counts as replaced after it has restarted at another address
+// and another upstream has started at its former one.
 func TestUpstreamThatMovedIsNotReplacedAtItsFormerAddress(t *testing.T) {
 	d := newDirectory()
-	d.Announce(epoch, life(100, 1, upstream.Ready), 0)
-	moved := life(200, 1, upstream.Ready)
+	d.Announce(epoch, startedAt(100, 1, upstream.Ready), 0)
+	moved := startedAt(200, 1, upstream.Ready)
 	moved.Address = netip.MustParseAddrPort("10.0.0.2:80")
 	d.Announce(epoch, moved, 0)
 	d.Announce(epoch, announced(2, 1, upstream.Ready), 0)
--- a/internal/upstream/directory/doc.go
+++ b/internal/upstream/directory/doc.go
@@ -1,7 +1,7 @@
-// Package directory keeps what upstreams announced to one voter, as soft state.
+// Package directory keeps the announcements of upstreams that one voter received, as soft
+// state.
 //
-// Incarnations have no order of their own here: the one that was heard last
-// holds an address. A withdrawn incarnation stays withdrawn, so that a delayed
-// announcement cannot revive it, until it starts again; a later start goes before
-// everything that was heard of earlier ones.
+// Incarnations are not ordered: the address belongs to the one that announced itself last. A
+// withdrawn incarnation stays withdrawn until it restarts, so that a delayed announcement
+// cannot revive it. Announcements of a later start supersede those of all earlier ones.
 package directory
