--- a/internal/upstream/handover/doc.go
+++ b/internal/upstream/handover/doc.go
@@ -1,10 +1,9 @@
-// Package handover gathers the announcements that a balancer takes of the upstreams near
-// it, and hands them on together.
+// Package handover batches the announcements of upstreams that a balancer forwards to voters.
 //
-// Voters take an announcement of each upstream each second or so; 3,000 upstreams kept
-// five voters of a quarter of a core busy for 40 % of their time, and held 1,000
-// connections at each. Gathered twice on their way they come in some calls a second.
+// Every upstream announces itself about once a second. When 3,000 upstreams did so directly,
+// five voters with a quarter of a core each were 40 % busy and held 1,000 connections each.
+// Batched twice on the way, announcements reach the voters in a few calls per second.
 //
-// An announcement is acknowledged only once a voter holds it: an upstream whose
-// balancer cannot hand it on hears so and turns to a voter itself.
+// An announcement is acknowledged only once a voter has stored it. If the balancer cannot
+// forward it, the upstream gets an error and contacts a voter directly.
 package handover
--- a/internal/upstream/handover/handover.go
+++ b/internal/upstream/handover/handover.go
@@ -8,60 +8,61 @@
 	"wasabideal/internal/model/upstream"
 )
 
-// The shares of the time between two announcements of an upstream for which announcements
-// wait for others: topShare at a balancer at the top of its zone, belowShare at one below it
-// for those that another hands on, ownShare at one two levels or more below for those that
-// upstreams make there. An upstream announces itself anew only after the acknowledgement,
-// and a second is all that it waits; up to the fourth level the waits add up to 0.7 of the
-// time, which is 1.2 s mostly. With an eighth of it everywhere, balancers at the top of a
-// zone of 60 took a hundred handovers a second.
+// The batch delays, as shares of the announcement interval, which is usually 1.2 s. An upstream
+// announces itself again only after the acknowledgement, or after waiting a second for it. Down
+// to the fourth level the delays add up to 0.7 of the interval. With an eighth at every level,
+// the top balancers of a zone of 60 received a hundred handovers per second.
 const (
-	topShare   = 1.0 / 4
-	ownShare   = 1.0 / 6
-	belowShare = 1.0 / 12
+	// topShare applies at the top balancer of a zone, and to direct announcements one level below.
+	topShare = 1.0 / 4
+	// directShare applies to direct announcements of upstreams at lower levels.
+	directShare = 1.0 / 6
+	// relayedShare applies to announcements that other balancers forward, below the top.
+	relayedShare = 1.0 / 12
 )
 
-// Gather is how long announcements that come every so often wait at a balancer on a level of
-// the tree, those that upstreams make there and those that others hand on.
-func Gather(every time.Duration, level int, own bool) time.Duration {
-	share := belowShare
+// Gather returns the batch delay at a level of the balancer tree for announcements with an
+// interval, which upstreams make directly to the balancer or other balancers forward to it.
+func Gather(interval time.Duration, level int, direct bool) time.Duration {
+	share := relayedShare
 	switch {
-	case level == 0 || own && level == 1:
+	case level == 0 || direct && level == 1:
 		share = topShare
-	case own:
-		share = ownShare
+	case direct:
+		share = directShare
 	}
-	return time.Duration(share * float64(every))
+	return time.Duration(share * float64(interval))
 }
 
-// sendTimeout bounds one handover: what is left of the second for all on the way.
+// sendTimeout bounds one handover to the part of the second that the batch delays leave.
 const sendTimeout = 700 * time.Millisecond
 
-// Announcement is one upstream's, with the time since it was taken.
+// Announcement is the announcement of one upstream, with the time since it was received.
 type Announcement struct {
 	_        struct{} `cbor:",toarray"`
 	Upstream upstream.Upstream
-	// Cold is how much longer the upstream was slow when it was taken.
+	// Cold is the remaining time of its slow start when it was received.
 	Cold time.Duration
 	Age  time.Duration
 }
 
-// batch is announcements that are handed on together.
+// batch holds announcements to send together, by incarnation.
 type batch struct {
-	taken map[uint64]taken
-	// due is when it is handed on at the latest.
+	pending map[uint64]pending
+	// due is when the batch is sent at the latest.
 	due  time.Time
 	done chan struct{}
 	err  error
 }
 
-type taken struct {
+// pending is an announcement that waits to be sent.
+type pending struct {
 	upstream.Upstream
 	cold time.Duration
 	at   time.Time
 }
 
-// Handover gathers announcements; it is safe for concurrent use.
+// Handover batches announcements; it is safe for concurrent use.
 type Handover struct {
 	clock func() time.Time
 	send  func(ctx context.Context, all []Announcement) error
@@ -69,15 +70,15 @@
 	next  *batch
 }
 
-// New returns a handover that sends with a function.
+// New returns a handover that sends its batches with send.
 func New(clock func() time.Time, send func(ctx context.Context, all []Announcement) error) *Handover {
 	return &Handover{clock: clock, send: send}
 }
 
-// Add adds announcements to the next batch, which is handed on after a time at the latest,
-// and returns once it was.
-func (h *Handover) Add(ctx context.Context, gather time.Duration, all ...Announcement) error {
-	b := h.join(gather, all)
+// Add adds announcements to the next batch, which is sent after the delay at the latest, and
+// returns once it has been sent.
+func (h *Handover) Add(ctx context.Context, delay time.Duration, all ...Announcement) error {
+	b := h.join(delay, all)
 	select {
 	case <-b.done:
 		return b.err
@@ -86,37 +87,39 @@
 	}
 }
 
-func (h *Handover) join(gather time.Duration, all []Announcement) *batch {
+// join adds announcements to the next batch and keeps the latest one of each upstream.
+func (h *Handover) join(delay time.Duration, all []Announcement) *batch {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := h.clock()
 	if h.next == nil {
-		h.next = &batch{taken: map[uint64]taken{}, done: make(chan struct{})}
+		h.next = &batch{pending: map[uint64]pending{}, done: make(chan struct{})}
 	}
-	if b, due := h.next, now.Add(gather); b.due.IsZero() || due.Before(b.due) {
+	if b, due := h.next, now.Add(delay); b.due.IsZero() || due.Before(b.due) {
 		b.due = due
-		time.AfterFunc(gather, func() { h.flush(b) })
+		time.AfterFunc(delay, func() { h.flush(b) })
 	}
 	for _, a := range all {
-		old, waits := h.next.taken[a.Upstream.Incarnation]
-		if !waits || a.Upstream.Later(old.Upstream) {
-			h.next.taken[a.Upstream.Incarnation] = taken{Upstream: a.Upstream, cold: a.Cold, at: now.Add(-a.Age)}
+		old, ok := h.next.pending[a.Upstream.Incarnation]
+		if !ok || a.Upstream.Later(old.Upstream) {
+			h.next.pending[a.Upstream.Incarnation] = pending{Upstream: a.Upstream, cold: a.Cold, at: now.Add(-a.Age)}
 		}
 	}
 	return h.next
 }
 
+// flush sends a batch and reports the result to all callers that wait for it.
 func (h *Handover) flush(b *batch) {
 	h.mu.Lock()
 	if h.next != b {
-		// It was due earlier, for another's sake.
+		// The batch was already sent: a later announcement had a shorter delay.
 		h.mu.Unlock()
 		return
 	}
 	h.next = nil
 	now := h.clock()
-	all := make([]Announcement, 0, len(b.taken))
-	for _, t := range b.taken {
+	all := make([]Announcement, 0, len(b.pending))
+	for _, t := range b.pending {
 		all = append(all, Announcement{Upstream: t.Upstream, Cold: t.cold, Age: now.Sub(t.at)})
 	}
 	h.mu.Unlock()
--- a/internal/upstream/handover/handover_test.go
+++ b/internal/upstream/handover/handover_test.go
@@ -13,22 +13,22 @@
 	"wasabideal/internal/upstream/handover"
 )
 
-const gather = 150 * time.Millisecond
+const delay = 150 * time.Millisecond
 
-// Whatever level an upstream's balancer is on, the acknowledgement comes well within the
-// second that upstreams wait, and within the time between two announcements.
-func TestWaitsAddUpToLessThanASecond(t *testing.T) {
-	const every = 1200 * time.Millisecond
+// At every level, the acknowledgement arrives well within the second that upstreams wait for it,
+// and within the announcement interval.
+func TestBatchDelaysAddUpToLessThanASecond(t *testing.T) {
+	const interval = 1200 * time.Millisecond
 	for level := range 5 {
-		all := handover.Gather(every, level, true)
+		all := handover.Gather(interval, level, true)
 		for above := range level {
-			all += handover.Gather(every, above, false)
+			all += handover.Gather(interval, above, false)
 		}
 		require.LessOrEqual(t, all, 800*time.Millisecond)
 	}
 }
 
-// sent keeps what was handed on.
+// sent records the batches that were sent.
 type sent struct {
 	mu      sync.Mutex
 	batches [][]handover.Announcement
@@ -48,8 +48,8 @@
 	}}
 }
 
-// together runs some functions at once and waits for them.
-func together(fs ...func()) {
+// concurrently runs functions concurrently and waits for them.
+func concurrently(fs ...func()) {
 	var w sync.WaitGroup
 	for _, f := range fs {
 		w.Go(f)
@@ -57,18 +57,17 @@
 	w.Wait()
 }
 
-// Symptom: voters were busy with the announcements of 3,000 upstreams, and answered late.
-// Events: ten upstreams announce themselves to one balancer, and another hands on some.
-// Cause: each announcement was a call to a voter.
-func TestAnnouncementsAreHandedOnTogether(t *testing.T) {
+// Guards against overloaded voters: with a call for each announcement of 3,000 upstreams, they
+// answered late.
+func TestAnnouncementsAreSentInBatches(t *testing.T) {
 	s := &sent{}
 	h := handover.New(time.Now, s.send)
 	var fs []func()
 	for i := range uint64(10) {
-		fs = append(fs, func() { require.NoError(t, h.Add(t.Context(), gather, announcement(i+1, 1))) })
+		fs = append(fs, func() { require.NoError(t, h.Add(t.Context(), delay, announcement(i+1, 1))) })
 	}
-	together(append(fs, func() {
-		require.NoError(t, h.Add(t.Context(), 2*gather, announcement(20, 1), announcement(21, 1)))
+	concurrently(append(fs, func() {
+		require.NoError(t, h.Add(t.Context(), 2*delay, announcement(20, 1), announcement(21, 1)))
 	})...)
 	all := 0
 	for _, b := range s.batches {
@@ -78,32 +77,31 @@
 	require.LessOrEqual(t, len(s.batches), 2, "one, or two on a slow machine")
 }
 
-func TestTheNewestAnnouncementOfAnUpstreamIsHandedOn(t *testing.T) {
+func TestOnlyTheLatestAnnouncementOfAnUpstreamIsSent(t *testing.T) {
 	s := &sent{}
 	h := handover.New(time.Now, s.send)
-	together(
+	concurrently(
 		func() {
-			require.NoError(t, h.Add(t.Context(), gather, announcement(1, 8), announcement(1, 7)))
+			require.NoError(t, h.Add(t.Context(), delay, announcement(1, 8), announcement(1, 7)))
 		},
 	)
 	require.Len(t, s.batches, 1)
 	require.Len(t, s.batches[0], 1)
 	require.Equal(t, uint64(8), s.batches[0][0].Upstream.Sequence)
-	require.GreaterOrEqual(t, s.batches[0][0].Age, 100*time.Millisecond, "it grew older while it waited")
+	require.GreaterOrEqual(t, s.batches[0][0].Age, 100*time.Millisecond, "the age includes the batch delay")
 }
 
-// Symptom: an upstream was taken for silent though each announcement was acknowledged.
-// Events: the balancer that it announces itself to cannot reach a voter.
-// Cause: the balancer acknowledged what it had not handed on.
-func TestWhatIsNotHandedOnIsNotAcknowledged(t *testing.T) {
+// Guards against an upstream that counts as silent although its announcements are acknowledged:
+// its balancer cannot reach a voter, but acknowledges them nevertheless.
+func TestAnnouncementsThatCannotBeSentAreNotAcknowledged(t *testing.T) {
 	failed := errors.New("no voter answers")
 	h := handover.New(time.Now, (&sent{err: failed}).send)
-	require.ErrorIs(t, h.Add(t.Context(), gather, announcement(1, 1)), failed)
+	require.ErrorIs(t, h.Add(t.Context(), delay, announcement(1, 1)), failed)
 }
 
-func TestCallerThatGivesUpIsLetGo(t *testing.T) {
+func TestAddReturnsWhenItsContextIsCancelled(t *testing.T) {
 	h := handover.New(time.Now, (&sent{}).send)
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	require.ErrorIs(t, h.Add(ctx, gather, announcement(1, 1)), context.Canceled)
+	require.ErrorIs(t, h.Add(ctx, delay, announcement(1, 1)), context.Canceled)
 }
