--- a/internal/upstream/home/doc.go
+++ b/internal/upstream/home/doc.go
@@ -1,9 +1,9 @@
-// Package home names the voter that hears an upstream.
+// Package home assigns each upstream to the voter that receives its announcements.
 //
-// Each voter tells all balancers of the upstreams that it hears, and later that it hears
-// them no longer. An upstream that is heard now by one voter and now by another is news
-// twice each time: where all balancers of 300 restarted, 3,000 upstreams were told to each
-// of them six times. So all announcements of an upstream are handed to one voter, of its
-// own availability zone where there is one: what that voter says counts there when the
-// zone is cut off.
+// Each voter notifies all balancers of the upstreams that announce themselves to it, and again
+// when their announcements stop. An upstream that alternates between two voters causes two
+// notices each time: when all 300 balancers restarted, each received 3,000 upstreams six times.
+//
+// All announcements of an upstream therefore go to one voter, in its own availability zone if
+// possible, so that the voter's notices reach the balancers there when the zone is partitioned.
 package home
--- a/internal/upstream/home/home.go
+++ b/internal/upstream/home/home.go
@@ -9,26 +9,26 @@
 	"wasabideal/internal/model/upstream"
 )
 
-// Voter is a voter that answers.
+// Voter is a reachable voter.
 type Voter struct{ Address, Zone string }
 
-// Of returns the address of the voter that hears an upstream, empty where none answers.
-// Where one stops answering, its upstreams alone move. All upstreams of one address have the
-// same voter, which knows by that that one of them has taken the address of another.
+// Of returns the address of the voter that an upstream announces itself to, or "" if none is
+// reachable. It uses rendezvous hashing: if a voter fails, only its upstreams move. Upstreams of
+// one address have the same voter, so that it notices when one takes the address of another.
 func Of(u upstream.Upstream, voters []Voter) string {
-	near := lo.Filter(voters, func(v Voter, _ int) bool { return v.Zone == u.Zone })
-	if len(near) == 0 {
-		near = voters
+	candidates := lo.Filter(voters, func(v Voter, _ int) bool { return v.Zone == u.Zone })
+	if len(candidates) == 0 {
+		candidates = voters
 	}
 	key := strconv.FormatUint(u.Incarnation, 16)
 	if u.Address.IsValid() {
 		key = u.Address.String()
 	}
-	best, least := "", uint64(0)
-	for _, v := range near {
+	best, minHash := "", uint64(0)
+	for _, v := range candidates {
 		h := xxhash.Sum64String(v.Address + " " + key)
-		if best == "" || h < least {
-			best, least = v.Address, h
+		if best == "" || h < minHash {
+			best, minHash = v.Address, h
 		}
 	}
 	return best
