--- a/internal/upstream/registry/doc.go
+++ b/internal/upstream/registry/doc.go
@@ -1,6 +1,6 @@
-// Package registry keeps the announcements of upstreams as soft state that
-// balancers share by gossip.
+// Package registry keeps the announcements of upstreams as soft state that balancers share
+// by gossip.
 //
-// An announcement is a lease. Newer ones win by incarnation and sequence;
-// withdrawn ones stay as tombstones, so that late gossip cannot revive them.
+// An announcement is a lease. Later ones, by incarnation and sequence, replace earlier ones;
+// withdrawn ones are kept as tombstones, so that delayed gossip cannot revive them.
 package registry
--- a/internal/upstream/registry/gossip.go
+++ b/internal/upstream/registry/gossip.go
@@ -12,14 +12,14 @@
 	"wasabideal/internal/model/upstream"
 )
 
-// wireNews is what one gossip message says of upstreams.
-type wireNews struct {
+// wireUpdate is the payload of one gossip message.
+type wireUpdate struct {
 	_        struct{} `cbor:",toarray"`
 	Changes  []upstream.Upstream
 	Renewals []wireRenewal
 }
 
-// wireRenewal prolongs the lease of an announcement known in full.
+// wireRenewal renews the lease of an announcement that the receiver knows in full.
 type wireRenewal struct {
 	_           struct{} `cbor:",toarray"`
 	Address     netip.AddrPort
@@ -28,12 +28,12 @@
 }
 
 const (
-	// fixedSize is a whole announcement's size on the wire beside its names.
+	// fixedSize is the encoded size of a full announcement without its strings.
 	fixedSize = 34
-	// renewalSize is the size of a renewal on the wire, rounded up.
+	// renewalSize is the encoded size of a renewal, rounded up.
 	renewalSize = 24
-	// rotationPerMessage is how many old announcements a message repeats, so
-	// that one that was lost on the way arrives in the end.
+	// rotationPerMessage is how many old announcements a message repeats, so that lost ones
+	// are eventually received.
 	rotationPerMessage = 1
 )
 
@@ -41,29 +41,29 @@
 	return fixedSize + len(u.Service) + len(u.Zone) + len(u.Door)
 }
 
-// Load returns news of upstreams: changes before renewals, least told first,
-// and old announcements in turn where room is left.
+// Load returns a gossip payload of at most budget bytes: changes, least often gossiped first,
+// then renewals, and an old announcement in rotation if there is no change and space is left.
 func (r *Registry) Load(_ time.Time, budget int) []byte {
-	es := r.sorted()
-	if len(es) == 0 {
+	entries := r.sorted()
+	if len(entries) == 0 {
 		return nil
 	}
-	var news wireNews
-	news.Changes, budget = r.loadChanges(es, budget)
-	news.Renewals, budget = r.loadRenewals(es, budget)
+	var update wireUpdate
+	update.Changes, budget = r.loadChanges(entries, budget)
+	update.Renewals, budget = r.loadRenewals(entries, budget)
 	for range rotationPerMessage {
-		r.rotation = (r.rotation + 1) % len(es)
-		if e := es[r.rotation]; encodedSize(e.Upstream) <= budget && len(news.Changes) == 0 {
-			news.Changes = append(news.Changes, e.Upstream)
+		r.rotation = (r.rotation + 1) % len(entries)
+		if e := entries[r.rotation]; encodedSize(e.Upstream) <= budget && len(update.Changes) == 0 {
+			update.Changes = append(update.Changes, e.Upstream)
 		}
 	}
-	b, _ := cbor.Marshal(news)
+	b, _ := cbor.Marshal(update)
 	return b
 }
 
-func (r *Registry) loadChanges(es []*entry, budget int) ([]upstream.Upstream, int) {
-	fresh := slices.DeleteFunc(slices.Clone(es), func(e *entry) bool { return e.told >= changeTellings })
-	slices.SortStableFunc(fresh, func(a, b *entry) int { return cmp.Compare(a.told, b.told) })
+func (r *Registry) loadChanges(entries []*entry, budget int) ([]upstream.Upstream, int) {
+	fresh := slices.DeleteFunc(slices.Clone(entries), func(e *entry) bool { return e.gossiped >= changeTransmissions })
+	slices.SortStableFunc(fresh, func(a, b *entry) int { return cmp.Compare(a.gossiped, b.gossiped) })
 	var changes []upstream.Upstream
 	for _, e := range fresh {
 		size := encodedSize(e.Upstream)
@@ -71,45 +71,44 @@
 			break
 		}
 		budget -= size
-		e.told++
+		e.gossiped++
 		changes = append(changes, e.Upstream)
 	}
 	return changes, budget
 }
 
-func (r *Registry) loadRenewals(es []*entry, budget int) ([]wireRenewal, int) {
+func (r *Registry) loadRenewals(entries []*entry, budget int) ([]wireRenewal, int) {
 	var renewals []wireRenewal
-	for _, e := range es {
-		if e.renewalTold >= renewalTellings || e.told < changeTellings {
+	for _, e := range entries {
+		if e.renewalGossiped >= renewalTransmissions || e.gossiped < changeTransmissions {
 			continue
 		}
 		if budget < renewalSize {
 			break
 		}
 		budget -= renewalSize
-		e.renewalTold++
+		e.renewalGossiped++
 		renewals = append(renewals, wireRenewal{Address: e.Address, Incarnation: e.Incarnation, Sequence: e.Sequence})
 	}
 	return renewals, budget
 }
 
-// Unload merges another balancer's news.
-//
-// It believes them without a token: gossip is sealed by the group's own.
+// Unload merges the gossip payload of another balancer. Its announcements need no service token,
+// since the group token authenticates gossip.
 func (r *Registry) Unload(now time.Time, _ swim.Member, data []byte) {
-	var news wireNews
-	if len(data) == 0 || cbor.Unmarshal(data, &news) != nil {
+	var update wireUpdate
+	if len(data) == 0 || cbor.Unmarshal(data, &update) != nil {
 		return
 	}
-	for _, u := range news.Changes {
+	for _, u := range update.Changes {
 		if u.Address.Addr().Is4() {
 			r.merge(now, u)
 		}
 	}
-	for _, w := range news.Renewals {
-		e := r.entries[w.Address]
-		if e != nil && e.Incarnation == w.Incarnation && e.Sequence < w.Sequence && e.State != upstream.Withdrawn {
-			r.renew(now, e, w.Sequence)
+	for _, renewal := range update.Renewals {
+		e := r.entries[renewal.Address]
+		if e != nil && e.Incarnation == renewal.Incarnation && e.Sequence < renewal.Sequence && e.State != upstream.Withdrawn {
+			r.renew(now, e, renewal.Sequence)
 		}
 	}
 }
--- a/internal/upstream/registry/registry.go
+++ b/internal/upstream/registry/registry.go
@@ -14,19 +14,20 @@
 	"wasabideal/internal/model/upstream"
 )
 
-// Settings bound the registry.
+// Settings configures a registry.
 type Settings struct {
+	// Zone is the availability zone of this balancer.
 	Zone string
-	// Lease is how long an announcement holds without a newer one.
+	// Lease is how long an announcement is valid without a newer one.
 	Lease time.Duration
-	// Tombstone is how long a withdrawn upstream is remembered.
+	// Tombstone is how long a withdrawn upstream is kept.
 	Tombstone time.Duration
-	// Quarantine is how long an address that changes service takes no flow, so
-	// that every balancer has heard of the change before the first packet.
+	// Quarantine is how long an address that changes service gets no new flow, so that every
+	// balancer has received the change before the first packet.
 	Quarantine time.Duration
 }
 
-// RefusedError says why an announcement was not taken.
+// RefusedError reports why an announcement was rejected.
 type RefusedError struct {
 	Address netip.AddrPort
 	Service string
@@ -37,7 +38,7 @@
 	return fmt.Sprintf("announcement of %s for service %q refused: %s", e.Address, e.Service, e.Reason)
 }
 
-// The reasons for which an announcement is refused.
+// The values of RefusedError.Reason.
 const (
 	ReasonService = "no such service in the configuration"
 	ReasonToken   = "token does not match the service's TokenSha256"
@@ -45,39 +46,43 @@
 	ReasonAddress = "address must be IPv4:port, and slots at least 1"
 )
 
+// entry is the latest announcement of one address.
 type entry struct {
 	upstream.Upstream
-	heard     time.Time
+	renewedAt time.Time
 	firstSeen time.Time
-	usable    time.Time
-	// told counts how often the whole announcement was gossiped, renewalTold
-	// how often its latest renewal was.
-	told, renewalTold int
+	// usableAt is when the quarantine of the address ends.
+	usableAt time.Time
+	// gossiped counts the transmissions of the full announcement, renewalGossiped those of its
+	// latest renewal.
+	gossiped, renewalGossiped int
 }
 
-// Registry is the announcements known to one balancer; one goroutine owns it.
+// Registry holds the announcements known to one balancer. It is not safe for concurrent use.
 type Registry struct {
 	settings      Settings
 	configuration configuration.Configuration
 	entries       map[netip.AddrPort]*entry
 	version       uint64
-	rotation      int
-	urgent        bool
-	// reach are the zones with a balancer in sight; others are out of reach.
-	reach map[string]bool
-	// evacuations are the orders for availability zones.
+	// rotation is the index of the last announcement that Load repeated.
+	rotation int
+	// urgent reports whether there is a change to push; see TakeUrgent.
+	urgent bool
+	// reachableZones are the zones with a reachable balancer.
+	reachableZones map[string]bool
+	// evacuations is the evacuation state of the availability zones.
 	evacuations evacuation.Evacuations
-	// balanced are the zones that had a balancer in sight ever.
-	balanced map[string]bool
+	// knownZones are the zones that have ever had a reachable balancer.
+	knownZones map[string]bool
 }
 
 // New returns an empty registry.
 func New(s Settings) *Registry {
-	return &Registry{settings: s, entries: map[netip.AddrPort]*entry{}, balanced: map[string]bool{}}
+	return &Registry{settings: s, entries: map[netip.AddrPort]*entry{}, knownZones: map[string]bool{}}
 }
 
-// SetEvacuations takes orders for availability zones; older ones are ignored. Upstreams of an
-// evacuated zone take no new flow and no request, and keep their flows.
+// SetEvacuations sets the evacuated availability zones; older revisions are ignored. Upstreams
+// of an evacuated zone get no new flows or requests and keep their open flows.
 func (r *Registry) SetEvacuations(e evacuation.Evacuations) {
 	if e.Revision > r.evacuations.Revision {
 		r.evacuations = e
@@ -85,54 +90,54 @@
 	}
 }
 
-// Evacuations returns the orders for availability zones in force.
+// Evacuations returns the evacuations in effect.
 func (r *Registry) Evacuations() evacuation.Evacuations { return r.evacuations }
 
-// SetReach names the zones with a balancer in sight, and reports whether that
-// is news. A zone whose balancers all went out of sight takes no new flow,
-// without waiting for its leases: an opening sent there is lost, and its
-// repetition may open the flow a second time on the far side.
+// SetReach sets the zones with a reachable balancer, and returns whether they changed. A zone
+// whose balancers have all become unreachable gets no new flows, even while its leases are
+// valid: the opening packet would be lost, and its retransmission may open the flow a second
+// time on the other side of a partition.
 func (r *Registry) SetReach(zones map[string]bool) bool {
-	if maps.Equal(zones, r.reach) {
+	if maps.Equal(zones, r.reachableZones) {
 		return false
 	}
-	r.reach = zones
+	r.reachableZones = zones
 	for z := range zones {
-		r.balanced[z] = true
+		r.knownZones[z] = true
 	}
 	r.version++
 	return true
 }
 
-func (r *Registry) reachable(zone string) bool { return r.reach[zone] || !r.balanced[zone] }
+func (r *Registry) reachable(zone string) bool { return r.reachableZones[zone] || !r.knownZones[zone] }
 
 const (
-	// changeTellings is how often each balancer tells a change on.
-	changeTellings = 8
-	// renewalTellings is how often it tells a renewal on: the next renewal
-	// makes up for one that did not get through, and renewals are the bulk.
-	renewalTellings = 4
+	// changeTransmissions is how often each balancer gossips a change.
+	changeTransmissions = 8
+	// renewalTransmissions is how often it gossips a renewal. It is lower, since the next
+	// renewal makes up for a lost one and renewals are most of the traffic.
+	renewalTransmissions = 4
 )
 
-// TakeUrgent says, once, whether an upstream came, went or changed state: its
-// balancers then push the news instead of waiting for their next probes.
+// TakeUrgent returns true once after an upstream was added or changed. The balancer then pushes
+// the change instead of waiting for its next probe.
 func (r *Registry) TakeUrgent() bool {
 	u := r.urgent
 	r.urgent = false
 	return u
 }
 
-// Version changes whenever Pool or Holders may have.
+// Version increases whenever the results of Pool or Holders may have changed.
 func (r *Registry) Version() uint64 { return r.version }
 
-// SetConfiguration tells which services upstreams may join.
+// SetConfiguration sets the configuration, which defines the services that upstreams may join.
 func (r *Registry) SetConfiguration(c configuration.Configuration) {
 	r.configuration = c
 	r.version++
 }
 
-// Announce takes an upstream's own announcement with the digest of the token
-// that it showed, or returns a RefusedError.
+// Announce stores an announcement that an upstream sent, with the digest of its service token, or
+// returns a RefusedError.
 func (r *Registry) Announce(now time.Time, u upstream.Upstream, tokenSha256 string) error {
 	refuse := func(reason string) error {
 		return &RefusedError{Address: u.Address, Service: u.Service, Reason: reason}
@@ -154,19 +159,19 @@
 	return nil
 }
 
-// merge takes an announcement that is newer than what is known.
+// merge stores an announcement if it is newer than the known one.
 func (r *Registry) merge(now time.Time, u upstream.Upstream) {
 	old := r.entries[u.Address]
 	if old != nil && !u.Newer(old.Upstream) {
 		return
 	}
-	e := &entry{Upstream: u, heard: now, firstSeen: now, usable: now}
+	e := &entry{Upstream: u, renewedAt: now, firstSeen: now, usableAt: now}
 	switch {
 	case old == nil:
 	case old.Service != u.Service:
-		e.usable = now.Add(r.settings.Quarantine)
+		e.usableAt = now.Add(r.settings.Quarantine)
 	case old.Incarnation == u.Incarnation:
-		e.firstSeen, e.usable = old.firstSeen, old.usable
+		e.firstSeen, e.usableAt = old.firstSeen, old.usableAt
 		if renews(old.Upstream, u) {
 			r.renew(now, old, u.Sequence)
 			return
@@ -177,44 +182,45 @@
 	r.urgent = true
 }
 
-// renews says whether u says nothing but that old still holds.
+// renews reports whether u differs from old only in its sequence.
 func renews(old, u upstream.Upstream) bool {
 	old.Sequence = u.Sequence
 	return old == u
 }
 
-// renew prolongs a lease; it changes a pool only where the lease had run out.
+// renew renews a lease. It changes a pool only if the lease had expired.
 func (r *Registry) renew(now time.Time, e *entry, sequence uint64) {
-	if now.Sub(e.heard) > r.settings.Lease {
+	if now.Sub(e.renewedAt) > r.settings.Lease {
 		r.version++
 	}
 	e.Sequence = sequence
-	e.heard = now
-	e.renewalTold = 0
+	e.renewedAt = now
+	e.renewalGossiped = 0
 }
 
-// Tick lets leases run out; call it at a steady pace.
+// Tick updates Version for expired leases and deletes old tombstones; call it periodically.
 func (r *Registry) Tick(now time.Time) {
 	for a, e := range r.entries {
-		age := now.Sub(e.heard)
+		age := now.Sub(e.renewedAt)
 		switch {
 		case e.State == upstream.Withdrawn && age > r.settings.Tombstone:
 			delete(r.entries, a)
 			r.version++
 		case age > r.settings.Lease && age-r.settings.Lease <= r.settings.Lease:
-			// The pool shrinks at some moment in this span.
+			// The pool shrinks once during this interval.
 			r.version++
-		case e.usable.After(now) || r.warming(now, e):
+		case e.usableAt.After(now) || r.warming(now, e):
 			r.version++
 		}
 	}
 }
 
+// warming reports whether the share of an entry may have changed with its slow start.
 func (r *Registry) warming(now time.Time, e *entry) bool {
 	return now.Sub(e.firstSeen) <= time.Duration(r.configuration.Preset().ColdStartSeconds+1)*time.Second
 }
 
-// Pool returns the upstreams that take new flows of a service.
+// Pool returns the upstreams that get new flows of a service.
 func (r *Registry) Pool(now time.Time, service string) []router.Pooled {
 	es := r.serving(now, service)
 	pool := make([]router.Pooled, 0, len(es))
@@ -224,7 +230,7 @@
 	return pool
 }
 
-// Serving returns the announcements behind Pool.
+// Serving returns the announcements of the upstreams in Pool.
 func (r *Registry) Serving(now time.Time, service string) []upstream.Upstream {
 	es := r.serving(now, service)
 	us := make([]upstream.Upstream, 0, len(es))
@@ -234,8 +240,8 @@
 	return us
 }
 
-// Share returns the part of a warm upstream's load that the address should
-// get, between 0 and 1, while it starts cold.
+// Share returns the load that the address should get relative to a warm upstream, between 0
+// and 1. It rises during the slow start.
 func (r *Registry) Share(now time.Time, a netip.AddrPort) float64 {
 	if e := r.entries[a]; e != nil {
 		return r.share(now, e)
@@ -243,7 +249,7 @@
 	return 1
 }
 
-// All returns every announcement known, tombstones included, by address.
+// All returns all known announcements including tombstones, sorted by address.
 func (r *Registry) All() []upstream.Upstream {
 	us := make([]upstream.Upstream, 0, len(r.entries))
 	for _, e := range r.sorted() {
@@ -252,27 +258,27 @@
 	return us
 }
 
-// serving returns the entries whose lease holds; where a lease ran out for
-// every upstream of our own zone at once, the loss is likelier on our side, and
-// they stay: an empty pool would turn away the callers that we can still serve.
+// serving returns the entries with a valid lease. If the leases of all upstreams in the
+// balancer's own zone have expired, the fault is more likely on its own side and they are kept:
+// an empty pool would reject callers that can still be served.
 func (r *Registry) serving(now time.Time, service string) []*entry {
-	var live, stale []*entry
-	nearLive := false
+	var live, expired []*entry
+	localLive := false
 	for _, e := range r.sorted() {
-		if e.Service != service || e.State != upstream.Ready || e.usable.After(now) || !r.reachable(e.Zone) || r.evacuations.Evacuated(e.Zone) {
+		if e.Service != service || e.State != upstream.Ready || e.usableAt.After(now) || !r.reachable(e.Zone) || r.evacuations.Evacuated(e.Zone) {
 			continue
 		}
-		if now.Sub(e.heard) <= r.settings.Lease {
+		if now.Sub(e.renewedAt) <= r.settings.Lease {
 			live = append(live, e)
-			nearLive = nearLive || e.Zone == r.settings.Zone
+			localLive = localLive || e.Zone == r.settings.Zone
 			continue
 		}
 		if e.Zone == r.settings.Zone {
-			stale = append(stale, e)
+			expired = append(expired, e)
 		}
 	}
-	if len(stale) > 1 && !nearLive {
-		return append(live, stale...)
+	if len(expired) > 1 && !localLive {
+		return append(live, expired...)
 	}
 	return live
 }
@@ -285,19 +291,19 @@
 	return es
 }
 
-// coldShare is the share of a warm upstream's load at the start.
+// coldShare is the relative load at the beginning of the slow start.
 const coldShare = 0.1
 
 func (r *Registry) share(now time.Time, e *entry) float64 {
-	ramp := time.Duration(r.configuration.Preset().ColdStartSeconds) * time.Second
+	duration := time.Duration(r.configuration.Preset().ColdStartSeconds) * time.Second
 	age := now.Sub(e.firstSeen)
-	if ramp <= 0 || age >= ramp {
+	if duration <= 0 || age >= duration {
 		return 1
 	}
-	return coldShare + (1-coldShare)*float64(age)/float64(ramp)
+	return coldShare + (1-coldShare)*float64(age)/float64(duration)
 }
 
-// Holders tells which service each announced address belongs to.
+// Holders returns the service of each announced address.
 func (r *Registry) Holders() map[netip.AddrPort]string {
 	h := make(map[netip.AddrPort]string, len(r.entries))
 	for a, e := range r.entries {
