--- a/internal/silence/confirmation/confirmation.go
+++ b/internal/silence/confirmation/confirmation.go
@@ -100,7 +100,7 @@
 	}
 	h.running = false
 	c.running--
-	if o.Gone() != h.outcome.Gone() {
+	if o.Down() != h.outcome.Down() {
 		c.version++
 	}
 	h.startedAt, h.endedAt, h.outcome = startedAt, now, o
@@ -127,7 +127,7 @@
 		if h.outcome == probe.Accepted {
 			return false
 		}
-		if h.outcome.Gone() {
+		if h.outcome.Down() {
 			down++
 		}
 	}
--- a/internal/silence/probe/probe.go
+++ b/internal/silence/probe/probe.go
@@ -29,8 +29,8 @@
 // String returns the name of the outcome as used in logs.
 func (o Outcome) String() string { return outcomeNames[o] }
 
-// Gone reports whether the outcome rules out that the upstream is running.
-func (o Outcome) Gone() bool { return o == Refused || o == Unanswered }
+// Down reports whether the outcome rules out that the upstream is running.
+func (o Outcome) Down() bool { return o == Refused || o == Unanswered }
 
 const (
 	// Patience is the timeout for the answer of a host.
