--- a/internal/overload/response/doc.go
+++ b/internal/overload/response/doc.go
@@ -1,8 +1,8 @@
-// Package response follows how fast one upstream answers beside the others of
-// its service.
+// Package response compares the response time of each upstream with that of the
+// other upstreams of its service.
 //
-// The load pattern it answers: some upstreams work several times slower than the
-// rest, after their start or beside a noisy neighbour. Counts of requests under
-// way hardly show it while there are few: an idle slow upstream looks as good as
-// an idle fast one. It has no I/O and no clock; one goroutine owns it.
+// Some upstreams are several times slower than the rest, after a start or because
+// of a noisy neighbour. At low load the number of requests in flight does not show
+// it: an idle slow upstream looks like an idle fast one. The package does no I/O and
+// reads no clock; its types are not safe for concurrent use.
 package response
--- a/internal/overload/response/response.go
+++ b/internal/overload/response/response.go
@@ -6,76 +6,76 @@
 )
 
 const (
-	// weight is that of the newest answer in the mean: with three in ten, the mean
-	// of requests that differ by half is within a fifth of the true one, and
-	// follows a change within some answers.
-	weight = 0.3
-	// trustFor is how long a mean counts without another answer. An upstream that
-	// was slow then gets flows again, and its first answer tells anew.
-	trustFor = 2 * time.Second
-	// slowFrom is the ratio to the others from which an upstream counts as slow:
+	// smoothing is the weight of the newest response in the moving average. With 0.3,
+	// the mean of response times that vary by half stays within a fifth of the true
+	// mean, and follows a change within a few responses.
+	smoothing = 0.3
+	// meanTTL is how long a mean is valid without a new response. A slow upstream then
+	// receives flows again, and its next response starts a new mean.
+	meanTTL = 2 * time.Second
+	// slowThreshold is the ratio to the median from which an upstream counts as slow:
 	// more than twice the spread of the mean.
-	slowFrom = 1.5
-	// slowMost bounds the ratio: a single packet that was lost must not keep an
-	// upstream from all flows.
-	slowMost = 10
-	// fewMost is how many upstreams are compared without garbage: one balancer sees
-	// answers of some dozens in two seconds.
-	fewMost = 64
+	slowThreshold = 1.5
+	// maxSlowness bounds the ratio, so that a single lost packet does not keep all
+	// flows from an upstream.
+	maxSlowness = 10
+	// stackMeans is the number of upstreams that are compared without a heap
+	// allocation: a balancer receives responses of a few dozen in two seconds.
+	stackMeans = 64
 )
 
-// Response is the response time of one upstream as seen here; the zero value has
-// seen no answer.
+// Response tracks the response time of one upstream as measured by this balancer. The
+// zero value has recorded no response.
 type Response struct {
-	mean float64
-	at   time.Time
-	slow float64
+	mean     float64
+	at       time.Time
+	slowness float64
 }
 
-// Answered notes that a request was answered after a time.
+// Answered records the duration of an answered request.
 func (r *Response) Answered(now time.Time, took time.Duration) {
 	if r.fresh(now) {
-		r.mean += weight * (took.Seconds() - r.mean)
+		r.mean += smoothing * (took.Seconds() - r.mean)
 	} else {
 		r.mean = took.Seconds()
 	}
 	r.at = now
 }
 
-func (r *Response) fresh(now time.Time) bool { return !r.at.IsZero() && now.Sub(r.at) < trustFor }
+func (r *Response) fresh(now time.Time) bool { return !r.at.IsZero() && now.Sub(r.at) < meanTTL }
 
-// Slowness is how many times longer the upstream takes than its service does in
-// the middle; 1 where that is not known or not much.
-func (r *Response) Slowness() float64 { return max(r.slow, 1) }
+// Slowness returns the ratio of the upstream's response time to the median of its
+// service, or 1 if the ratio is unknown or below slowThreshold.
+func (r *Response) Slowness() float64 { return max(r.slowness, 1) }
 
-// Mean is the mean of the last answers, and false where there was none lately.
+// Mean returns the moving average, and whether it is still valid.
 func (r *Response) Mean(now time.Time) (time.Duration, bool) {
 	return time.Duration(r.mean * float64(time.Second)), r.fresh(now)
 }
 
-// Compare works out the slowness of all upstreams of a service, and returns the response
-// time in the middle, 0 where none is known.
+// Compare updates the slowness of all upstreams of a service and returns their median
+// response time, or 0 if none is known.
 func Compare(now time.Time, all []*Response) time.Duration {
-	var few [fewMost]float64
-	means := few[:0]
+	var buffer [stackMeans]float64
+	means := buffer[:0]
 	for _, r := range all {
 		if r.fresh(now) {
 			means = append(means, r.mean)
 		}
 	}
 	slices.Sort(means)
-	middle := 0.0
+	median := 0.0
 	if len(means) > 0 {
-		middle = means[(len(means)-1)/2]
+		median = means[(len(means)-1)/2]
 	}
 	for _, r := range all {
-		r.slow = 1
+		r.slowness = 1
 		if len(means) == 0 || !r.fresh(now) {
 			continue
 		}
-		if ratio := r.mean / middle; ratio >= slowFrom {
-			r.slow = min(ratio, slowMost)
+		if ratio := r.mean / median; ratio >= slowThreshold {
+			r.slowness = min(ratio, maxSlowness)
 		}
 	}
-	return time.Duration(middle * float64(time.Second))
+	return time.Duration(median * float64(time.Second))
 }
--- a/internal/overload/response/response_test.go
+++ b/internal/overload/response/response_test.go
@@ -11,7 +11,7 @@
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// upstreams returns upstreams that answered once after some milliseconds.
+// upstreams returns upstreams with one recorded response each; 0 ms records none.
 func upstreams(milliseconds ...int) []*response.Response {
 	var all []*response.Response
 	for _, ms := range milliseconds {
@@ -33,17 +33,17 @@
 	return out
 }
 
-func TestSlownessIsThatBesideTheMiddle(t *testing.T) {
+func TestSlownessIsRatioToMedian(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		took []int
 		want []float64
 	}{
-		{"alone", []int{500}, []float64{1}},
-		{"without an answer", []int{0, 25}, []float64{1, 1}},
-		{"like the others", []int{20, 25, 30}, []float64{1, 1, 1}},
-		{"one is slow", []int{25, 150, 25}, []float64{1, 6, 1}},
-		{"most are slow", []int{25, 150, 150}, []float64{1, 1, 1}},
+		{"single upstream", []int{500}, []float64{1}},
+		{"no response", []int{0, 25}, []float64{1, 1}},
+		{"similar", []int{20, 25, 30}, []float64{1, 1, 1}},
+		{"one slow", []int{25, 150, 25}, []float64{1, 6, 1}},
+		{"most slow", []int{25, 150, 150}, []float64{1, 1, 1}},
 		{"bounded", []int{25, 2000, 25}, []float64{1, 10, 1}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -52,7 +52,7 @@
 	}
 }
 
-func TestMeanFollowsAnswersAndEndsWithThem(t *testing.T) {
+func TestMeanFollowsResponsesAndExpires(t *testing.T) {
 	all := upstreams(25, 150, 25)
 	for range 10 {
 		all[1].Answered(epoch, 25*time.Millisecond)
@@ -60,8 +60,8 @@
 	require.Equal(t, []float64{1, 1, 1}, slowness(all, epoch))
 	all = upstreams(25, 150, 25)
 	later := epoch.Add(3 * time.Second)
-	require.Equal(t, []float64{1, 1, 1}, slowness(all, later), "nothing was heard of it for long")
+	require.Equal(t, []float64{1, 1, 1}, slowness(all, later), "the means have expired")
 	all[0].Answered(later, 25*time.Millisecond)
 	all[1].Answered(later, 25*time.Millisecond)
-	require.Equal(t, []float64{1, 1, 1}, slowness(all, later), "the first answer after a pause counts alone")
+	require.Equal(t, []float64{1, 1, 1}, slowness(all, later), "the first response after a pause starts a new mean")
 }
