--- a/internal/overload/backlog/backlog.go
+++ b/internal/overload/backlog/backlog.go
@@ -3,13 +3,13 @@
 import "time"
 
 const (
-	// patience is how long an opening waits at most. Callers repeat one after 200 ms
-	// and time spent here is missing for another balancer's try; a refusal after it
-	// comes within an eighth of the objective of uploads.
-	patience = 150 * time.Millisecond
-	// limit bounds the openings that wait: two places become free in patience, and
-	// who waits behind more would wait in vain.
-	limit = 2
+	// maxWait is how long an opening is queued. Callers retransmit it after 200 ms, and
+	// waiting here takes time from a retry at another balancer; a rejection after maxWait
+	// still takes less than an eighth of the latency objective of uploads.
+	maxWait = 150 * time.Millisecond
+	// maxLen bounds the queue: two uploads end within maxWait, so that further openings
+	// would only expire.
+	maxLen = 2
 )
 
 type item[K comparable, T any] struct {
@@ -18,40 +18,40 @@
 	since time.Time
 }
 
-// Backlog is the openings that wait at one balancer, the oldest first.
+// Backlog is a bounded queue of the openings at one balancer, the oldest first.
 type Backlog[K comparable, T any] struct{ items []item[K, T] }
 
-// Push lets an opening wait, and reports whether there was room; one that waits
-// already stays where it is.
+// Push queues an opening and reports whether it is queued. If its key is in the queue
+// already, the earlier item stays unchanged.
 func (b *Backlog[K, T]) Push(now time.Time, key K, value T) bool {
 	for _, x := range b.items {
 		if x.key == key {
 			return true
 		}
 	}
-	if len(b.items) >= limit {
+	if len(b.items) >= maxLen {
 		return false
 	}
 	b.items = append(b.items, item[K, T]{key: key, value: value, since: now})
 	return true
 }
 
-// Turn returns the openings that are let in now, and those that waited too long.
-func (b *Backlog[K, T]) Turn(now time.Time, admits func(K) bool) (admitted, late []T) {
+// Turn removes and returns the openings that admits accepts, and those that expired.
+func (b *Backlog[K, T]) Turn(now time.Time, admits func(K) bool) (admitted, expired []T) {
 	kept := b.items[:0]
 	for _, x := range b.items {
 		switch {
 		case admits(x.key):
 			admitted = append(admitted, x.value)
-		case now.Sub(x.since) >= patience:
-			late = append(late, x.value)
+		case now.Sub(x.since) >= maxWait:
+			expired = append(expired, x.value)
 		default:
 			kept = append(kept, x)
 		}
 	}
 	b.items = kept
-	return admitted, late
+	return admitted, expired
 }
 
-// Len returns the number of openings that wait.
+// Len returns the number of queued openings.
 func (b *Backlog[K, T]) Len() int { return len(b.items) }
--- a/internal/overload/backlog/backlog_test.go
+++ b/internal/overload/backlog/backlog_test.go
@@ -18,38 +18,37 @@
 
 func always(int) bool { return true }
 
-func TestOpeningsWaitForTheirTurn(t *testing.T) {
+func TestOpeningsWaitForAdmission(t *testing.T) {
 	var b backlog.Backlog[int, string]
 	require.True(t, b.Push(epoch, 1, "first"))
 	require.True(t, b.Push(after(10), 2, "second"))
-	require.True(t, b.Push(after(20), 1, "copy"), "it waits already")
-	require.False(t, b.Push(after(20), 3, "third"), "who waits behind two waits in vain")
-	admitted, late := b.Turn(after(50), never)
+	require.True(t, b.Push(after(20), 1, "copy"), "the same key is already queued")
+	require.False(t, b.Push(after(20), 3, "third"), "the queue is full")
+	admitted, expired := b.Turn(after(50), never)
 	require.Empty(t, admitted)
-	require.Empty(t, late)
+	require.Empty(t, expired)
 	admitted, _ = b.Turn(after(60), func(key int) bool { return key == 1 })
 	require.Equal(t, []string{"first"}, admitted)
-	_, late = b.Turn(after(160), never)
-	require.Equal(t, []string{"second"}, late)
+	_, expired = b.Turn(after(160), never)
+	require.Equal(t, []string{"second"}, expired)
 	require.Zero(t, b.Len())
 	b.Push(after(200), 4, "fourth")
-	admitted, late = b.Turn(after(500), always)
-	require.Equal(t, []string{"fourth"}, admitted, "there is room, however long it waited")
-	require.Empty(t, late)
+	admitted, expired = b.Turn(after(500), always)
+	require.Equal(t, []string{"fourth"}, admitted, "an opening that can be admitted is not expired")
+	require.Empty(t, expired)
 }
 
-// Symptom: one in 60 uploads was refused at three balancers in a row.
-// Events: uploads are opened at random over a link of 2 Mbit/s that carries two at
-// once; they keep it busy for a third of the time.
-// Cause: an opening that found no room was refused at once, though a place became
-// free soon after.
-func TestUploadsThatWaitAMomentAreSeldomRefused(t *testing.T) {
+// Guards against rejecting uploads that could start a moment later. Uploads open at random
+// over a link of 2 Mbit/s that carries two at once and is busy for a third of the time.
+// When openings beyond that were rejected at once, three balancers in a row rejected one
+// in 60 uploads, although an earlier upload ended soon after.
+func TestQueuedUploadsAreNotRejected(t *testing.T) {
 	const (
 		uploads = 400
 		every   = 300
 		lasts   = 280
 	)
-	refused := func(wait bool) int {
+	rejected := func(wait bool) int {
 		link := uplink.New[int, string](250_000)
 		var b backlog.Backlog[int, int]
 		ends := map[int]int{}
@@ -64,7 +63,7 @@
 		}
 		n, at := 0, map[int][]int{}
 		for key := range uploads {
-			// Openings bunch: three come within 160 ms, then none for a while.
+			// Openings arrive in bursts: three within 160 ms, then none until the next burst.
 			at[(key/3)*3*every+key%3*80] = append(at[(key/3)*3*every+key%3*80], key)
 		}
 		for now := 0; now < uploads*every+1000; now += 10 {
@@ -76,8 +75,8 @@
 				}
 				link.Offer(after(now), uplink.Packet[int, string]{Flow: key, Sequence: uint32(now), Length: 1, Size: 0})
 			}
-			_, late := b.Turn(after(now), admit(now))
-			n += len(late)
+			_, expired := b.Turn(after(now), admit(now))
+			n += len(expired)
 			for _, key := range at[now] {
 				if !admit(now)(key) && (!wait || !b.Push(after(now), key, key)) {
 					n++
@@ -86,6 +85,6 @@
 		}
 		return n
 	}
-	require.Greater(t, refused(false), uploads/4)
-	require.Zero(t, refused(true))
+	require.Greater(t, rejected(false), uploads/4)
+	require.Zero(t, rejected(true))
 }
--- a/internal/overload/backlog/doc.go
+++ b/internal/overload/backlog/doc.go
@@ -1,8 +1,9 @@
-// Package backlog keeps openings that wait a moment for room on a narrow link.
+// Package backlog queues flow openings for a short time while a narrow link is at
+// its limit of concurrent uploads.
 //
-// The load pattern it answers: a link carries two uploads at once, each for some
-// 0.3 s, and openings come at random. Turning each away that finds both busy made one
-// in 60 uploads fail, refused at three balancers in a row, while a place would have
-// been free a tenth of a second later. It has no I/O and no clock; one goroutine owns
-// it.
+// A link carries two uploads at once, each for about 0.3 s, and openings arrive at random.
+// When openings beyond that were rejected at once, three balancers in a row rejected one
+// in 60 uploads, although an upload ended 0.1 s later.
+//
+// The package does no I/O and reads no clock; its types are not safe for concurrent use.
 package backlog
