--- a/internal/overload/waiting/waiting.go
+++ b/internal/overload/waiting/waiting.go
@@ -6,12 +6,12 @@
 )
 
 const (
-	// limit bounds the packets kept: what some hundred callers send in a second.
-	// With 1.3 kB at most each they take 0.7 MB.
-	limit = 512
-	// keepFor is how long a packet is worth keeping: callers give an opening up
-	// after 1.4 s, and repeat a packet after 1.6 s at the latest.
-	keepFor = time.Second
+	// capacity bounds the buffered packets: about a hundred callers send as many in a
+	// second. At no more than 1.3 kB each they take 0.7 MB.
+	capacity = 512
+	// maxAge is how long a packet is buffered: callers give up an opening after 1.4 s,
+	// and retransmit a packet after 1.6 s at the latest.
+	maxAge = time.Second
 )
 
 type item[T any] struct {
@@ -19,23 +19,23 @@
 	since time.Time
 }
 
-// Waiting keeps the newest packet for each key; one goroutine owns it.
+// Waiting buffers the newest packet of each key. It is not safe for concurrent use.
 type Waiting[K comparable, T any] struct {
 	items map[K]item[T]
 	order []K
 }
 
-// New returns an empty one.
+// New returns an empty buffer.
 func New[K comparable, T any]() *Waiting[K, T] { return &Waiting[K, T]{items: map[K]item[T]{}} }
 
-// Keep keeps a packet that arrived at a time, in place of an earlier one of its
-// key, and reports whether there was room.
+// Keep buffers a packet that arrived at the given time and reports whether there was
+// space. A packet of the same key is replaced, and its arrival time is retained.
 func (w *Waiting[K, T]) Keep(now, arrived time.Time, key K, value T) bool {
 	old, known := w.items[key]
-	if !known && len(w.order) >= limit {
+	if !known && len(w.order) >= capacity {
 		w.expire(now)
 	}
-	if !known && len(w.order) >= limit {
+	if !known && len(w.order) >= capacity {
 		return false
 	}
 	if !known {
@@ -46,8 +46,8 @@
 	return true
 }
 
-// Take passes on the packets that are worth placing, in the order of their first
-// arrival and with the time of that, and keeps none.
+// Take empties the buffer and passes each packet that has not expired to place, with its
+// first arrival time and in the order of these times.
 func (w *Waiting[K, T]) Take(now time.Time, place func(arrived time.Time, value T)) {
 	w.expire(now)
 	order, items := w.order, w.items
@@ -57,7 +57,7 @@
 	}
 }
 
-// Remove drops the packet of a key, if one is kept.
+// Remove drops the packet of a key, if there is one.
 func (w *Waiting[K, T]) Remove(key K) {
 	if _, known := w.items[key]; !known {
 		return
@@ -66,13 +66,13 @@
 	w.order = slices.DeleteFunc(w.order, func(k K) bool { return k == key })
 }
 
-// Len returns the number of packets kept.
+// Len returns the number of buffered packets.
 func (w *Waiting[K, T]) Len() int { return len(w.order) }
 
 func (w *Waiting[K, T]) expire(now time.Time) {
 	kept := w.order[:0]
 	for _, k := range w.order {
-		if now.Sub(w.items[k].since) > keepFor {
+		if now.Sub(w.items[k].since) > maxAge {
 			delete(w.items, k)
 			continue
 		}
--- a/internal/overload/waiting/waiting_test.go
+++ b/internal/overload/waiting/waiting_test.go
@@ -17,7 +17,7 @@
 	return out
 }
 
-func TestNewestPacketOfAKeyIsKept(t *testing.T) {
+func TestNewestPacketOfKeyIsKept(t *testing.T) {
 	w := waiting.New[int, string]()
 	w.Keep(epoch, epoch, 1, "opening")
 	w.Keep(epoch, epoch, 2, "other")
@@ -26,17 +26,16 @@
 	require.Zero(t, w.Len())
 }
 
-func TestOldPacketsAreNotPlaced(t *testing.T) {
+func TestExpiredPacketsAreNotPlaced(t *testing.T) {
 	w := waiting.New[int, string]()
 	w.Keep(epoch, epoch, 1, "old")
 	w.Keep(epoch.Add(900*time.Millisecond), epoch.Add(900*time.Millisecond), 2, "new")
 	require.Equal(t, []string{"new"}, take(w, epoch.Add(1100*time.Millisecond)))
 }
 
-// Symptom: packets of a flow whose upstream nobody knows circled for ever.
-// Events: they are taken out, cannot be placed, and are kept again.
-// Cause: keeping them again made them young.
-func TestPacketsKeptAgainKeepTheirAge(t *testing.T) {
+// Guards against packets of a flow with an unknown upstream staying in the buffer forever.
+// Such a packet is taken, cannot be placed and is kept again; it must not lose its age.
+func TestPacketKeptAgainRetainsItsAge(t *testing.T) {
 	w := waiting.New[int, string]()
 	w.Keep(epoch, epoch, 1, "lost")
 	for n := range 12 {
@@ -56,7 +55,7 @@
 	require.Equal(t, []string{"other"}, take(w, epoch))
 }
 
-func TestRoomIsBounded(t *testing.T) {
+func TestCapacityIsBounded(t *testing.T) {
 	w := waiting.New[int, string]()
 	n := 0
 	for w.Keep(epoch, epoch, n, "") {
@@ -64,5 +63,5 @@
 		require.Less(t, n, 10_000)
 	}
 	later := epoch.Add(2 * time.Second)
-	require.True(t, w.Keep(later, later, n, ""), "what is too old makes room")
+	require.True(t, w.Keep(later, later, n, ""), "expired packets free space")
 }
