--- a/internal/overload/concurrency/concurrency_test.go
+++ b/internal/overload/concurrency/concurrency_test.go
@@ -9,7 +9,7 @@
 	"wasabideal/internal/overload/concurrency"
 )
 
-func TestLimitIsAShareOfTheSlots(t *testing.T) {
+func TestLimitIsShareOfSlots(t *testing.T) {
 	for _, c := range []struct {
 		slots, balancers, ordinary, urgent int
 	}{{240, 70, 10, 27}, {28, 9, 9, 24}, {42000, 3200, 39, 105}, {6, 30, 6, 6}} {
@@ -21,10 +21,10 @@
 		require.Equal(t, c.urgent, limit)
 	}
 	_, known := concurrency.Share{Slots: 240}.Limit(true)
-	require.False(t, known, "balancers that do not know of each other have no share")
+	require.False(t, known, "no limit without a known number of balancers")
 }
 
-func TestLevelPassesShortPeaks(t *testing.T) {
+func TestLevelIgnoresShortPeaks(t *testing.T) {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	var l concurrency.Level
 	require.False(t, l.Exceeds(now, 3, 10))
@@ -37,5 +37,5 @@
 		l.Exceeds(now, 14, 10)
 	}
 	require.True(t, l.Exceeds(now, 14, 10), "0.8 s")
-	require.False(t, l.Exceeds(now, 9, 10), "there is room now")
+	require.False(t, l.Exceeds(now, 9, 10), "the current number is below the limit")
 }
--- a/internal/overload/concurrency/doc.go
+++ b/internal/overload/concurrency/doc.go
@@ -1,3 +1,3 @@
-// Package concurrency decides how many requests one balancer may have under way at the
+// Package concurrency limits the requests that one balancer may have in flight at the
 // upstreams of a service.
 package concurrency
