--- a/internal/overload/urgency/doc.go
+++ b/internal/overload/urgency/doc.go
@@ -1,2 +1,3 @@
-// Package urgency tells which of a service's flows are the most urgent that callers ask for.
+// Package urgency determines which flows of a service have the best priority among those that
+// callers currently open.
 package urgency
