--- a/internal/overload/uplink/doc.go
+++ b/internal/overload/uplink/doc.go
@@ -1,11 +1,10 @@
 // Package uplink shares the narrow link of an entry VM between callers' uploads
-// and everything else.
+// and all other traffic.
 //
-// Load pattern: callers send an upload as a window of packets at a time, and
-// repeat what is not acknowledged within a fifth of a second. Three uploads at
-// once on a link of 2 Mbit/s wait longer than that in the link's own queue; the
-// repeated packets then fill the link, and short requests wait behind them for
-// hundreds of milliseconds. So few uploads are let in at once, the others are
-// sent elsewhere at their opening, and the packets of those let in leave at a
-// pace that keeps the waiting here, where short requests can pass.
+// Callers send an upload in windows of packets, and retransmit packets that are not
+// acknowledged within 0.2 s. On a link of 2 Mbit/s, three concurrent uploads exceed that
+// time in the link's own queue; the retransmissions then fill the link, and short requests
+// are delayed by hundreds of milliseconds. So the package admits few uploads at once, and
+// new ones beyond that go to another balancer. It paces the packets of admitted uploads,
+// so that they are queued here, where short requests can overtake them.
 package uplink
--- a/internal/overload/uplink/uplink_test.go
+++ b/internal/overload/uplink/uplink_test.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	narrow = 250_000 // bytes a second: 2 Mbit/s
+	narrow = 250_000 // bytes per second: 2 Mbit/s
 	size   = 1244
 )
 
@@ -20,44 +20,41 @@
 	return uplink.Packet[int, int]{Flow: flow, Sequence: uint32(sequence), Length: 1200, Size: size}
 }
 
-func TestLimitFollowsTheLink(t *testing.T) {
+func TestLimitFollowsBandwidth(t *testing.T) {
 	require.Equal(t, 2, uplink.New[int, int](narrow).Limit(epoch))
 	require.Equal(t, 1, uplink.New[int, int](narrow/10).Limit(epoch))
 	require.Equal(t, 1005, uplink.New[int, int](500*narrow).Limit(epoch))
 }
 
-// Symptom: uploads took seconds on a link that was nearly idle.
-// Events: callers upload bodies of 240 kB over a link of 1,000 Mbit/s.
-// Cause: each was paced as on a narrow link, where the waiting has to be kept
-// out of the link's own queue.
+// Guards against slow uploads on a link that is nearly idle. Bodies of 240 kB took seconds
+// over a link of 1,000 Mbit/s when they were paced as on a narrow one, where pacing keeps
+// packets out of the link's own queue.
 func TestWideLinksAreNotPaced(t *testing.T) {
 	require.True(t, uplink.Narrow(narrow))
 	require.False(t, uplink.Narrow(500*narrow))
 	require.False(t, uplink.Narrow(0))
 }
 
-// Symptom: uploads took seconds, and short requests through the same entry VM
-// waited a quarter of a second.
-// Events: three callers start uploads through one link of 2 Mbit/s.
-// Cause: their windows took longer than the time after which packets are
-// repeated, and the repetitions filled the link.
+// Guards against congestion by concurrent uploads. When three callers upload through one
+// link of 2 Mbit/s, their windows take longer than the retransmission timeout, and the
+// retransmitted packets fill the link: uploads took seconds, and short requests through the
+// same entry VM waited a quarter of a second.
 func TestThirdUploadIsTurnedAwayAtItsOpening(t *testing.T) {
 	u := uplink.New[int, int](narrow)
 	require.True(t, u.Admit(epoch, 1))
 	require.True(t, u.Admit(epoch, 2))
 	require.False(t, u.Admit(epoch, 3))
-	require.True(t, u.Admit(epoch, 1), "one that is in stays")
+	require.True(t, u.Admit(epoch, 1), "an active upload stays admitted")
 	u.Leave(2)
 	require.True(t, u.Admit(epoch, 3))
-	require.True(t, u.Admit(epoch.Add(time.Second), 4), "silent uploads make room")
+	require.True(t, u.Admit(epoch.Add(time.Second), 4), "inactive uploads do not count")
 }
 
-// Symptom: at six times the usual load nearly all requests were late, though they took less
-// than half of the link, and callers repeated packets that only waited in its queue.
-// Events: short requests come at 100 kB/s over a link of 250 kB/s, and uploads one after the
-// other as they are let in.
-// Cause: uploads took 95 % of the link whatever else was on it, so that its queue grew.
-func TestUploadsTakeWhatOtherPacketsLeave(t *testing.T) {
+// Guards against uploads that ignore other traffic. Short requests use 100 kB/s of a link
+// of 250 kB/s, and uploads follow one after the other. When uploads took 95 % of the link
+// regardless, its queue grew: at six times the usual load nearly all requests were late,
+// though they took less than half of the link, and callers retransmitted queued packets.
+func TestUploadsUseRemainingBandwidth(t *testing.T) {
 	for others, limit := range map[int]int{0: 2, 100_000: 1, 150_000: 1, 200_000: 0} {
 		u := uplink.New[int, int](narrow)
 		sent, flow, sequence := 0, 1, 0
@@ -69,7 +66,7 @@
 			}
 			require.LessOrEqual(t, u.Limit(now), 2)
 			u.Admit(now, flow)
-			for u.Offer(now, packet(flow, sequence)) == uplink.Waits {
+			for u.Offer(now, packet(flow, sequence)) == uplink.Queued {
 				sequence++
 			}
 			for {
@@ -84,20 +81,20 @@
 		require.Equal(t, limit, u.Limit(end), "beside %d bytes a second", others)
 		taken := float64(sent)/measured.Seconds() + float64(others)
 		require.Less(t, taken, 1.0*narrow, "the link's queue must not grow")
-		require.Greater(t, float64(sent)/measured.Seconds(), 0.09*narrow, "uploads that are in end")
+		require.Greater(t, float64(sent)/measured.Seconds(), 0.09*narrow, "admitted uploads make progress")
 	}
 }
 
-// replay lets callers with windows of 16 packets upload over the link, and
-// returns the longest wait of a packet and how many were repeated.
-func replay(t *testing.T, flows int) (longest time.Duration, repeated int) {
+// replay simulates uploads with windows of 16 packets over the link, and returns the longest
+// queueing delay of a packet and the number of retransmissions.
+func replay(t *testing.T, flows int) (longest time.Duration, retransmitted int) {
 	u := uplink.New[int, int](narrow)
 	sent := map[[2]int]time.Time{}
 	next := make([]int, flows)
 	offer := func(now time.Time, flow int) {
 		next[flow]++
 		sent[[2]int{flow, next[flow]}] = now
-		require.Equal(t, uplink.Waits, u.Offer(now, packet(flow, next[flow])))
+		require.Equal(t, uplink.Queued, u.Offer(now, packet(flow, next[flow])))
 	}
 	for flow := range flows {
 		for range 16 {
@@ -113,29 +110,29 @@
 			k := [2]int{p.Flow, int(p.Sequence)}
 			longest = max(longest, now.Sub(sent[k]))
 			if now.Sub(sent[k]) > 200*time.Millisecond {
-				repeated++
+				retransmitted++
 			}
 			offer(now, p.Flow)
 		}
 	}
-	return longest, repeated
+	return longest, retransmitted
 }
 
 func TestPacedUploadsAreNotRepeated(t *testing.T) {
 	for flows := 1; flows <= 2; flows++ {
-		longest, repeated := replay(t, flows)
-		require.Zero(t, repeated, "%d uploads, longest wait %s", flows, longest)
+		longest, retransmitted := replay(t, flows)
+		require.Zero(t, retransmitted, "%d uploads, longest wait %s", flows, longest)
 	}
 }
 
-func TestRepeatedPacketIsDroppedWhileItsFirstCopyWaits(t *testing.T) {
+func TestRetransmissionOfQueuedPacketIsDropped(t *testing.T) {
 	u := uplink.New[int, int](narrow)
-	require.Equal(t, uplink.Waits, u.Offer(epoch, packet(1, 1)))
-	require.Equal(t, uplink.Doubled, u.Offer(epoch, packet(1, 1)))
-	for n := 2; u.Offer(epoch, packet(1, n)) == uplink.Waits; n++ {
+	require.Equal(t, uplink.Queued, u.Offer(epoch, packet(1, 1)))
+	require.Equal(t, uplink.Duplicate, u.Offer(epoch, packet(1, 1)))
+	for n := 2; u.Offer(epoch, packet(1, n)) == uplink.Queued; n++ {
 		require.Less(t, n, 100, "the queue is bounded")
 	}
-	wait, waits := u.Wait(epoch)
-	require.True(t, waits)
+	wait, queued := u.Wait(epoch)
+	require.True(t, queued)
 	require.Positive(t, wait)
 }
