--- a/internal/overload/slowstart/doc.go
+++ b/internal/overload/slowstart/doc.go
@@ -1,2 +1,2 @@
-// Package slowstart bounds the flows that an upstream gets which has just started.
+// Package slowstart limits the rate of new flows at an upstream that has just started.
 package slowstart
--- a/internal/overload/slowstart/slowstart.go
+++ b/internal/overload/slowstart/slowstart.go
@@ -6,20 +6,20 @@
 )
 
 const (
-	// window is the span of time in which an upstream bears so many requests, any such span.
+	// window is the length of the sliding window to which the rate limit applies.
 	window = time.Second
-	// share is the part of what an upstream bears that one balancer sends. A second one may
-	// take itself for the upstream's own while their lists of balancers differ, and both
-	// stay within one and a half times of it.
+	// share is the part of the upstream's rate that one balancer uses. While lists of
+	// balancers differ, two balancers may both send flows to the same cold upstream, and
+	// both together stay within one and a half times its rate.
 	share = 0.75
 )
 
-// Window is the flows that one balancer opened at a cold upstream in the last second; the
-// zero value has none. One goroutine owns it.
+// Window is the sliding window of the flows that one balancer opened at a cold upstream. The
+// zero value is empty. It is not safe for concurrent use.
 type Window struct{ opened []time.Time }
 
-// Take says whether an upstream that bears so many requests a second may get another flow,
-// and notes it if so.
+// Take records another flow and returns true if the upstream's rate of requests per second
+// allows it.
 func (w *Window) Take(now time.Time, perSecond float64) bool {
 	if !w.Allows(now, perSecond) {
 		return false
@@ -28,20 +28,21 @@
 	return true
 }
 
-// Allows says whether it may, and notes nothing.
+// Allows reports whether Take would succeed, without recording a flow.
 func (w *Window) Allows(now time.Time, perSecond float64) bool {
-	old, _ := slices.BinarySearchFunc(w.opened, now.Add(-window), func(at, from time.Time) int {
+	expired, _ := slices.BinarySearchFunc(w.opened, now.Add(-window), func(at, from time.Time) int {
 		if at.After(from) {
 			return 1
 		}
 		return -1
 	})
-	w.opened = slices.Delete(w.opened, 0, old)
-	return len(w.opened) < most(perSecond)
+	w.opened = slices.Delete(w.opened, 0, expired)
+	return len(w.opened) < maxFlows(perSecond)
 }
 
-// most is the flows in a window: at least one where the upstream bears one at all.
-func most(perSecond float64) int {
+// maxFlows returns the limit of flows in a window: at least one if the upstream accepts one
+// request per second.
+func maxFlows(perSecond float64) int {
 	if perSecond < 1 {
 		return 0
 	}
--- a/internal/overload/slowstart/slowstart_test.go
+++ b/internal/overload/slowstart/slowstart_test.go
@@ -9,9 +9,9 @@
 	"wasabideal/internal/overload/slowstart"
 )
 
-// In no span of a second, wherever it begins, does an upstream get more than its rate, and
-// two balancers together no more than one and a half times of it.
-func TestNoSecondHasMoreThanTheRate(t *testing.T) {
+// In any window of one second an upstream gets at most its rate from one balancer, and at
+// most one and a half times its rate from two balancers.
+func TestNoWindowExceedsRate(t *testing.T) {
 	for _, rate := range []float64{1, 2, 6, 12, 100} {
 		var w slowstart.Window
 		var taken []time.Time
@@ -24,15 +24,15 @@
 		}
 		require.NotEmpty(t, taken)
 		for i := range taken {
-			in := 0
+			flows := 0
 			for _, at := range taken[i:] {
 				if at.Sub(taken[i]) <= time.Second {
-					in++
+					flows++
 				}
 			}
-			require.LessOrEqual(t, float64(in), rate)
-			require.LessOrEqual(t, 2*float64(in), max(1.5*rate, 2))
+			require.LessOrEqual(t, float64(flows), rate)
+			require.LessOrEqual(t, 2*float64(flows), max(1.5*rate, 2))
 		}
-		require.Greater(t, float64(len(taken)), 0.45*rate*now.Sub(taken[0]).Seconds(), "it is used, too")
+		require.Greater(t, float64(len(taken)), 0.45*rate*now.Sub(taken[0]).Seconds(), "the rate is used")
 	}
 }
