--- a/internal/overload/meter/doc.go
+++ b/internal/overload/meter/doc.go
@@ -1,2 +1,2 @@
-// Package meter measures the rate at which something comes, of the last moments.
+// Package meter measures an exponentially decaying rate.
 package meter
--- a/internal/overload/meter/meter.go
+++ b/internal/overload/meter/meter.go
@@ -5,35 +5,37 @@
 	"time"
 )
 
-// Meter is a rate that follows changes within a time constant; one goroutine owns it.
+// Meter is an exponentially decaying rate. It is not safe for concurrent use.
 type Meter struct {
 	constant time.Duration
 	sum      float64
-	at       time.Time
+	updated  time.Time
 }
 
-// New returns a meter with a time constant: a change is followed by two thirds after it.
+// New returns a meter with the given time constant, after which the rate has followed two
+// thirds of a change.
 func New(constant time.Duration) *Meter { return &Meter{constant: constant} }
 
-// Add notes an amount.
+// Add records an amount.
 func (m *Meter) Add(now time.Time, amount float64) {
-	m.fade(now)
+	m.decay(now)
 	m.sum += amount
 }
 
-// Rate returns the amount a second.
+// Rate returns the rate in amounts per second.
 func (m *Meter) Rate(now time.Time) float64 {
-	m.fade(now)
+	m.decay(now)
 	return m.sum / m.constant.Seconds()
 }
 
-// fadeParts is the part of the time constant in which a rate may stay as it is: it is then
-// too large by 2 % at the most, and some hundred openings a second cost no exponential each.
-const fadeParts = 50
+// decayParts divides the time constant into the intervals between two decays. A rate is too
+// high by at most 2 % in between, and several hundred openings a second do not compute an
+// exponential each.
+const decayParts = 50
 
-func (m *Meter) fade(now time.Time) {
-	if elapsed := now.Sub(m.at); elapsed > m.constant/fadeParts {
+func (m *Meter) decay(now time.Time) {
+	if elapsed := now.Sub(m.updated); elapsed > m.constant/decayParts {
 		m.sum *= math.Exp(-elapsed.Seconds() / m.constant.Seconds())
-		m.at = now
+		m.updated = now
 	}
 }
--- a/internal/overload/meter/meter_test.go
+++ b/internal/overload/meter/meter_test.go
@@ -9,7 +9,7 @@
 	"wasabideal/internal/overload/meter"
 )
 
-func TestRateFollowsWhatComes(t *testing.T) {
+func TestRateFollowsAmounts(t *testing.T) {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	m := meter.New(250 * time.Millisecond)
 	require.Zero(t, m.Rate(now))
