--- a/internal/overload/admission/admission.go
+++ b/internal/overload/admission/admission.go
@@ -7,137 +7,136 @@
 )
 
 const (
-	// memory is how long an answer counts: about as long as requests take when
-	// queues are full. Longer, and flows are refused for queues that are gone.
-	memory = 150 * time.Millisecond
-	// answersMost is how many answers are looked at; more would only cost time.
-	answersMost = 32
-	// enough is the number of answers below which they tell nothing: a packet lost
-	// on the way delays an answer by 200 ms.
-	enough = 8
-	// slowestPart of the answers is left out: they are those of upstreams whose
-	// slowness is not known yet, and of packets that were lost.
+	// maxAge is how long a response counts: about the duration of requests when queues are
+	// full. With a longer time, flows are rejected for queues that no longer exist.
+	maxAge = 150 * time.Millisecond
+	// maxResponses is the number of recorded responses; more would only cost time.
+	maxResponses = 32
+	// minResponses is the number of responses that a prediction needs: a packet that is lost
+	// on the way delays a response by 200 ms.
+	minResponses = 8
+	// slowestPart is the divisor of the slowest responses that are left out, one in four:
+	// they are due to lost packets, and to upstreams that are not yet known to be slow.
 	slowestPart = 4
-	// few dampens the growth of small numbers: two requests instead of one are no
-	// sign of a queue that has doubled.
-	few = 4
-	// growthLeast and growthMost bound what is predicted from a growth that none of
-	// the answers has seen.
-	growthLeast, growthMost = 0.5, 3
-	// slowestShare is the share of the slowest answer that the prediction is at
-	// least. Full upstreams may refuse requests at once, and the more they refuse,
-	// the shorter the mean: a service that was overloaded when a balancer started
-	// would stay so.
+	// growthOffset dampens the growth of small numbers: two requests in flight instead of
+	// one do not mean that a queue has doubled.
+	growthOffset = 4
+	// minGrowth and maxGrowth bound the extrapolation to a load that none of the recorded
+	// responses has seen.
+	minGrowth, maxGrowth = 0.5, 3
+	// slowestShare bounds the prediction from below, as a share of the slowest response
+	// counted. Full upstreams may refuse requests at once, and the more they refuse, the
+	// shorter the mean: a service that was overloaded when a balancer started would stay so.
 	slowestShare = 0.45
 )
 
-// The predicted response times, as shares of the objective, at which the first
-// flow and every flow is turned away. Ordinary flows leave room for the slowest
-// requests, which take more than twice the mean; urgent ones are turned away only
-// when no other is let in. Measured with 14 upstreams of two slots, as the share of
-// what callers wanted in time: bursts of three and four times the ordinary load
-// 0.90 and 0.75 (0.66 and 0.50 where all are let in; 0.89 and 0.58 with ordinary
-// shares of 0.5 and 0.6), of two and a half times 0.98 (0.98).
+// The predicted response times, as shares of the objective, from which some flows and all
+// flows are rejected. Ordinary flows leave headroom for the slowest requests, which take more
+// than twice the mean; urgent flows are rejected only when no other is admitted.
+//
+// The share of requests in time with 14 upstreams of two slots: 0.90 and 0.75 in bursts of
+// three and four times the ordinary load (0.66 and 0.50 if all flows are admitted; 0.89 and
+// 0.58 with ordinary shares of 0.5 and 0.6), 0.98 (0.98) in bursts of two and a half times.
 const (
 	ordinaryFirst, ordinaryAll = 0.42, 0.48
 	urgentFirst, urgentAll     = 0.6, 0.8
 )
 
 const (
-	// overloadFrom is the predicted response time, as a share of the objective, from
+	// overloadThreshold is the predicted response time, as a share of the objective, from
 	// which a service counts as overloaded. Upstreams that are busy nearly all the time
-	// answer in half of the objective and still in time; refusing from there on left
-	// 0.5 % of the requests of a burst of four times the load unserved that were all
-	// served without.
-	overloadFrom = 0.8
-	// overloadFor is how long it does so after the response time is back below the
-	// first refusal: the queues that refusals keep short would fill at once.
-	overloadFor = 3 * time.Second
+	// respond in half of the objective, which is in time: rejecting from there on left 0.5 %
+	// of the requests unserved in a burst of four times the load, which were all served
+	// without rejections.
+	overloadThreshold = 0.8
+	// overloadHold is how long a service counts as overloaded after the response time is
+	// back below the first rejection: the queues, kept short by rejections, would fill at
+	// once.
+	overloadHold = 3 * time.Second
 )
 
-// Demand is what a new flow asks for.
+// Demand describes a new flow.
 type Demand struct {
-	// Objective is the time within which its requests are to be answered; 0 is
-	// none, and such flows are never turned away.
+	// Objective is the time within which its requests are to be answered. Flows without an
+	// objective, 0, are always admitted.
 	Objective time.Duration
-	// Urgent flows are turned away last.
+	// Urgent flows are rejected last.
 	Urgent bool
-	// Number spreads flows evenly over its lowest 16 bits, and stays the same for
-	// one flow.
+	// Number is evenly distributed over its lowest 16 bits, and constant for each flow.
 	Number uint64
 }
 
-// answer is one request that was answered.
-type answer struct {
+// response is the response to one request.
+type response struct {
 	at   time.Time
 	took time.Duration
-	// beside is what the service had under way when the request was sent.
-	beside int
+	// atSend is the number of the service's requests in flight when the request was sent.
+	atSend int
 }
 
-// Admission is the response time of one service as seen here; the zero value has
-// seen no answer and lets all flows in.
+// Admission predicts the response time of one service from the latest responses. The zero
+// value has recorded none and admits all flows.
 type Admission struct {
-	answers [answersMost]answer
-	next    int
-	// until is how long the service counts as overloaded.
-	until time.Time
+	responses [maxResponses]response
+	next      int
+	// overloadedUntil is when the service stops counting as overloaded.
+	overloadedUntil time.Time
 }
 
-// Answered notes that a request was answered after a time, sent when so many were
-// under way.
-func (a *Admission) Answered(now time.Time, took time.Duration, beside int) {
-	a.answers[a.next] = answer{at: now, took: took, beside: beside}
-	a.next = (a.next + 1) % answersMost
+// Answered records the duration of an answered request, and the number of requests in flight
+// when it was sent.
+func (a *Admission) Answered(now time.Time, took time.Duration, atSend int) {
+	a.responses[a.next] = response{at: now, took: took, atSend: atSend}
+	a.next = (a.next + 1) % maxResponses
 }
 
-// ResponseTime predicts how long a request will take that is sent while so many
-// are under way, 0 where too few answers tell.
+// ResponseTime predicts the duration of a request that is sent now with the given number of
+// requests in flight; 0 means too few responses to predict.
 //
-// The answers tell of requests that were sent before the last ones came in. A
-// burst would fill all queues before the first of its answers is late; what is
-// under way now, compared with what was then, shows it at once.
-func (a *Admission) ResponseTime(now time.Time, underWay int) time.Duration {
-	var buffer [answersMost]answer
-	n := a.lately(now, &buffer)
-	if n < enough {
+// Responses reflect the load at the time of their requests, so a burst would fill all queues
+// before its first response is late. Scaling by the growth of requests in flight since then
+// shows the burst at once.
+func (a *Admission) ResponseTime(now time.Time, inFlight int) time.Duration {
+	var buffer [maxResponses]response
+	n := a.recent(now, &buffer)
+	if n < minResponses {
 		return 0
 	}
-	quick := buffer[:n]
-	slices.SortFunc(quick, func(x, y answer) int { return cmp.Compare(x.took, y.took) })
-	quick = quick[:n-n/slowestPart]
+	fastest := buffer[:n]
+	slices.SortFunc(fastest, func(x, y response) int { return cmp.Compare(x.took, y.took) })
+	fastest = fastest[:n-n/slowestPart]
 	var sum time.Duration
-	beside := 0
-	for _, x := range quick {
+	atSend := 0
+	for _, x := range fastest {
 		sum += x.took
-		beside += x.beside
+		atSend += x.atSend
 	}
-	usual := float64(beside) / float64(len(quick))
-	growth := min(max((float64(underWay)+few)/(usual+few), growthLeast), growthMost)
-	mean := growth * float64(sum) / float64(len(quick))
-	slowest := slowestShare * float64(quick[len(quick)-1].took)
+	usual := float64(atSend) / float64(len(fastest))
+	growth := min(max((float64(inFlight)+growthOffset)/(usual+growthOffset), minGrowth), maxGrowth)
+	mean := growth * float64(sum) / float64(len(fastest))
+	slowest := slowestShare * float64(fastest[len(fastest)-1].took)
 	return time.Duration(max(mean, slowest))
 }
 
-// Overloaded says whether flows are refused at all where a request is predicted to take
-// so long.
+// Overloaded updates and reports whether the service counts as overloaded; otherwise no flow
+// is rejected.
 func (a *Admission) Overloaded(now time.Time, predicted, objective time.Duration) bool {
 	if objective <= 0 {
 		return false
 	}
 	share := predicted.Seconds() / objective.Seconds()
-	if share >= overloadFrom || now.Before(a.until) && share >= ordinaryFirst {
-		a.until = now.Add(overloadFor)
+	if share >= overloadThreshold || now.Before(a.overloadedUntil) && share >= ordinaryFirst {
+		a.overloadedUntil = now.Add(overloadHold)
 	}
-	return now.Before(a.until)
+	return now.Before(a.overloadedUntil)
 }
 
-// lately copies the answers that count, the newest first, and returns their number.
-func (a *Admission) lately(now time.Time, buffer *[answersMost]answer) int {
+// recent copies the responses that still count, the newest first, and returns their number.
+func (a *Admission) recent(now time.Time, buffer *[maxResponses]response) int {
 	n := 0
-	for n < answersMost {
-		x := &a.answers[(a.next-1-n+2*answersMost)%answersMost]
-		if x.at.IsZero() || now.Sub(x.at) >= memory {
+	for n < maxResponses {
+		x := &a.responses[(a.next-1-n+2*maxResponses)%maxResponses]
+		if x.at.IsZero() || now.Sub(x.at) >= maxAge {
 			// All others are older.
 			break
 		}
@@ -147,8 +146,7 @@
 	return n
 }
 
-// Admitted says whether the flow may come in where requests are predicted to take
-// so long.
+// Admitted reports whether the flow is admitted at the predicted response time.
 func (d Demand) Admitted(predicted time.Duration) bool {
 	if d.Objective <= 0 {
 		return true
@@ -157,7 +155,7 @@
 	if d.Urgent {
 		first, all = urgentFirst, urgentAll
 	}
-	refused := (predicted.Seconds()/d.Objective.Seconds() - first) / (all - first)
+	rejected := (predicted.Seconds()/d.Objective.Seconds() - first) / (all - first)
 	const parts = 1 << 16
-	return float64(d.Number%parts) >= refused*parts
+	return float64(d.Number%parts) >= rejected*parts
 }
--- a/internal/overload/admission/doc.go
+++ b/internal/overload/admission/doc.go
@@ -1,11 +1,10 @@
-// Package admission turns new flows of an overloaded service away.
+// Package admission rejects new flows of an overloaded service.
 //
-// The load pattern it answers: callers ask for more than the upstreams can work
-// off. Each upstream then holds a full queue, every request waits behind it, and
-// nearly all answers come later than callers want, though the upstreams work at
-// full speed. Turning the excess away at its opening keeps the queues short, so
-// that the rest is in time; a caller that is turned away knows at once, and may
-// try again.
+// When callers send more requests than the upstreams can process, every upstream has a full
+// queue, every request waits behind it, and nearly all responses miss their latency
+// objective, although the upstreams work at full speed. Rejecting the excess when flows are
+// opened keeps the queues short, so that the admitted requests are in time; rejected
+// callers know at once and may retry.
 //
-// It has no I/O and no clock; one goroutine owns it.
+// The package does no I/O and reads no clock; its types are not safe for concurrent use.
 package admission
