--- a/internal/flow/key/key.go
+++ b/internal/flow/key/key.go
@@ -8,20 +8,20 @@
 // Size is the length of an encoded key in bytes.
 const Size = 13
 
-// Key is the five-tuple of a flow, without pointers so that tables of them
-// cost the garbage collector nothing.
+// Key is the five-tuple of a flow. It has no pointers, so that the garbage collector
+// does not scan tables of keys.
 type Key struct {
 	Source, Destination         [4]byte
 	SourcePort, DestinationPort uint16
 	Protocol                    uint8
 }
 
-// Service returns the address and port that the caller dialled.
+// Service returns the destination address and port.
 func (k Key) Service() netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4(k.Destination), k.DestinationPort)
 }
 
-// Hash mixes all fields into 64 bits; every balancer computes the same value.
+// Hash returns a 64-bit hash of all fields, the same on every balancer.
 func (k Key) Hash() uint64 {
 	a := uint64(binary.BigEndian.Uint32(k.Source[:]))<<32 | uint64(binary.BigEndian.Uint32(k.Destination[:]))
 	b := uint64(k.SourcePort)<<32 | uint64(k.DestinationPort)<<16 | uint64(k.Protocol)
@@ -36,7 +36,7 @@
 	return x ^ x>>31
 }
 
-// Append writes the key's wire form to b.
+// Append appends the wire encoding of the key to b.
 func (k Key) Append(b []byte) []byte {
 	b = append(b, k.Source[:]...)
 	b = append(b, k.Destination[:]...)
@@ -45,7 +45,7 @@
 	return append(b, k.Protocol)
 }
 
-// Decode reads a key from the first Size bytes of b.
+// Decode decodes a key from the first Size bytes of b.
 func Decode(b []byte) Key {
 	return Key{
 		Source: [4]byte(b[0:4]), Destination: [4]byte(b[4:8]),
