--- a/internal/flow/choice/choice.go
+++ b/internal/flow/choice/choice.go
@@ -1,18 +1,18 @@
 package choice
 
-// Candidate is one upstream that takes new flows.
+// Candidate is an upstream that may be selected for new flows.
 type Candidate struct {
 	// Target is the upstream's index in the loads given to Pick.
 	Target uint32
-	// Seed is a hash of the upstream's identity.
+	// Seed is the hash of the upstream's identity, for rendezvous hashing.
 	Seed uint64
 	// Zone is the upstream's availability zone.
 	Zone string
-	// Share is 1 for a warm upstream, less while it starts cold.
+	// Share is the weight of the upstream: 1, or less during its slow start.
 	Share float64
 }
 
-// pair holds the indices of the two best scores, or -1.
+// pair holds the indices of the candidates with the two highest scores, or -1.
 type pair [2]int
 
 func (p *pair) offer(i int, score uint64, scores *[2]uint64) {
@@ -25,16 +25,17 @@
 	}
 }
 
-func (p pair) lighter(pool []Candidate, loads []int32) int {
+// lessLoaded returns the candidate with the lower load per weight, or -1.
+func (p pair) lessLoaded(pool []Candidate, loads []int32) int {
 	if p[0] < 0 || p[1] < 0 {
 		return p[0]
 	}
-	if weight(&pool[p[1]], loads) < weight(&pool[p[0]], loads) {
+	if weightedLoad(&pool[p[1]], loads) < weightedLoad(&pool[p[0]], loads) {
 		return p[1]
 	}
 	return p[0]
 }
 
-func weight(c *Candidate, loads []int32) float64 {
+func weightedLoad(c *Candidate, loads []int32) float64 {
 	return float64(loads[c.Target]) / c.Share
 }
--- a/internal/flow/choice/doc.go
+++ b/internal/flow/choice/doc.go
@@ -1,2 +1,2 @@
-// Package choice picks the upstream of a new flow.
+// Package choice selects the upstream of a new flow.
 package choice
--- a/internal/flow/choice/plan.go
+++ b/internal/flow/choice/plan.go
@@ -10,36 +10,36 @@
 	"wasabideal/internal/flow/key"
 )
 
-// Plan spreads the new flows of one service from one balancer; immutable.
+// Plan distributes the new flows of one service at one balancer over zones and upstreams. It
+// is immutable.
 //
-// Flows arrive at zones in proportion to the slots that their balancers are
-// first for, and should leave in proportion to the upstreams there. A zone that
-// gets no more than its upstreams' part keeps all; one that gets more sends the
-// excess to zones that get less. Both parts are known without any load report:
-// reports are seconds old, and balancers that follow them together overshoot
-// (max over mean 1.09 to 1.20 at 3,000 openings a second).
+// Flows arrive at zones in proportion to the slots that their balancers own, and leave in
+// proportion to the capacity there: a zone keeps flows up to its capacity and spills the
+// excess to zones with spare capacity. Plans use no load reports, which are seconds old: balancers that all
+// follow them overshoot (max over mean 1.09 to 1.20 at 3,000 openings a second).
 type Plan struct {
 	pool []Candidate
-	// keep is the part of flows that stay in the near zone.
-	keep  float64
-	near  []int
-	spill []share
-	all   []int
+	// localShare is the share of flows that stay in the local zone.
+	localShare float64
+	local      []int
+	spill      []spillZone
+	all        []int
 }
 
-// share is a zone that takes spilled flows up to a cumulated part.
-type share struct {
+// spillZone is a zone that receives spilled flows, with their cumulative share.
+type spillZone struct {
 	upTo    float64
 	indices []int
 }
 
-// fractionBits is the precision of a flow's place between keep and spill.
+// fractionBits is the number of hash bits that decide on a flow's zone: as many as a float64
+// represents exactly.
 const fractionBits = 53
 
-// NewPlan plans for a balancer of the near zone; arrivals is the part of flows
-// that each zone's balancers are first for.
-func NewPlan(pool []Candidate, near string, arrivals map[string]float64, spillPercent int) Plan {
-	p := Plan{pool: pool, keep: 1}
+// NewPlan returns the plan of a balancer in the local zone; arrivals is the share of flows that
+// the balancers of each zone own.
+func NewPlan(pool []Candidate, local string, arrivals map[string]float64, spillPercent int) Plan {
+	p := Plan{pool: pool, localShare: 1}
 	zones := map[string][]int{}
 	total := 0.0
 	for i, c := range pool {
@@ -53,60 +53,61 @@
 	capacity := lo.MapValues(zones, func(indices []int, _ string) float64 {
 		return lo.SumBy(indices, func(i int) float64 { return pool[i].Share }) / total
 	})
-	p.near = zones[near]
-	if a := arrivals[near]; a > 0 {
-		p.keep = math.Min(1, capacity[near]*(1+float64(spillPercent)/100)/a)
+	p.local = zones[local]
+	if a := arrivals[local]; a > 0 {
+		p.localShare = math.Min(1, capacity[local]*(1+float64(spillPercent)/100)/a)
 	}
-	p.planSpill(zones, capacity, arrivals, near)
+	p.planSpill(zones, capacity, arrivals, local)
 	return p
 }
 
-func (p *Plan) planSpill(zones map[string][]int, capacity, arrivals map[string]float64, near string) {
+func (p *Plan) planSpill(zones map[string][]int, capacity, arrivals map[string]float64, local string) {
 	sum := 0.0
 	for _, zone := range slices.Sorted(maps.Keys(zones)) {
-		room := capacity[zone] - arrivals[zone]
-		if zone == near || room <= 0 {
+		spare := capacity[zone] - arrivals[zone]
+		if zone == local || spare <= 0 {
 			continue
 		}
-		sum += room
-		p.spill = append(p.spill, share{upTo: sum, indices: zones[zone]})
+		sum += spare
+		p.spill = append(p.spill, spillZone{upTo: sum, indices: zones[zone]})
 	}
 	for i := range p.spill {
 		p.spill[i].upTo /= sum
 	}
 }
 
-// Pick returns the index in the pool for a flow's hash, or -1 for none.
+// Pick returns the pool index of the upstream for a flow's hash, or -1 if the pool is empty.
 func (p Plan) Pick(hash uint64, loads []int32) int {
 	if len(p.all) == 0 {
 		return -1
 	}
-	place := fraction(key.Mix(hash + 1))
+	position := fraction(key.Mix(hash + 1))
 	switch {
-	case len(p.near) > 0 && place < p.keep:
-		return p.lighter(hash, p.near, loads)
+	case len(p.local) > 0 && position < p.localShare:
+		return p.lessLoaded(hash, p.local, loads)
 	case len(p.spill) == 0:
-		return p.lighter(hash, p.all, loads)
+		return p.lessLoaded(hash, p.all, loads)
 	}
-	place = fraction(key.Mix(hash + 2))
+	position = fraction(key.Mix(hash + 2))
 	for _, s := range p.spill {
-		if place < s.upTo {
-			return p.lighter(hash, s.indices, loads)
+		if position < s.upTo {
+			return p.lessLoaded(hash, s.indices, loads)
 		}
 	}
-	return p.lighter(hash, p.spill[len(p.spill)-1].indices, loads)
+	return p.lessLoaded(hash, p.spill[len(p.spill)-1].indices, loads)
 }
 
+// fraction maps a hash to the interval [0, 1).
 func fraction(x uint64) float64 { return float64(x>>(64-fractionBits)) / (1 << fractionBits) }
 
-// lighter takes the less loaded of the flow's two best-ranked candidates
-// (Mitzenmacher, 2001), by the loads that this balancer itself has placed:
-// those are exact, and each balancer's flows are a fair sample of all.
-func (p Plan) lighter(hash uint64, indices []int, loads []int32) int {
+// lessLoaded returns the less loaded of the flow's two best-ranked candidates, as in the power
+// of two choices (Mitzenmacher, 2001). Loads count only the flows that this balancer owns: they
+// are exact, and the flows of each balancer are a representative sample of all flows.
+func (p Plan) lessLoaded(hash uint64, indices []int, loads []int32) int {
 	best := pair{-1, -1}
 	var scores [2]uint64
 	for _, i := range indices {
 		best.offer(i, key.Mix(hash^p.pool[i].Seed), &scores)
 	}
-	return best.lighter(p.pool, loads)
+	return best.lessLoaded(p.pool, loads)
 }
