--- a/internal/flow/ownership/doc.go
+++ b/internal/flow/ownership/doc.go
@@ -1,8 +1,8 @@
-// Package ownership decides which balancers hold the copies of a flow.
+// Package ownership assigns each flow to an owner and to further replicas among the balancers.
 //
-// Flows fall into slots by hash. Each slot ranks the members by rendezvous
-// hashing (Thaler, Ravishankar, 1998); the first three hold the flow, and where
-// all three are of one zone the first of another zone takes the third's place.
-// So two deaths at once, or one zone gone, always leave a copy, and after one
-// death the new first rank is a member that has it.
+// Flows are hashed into slots. Each slot ranks the members by rendezvous hashing (Thaler,
+// Ravishankar, 1998); the first is the owner, and the first three are the replicas that store
+// the flow. If all three are in one zone, the best member of another zone replaces the third.
+// So a replica remains after the loss of any two members or of one zone, and after the loss of
+// an owner the new owner already stores the flow.
 package ownership
--- a/internal/flow/ownership/ownership.go
+++ b/internal/flow/ownership/ownership.go
@@ -12,41 +12,41 @@
 
 const (
 	slotBits = 12
-	// Slots is the number of parts into which flows fall by hash.
+	// Slots is the number of hash slots.
 	Slots = 1 << slotBits
-	// chainLimit bounds the members asked for a flow that the first rank lacks.
-	chainLimit = 8
-	// rankDepth is how many first ranks hold copies.
-	rankDepth = 3
+	// maxLookups bounds the members that are queried for a flow that the owner does not store.
+	maxLookups = 8
+	// replicaCount is the number of replicas of a slot.
+	replicaCount = 3
 )
 
-// Member is a balancer as ownership sees it.
+// Member is a balancer that may store flows.
 type Member struct {
 	Name    string
 	Zone    string
 	Address netip.AddrPort
-	// Start tells lives of one name apart: a restarted balancer holds nothing.
+	// Start distinguishes the incarnations of a balancer: after a restart it stores no flow.
 	Start uint64
-	// Passive members may hold flows, but own none: they join or leave.
+	// Passive members may store flows, but are no replicas: they are joining or leaving.
 	Passive bool
 }
 
-// Ownership is an immutable ranking of members for every slot.
+// Ownership is an immutable ranking of the members in every slot.
 type Ownership struct {
 	members []Member
 	self    int
 	slots   []ranking
-	// arrivals is counted once: every change of a pool plans with it.
-	arrivals map[string]float64
+	// zoneShares is computed once, because every change of a pool needs it.
+	zoneShares map[string]float64
 }
 
 type ranking struct {
-	chain  [chainLimit]uint16
-	length uint8
-	copies uint8
+	members  [maxLookups]uint16
+	length   uint8
+	replicas uint8
 }
 
-// New ranks the members; self is the name of the balancer that asks.
+// New ranks the members; self is the name of the local balancer.
 func New(members []Member, self string) *Ownership {
 	ms := slices.Clone(members)
 	slices.SortFunc(ms, func(a, b Member) int {
@@ -61,11 +61,11 @@
 	for slot := range o.slots {
 		o.slots[slot] = b.rank(uint64(slot))
 	}
-	o.arrivals = o.countArrivals()
+	o.zoneShares = o.countZoneShares()
 	return o
 }
 
-// score is a member's rank value in one slot; the zero score is nobody's.
+// score is a member's rendezvous hash in one slot; the zero score belongs to no member.
 type score struct {
 	value uint64
 	index uint16
@@ -74,16 +74,16 @@
 
 func (s score) above(o score) bool { return !o.known || s.value > o.value }
 
-// builder ranks slot after slot in the same memory. It finds the few best
-// members in one pass: sorting all of them made a change of members cost 164 ms
-// in a group of 178.
+// builder ranks the slots one by one without further allocations. It finds the best members in
+// one pass: when it sorted all of them, a membership change in a group of 178 took 164 ms.
 type builder struct {
 	members []Member
 	seeds   []uint64
 	zones   []int
-	// best is the best staying member of each zone, first the best of all zones.
-	best    []score
-	first   [rankDepth]score
+	// best holds the best active member of each zone, and first the best of all zones.
+	best  []score
+	first [replicaCount]score
+	// passive is the best passive member.
 	passive score
 }
 
@@ -101,12 +101,12 @@
 	return b
 }
 
-// rank orders the members of one slot and cuts the chain to those worth asking.
+// rank returns the replicas of a slot and the further members to query for its flows.
 func (b *builder) rank(slot uint64) ranking {
 	b.scan(key.Mix(slot))
 	var r ranking
-	b.addCopies(&r)
-	r.copies = r.length
+	b.addReplicas(&r)
+	r.replicas = r.length
 	for _, s := range b.first {
 		r.add(s)
 	}
@@ -115,10 +115,10 @@
 	return r
 }
 
-// scan notes the best members overall, of each zone, and of those passive.
+// scan finds the best members of all zones, of each zone, and of the passive ones.
 func (b *builder) scan(mixed uint64) {
 	clear(b.best)
-	b.first = [rankDepth]score{}
+	b.first = [replicaCount]score{}
 	b.passive = score{}
 	for i, seed := range b.seeds {
 		s := score{value: key.Mix(seed ^ mixed), index: uint16(i), known: true}
@@ -146,29 +146,29 @@
 }
 
 func (r *ranking) add(s score) {
-	if !s.known || int(r.length) == chainLimit || slices.Contains(r.chain[:r.length], s.index) {
+	if !s.known || int(r.length) == maxLookups || slices.Contains(r.members[:r.length], s.index) {
 		return
 	}
-	r.chain[r.length] = s.index
+	r.members[r.length] = s.index
 	r.length++
 }
 
-// addCopies adds the first ranks, so many that two of them may be lost at once;
-// where they all share one zone, the last gives way to the best of another.
-func (b *builder) addCopies(r *ranking) {
-	for _, s := range b.first[:rankDepth-1] {
+// addReplicas adds the best members. If they are all in one zone, the best member of another
+// zone replaces the last.
+func (b *builder) addReplicas(r *ranking) {
+	for _, s := range b.first[:replicaCount-1] {
 		r.add(s)
 	}
-	last := b.first[rankDepth-1]
-	if r.length == rankDepth-1 && b.oneZone(r) && last.known && b.zones[last.index] == b.zones[r.chain[0]] {
-		if other := b.bestOutside(b.zones[r.chain[0]]); other.known {
+	last := b.first[replicaCount-1]
+	if r.length == replicaCount-1 && b.oneZone(r) && last.known && b.zones[last.index] == b.zones[r.members[0]] {
+		if other := b.bestOutside(b.zones[r.members[0]]); other.known {
 			last = other
 		}
 	}
 	r.add(last)
 }
 
-func (b *builder) oneZone(r *ranking) bool { return b.zones[r.chain[0]] == b.zones[r.chain[1]] }
+func (b *builder) oneZone(r *ranking) bool { return b.zones[r.members[0]] == b.zones[r.members[1]] }
 
 func (b *builder) bestOutside(zone int) score {
 	var other score
@@ -180,8 +180,8 @@
 	return other
 }
 
-// addZones adds the first of every zone, best first: after a partition the
-// copies made on the far side are with the far zones' first.
+// addZones adds the best member of every zone, the highest score first: after a partition,
+// flows opened on the other side are stored by the best members of the zones there.
 func (b *builder) addZones(r *ranking) {
 	slices.SortFunc(b.best, func(x, y score) int { return cmp.Compare(y.value, x.value) })
 	for _, s := range b.best {
@@ -192,54 +192,54 @@
 // Slot returns the slot of a flow's hash.
 func Slot(hash uint64) int { return int(hash >> (64 - slotBits)) }
 
-// Members returns all ranked members, ordered by name.
+// Members returns all members, ordered by name.
 func (o *Ownership) Members() []Member { return o.members }
 
-// Copies returns the indices of the members that must hold the slot's flows, first rank first.
+// Copies returns the indices of the slot's replicas, the owner first.
 func (o *Ownership) Copies(slot int) []uint16 {
 	r := &o.slots[slot]
-	return r.chain[:r.copies]
+	return r.members[:r.replicas]
 }
 
-// Chain returns the indices of the members to ask for a flow, copies first.
-func (o *Ownership) Chain(slot int) []uint16 {
+// LookupOrder returns the indices of the members to query for a flow, the replicas first.
+func (o *Ownership) LookupOrder(slot int) []uint16 {
 	r := &o.slots[slot]
-	return r.chain[:r.length]
+	return r.members[:r.length]
 }
 
-// Member returns the member of an index from Copies or Chain.
+// Member returns the member with an index from Copies or LookupOrder.
 func (o *Ownership) Member(i uint16) Member { return o.members[i] }
 
-// IsSelf says whether the index is the asking balancer's own.
+// IsSelf reports whether the index belongs to the local balancer.
 func (o *Ownership) IsSelf(i uint16) bool { return int(i) == o.self }
 
-// First says whether this balancer is the slot's first rank.
-func (o *Ownership) First(slot int) bool {
+// IsOwner reports whether the local balancer owns the slot.
+func (o *Ownership) IsOwner(slot int) bool {
 	c := o.Copies(slot)
 	return len(c) > 0 && o.IsSelf(c[0])
 }
 
-// Holds says whether this balancer must hold the slot's flows.
-func (o *Ownership) Holds(slot int) bool {
+// IsReplica reports whether the local balancer is a replica of the slot.
+func (o *Ownership) IsReplica(slot int) bool {
 	return slices.ContainsFunc(o.Copies(slot), o.IsSelf)
 }
 
-// Arrivals returns the part of all flows that each zone's members are first
-// for; callers must not change it.
-func (o *Ownership) Arrivals() map[string]float64 { return o.arrivals }
+// ZoneShares returns the share of all flows that the members of each zone own. Callers must
+// not modify the map.
+func (o *Ownership) ZoneShares() map[string]float64 { return o.zoneShares }
 
-func (o *Ownership) countArrivals() map[string]float64 {
-	parts := map[string]float64{}
+func (o *Ownership) countZoneShares() map[string]float64 {
+	shares := map[string]float64{}
 	for slot := range o.slots {
 		if c := o.Copies(slot); len(c) > 0 {
-			parts[o.members[c[0]].Zone] += 1.0 / Slots
+			shares[o.members[c[0]].Zone] += 1.0 / Slots
 		}
 	}
-	return parts
+	return shares
 }
 
-// SameCopies says whether the slot's copies are the same lives of the same members in both.
-func (o *Ownership) SameCopies(p *Ownership, slot int) bool {
+// SameReplicas reports whether both rankings have the same incarnations of the same replicas.
+func (o *Ownership) SameReplicas(p *Ownership, slot int) bool {
 	a, b := o.Copies(slot), p.Copies(slot)
 	if len(a) != len(b) {
 		return false
@@ -253,19 +253,19 @@
 	return true
 }
 
-// Senior says whether, of those that held the slot before, this balancer is now
-// first to repair it. Where none of them is asked for the slot any more, each
-// is: a flow that only they hold would be found by nobody.
-func (o *Ownership) Senior(before *Ownership, slot int) bool {
-	for _, i := range o.Chain(slot) {
+// MustRepair reports whether the local balancer copies the slot's flows to its new replicas: it
+// is the first former replica in the new lookup order. If that order has no former replica, all
+// of them do, because lookups would not find the flows that only they store.
+func (o *Ownership) MustRepair(before *Ownership, slot int) bool {
+	for _, i := range o.LookupOrder(slot) {
 		m := o.members[i]
-		held := slices.ContainsFunc(before.Copies(slot), func(j uint16) bool {
+		wasReplica := slices.ContainsFunc(before.Copies(slot), func(j uint16) bool {
 			n := before.members[j]
 			return n.Name == m.Name && n.Start == m.Start
 		})
-		if held {
+		if wasReplica {
 			return o.IsSelf(i)
 		}
 	}
-	return before.Holds(slot)
+	return before.IsReplica(slot)
 }
--- a/internal/flow/router/configure.go
+++ b/internal/flow/router/configure.go
@@ -81,7 +81,7 @@
 }
 
 func (r *Router) plan(s *service) {
-	s.plan = choice.NewPlan(s.pool, r.settings.Zone, r.ownership.Arrivals(), r.spill)
+	s.plan = choice.NewPlan(s.pool, r.settings.Zone, r.ownership.ZoneShares(), r.spill)
 }
 
 func protocolNumber(name string) uint8 {
@@ -130,12 +130,12 @@
 	before := r.ownership
 	at := r.seconds(now)
 	for slot := range ownership.Slots {
-		if o.SameCopies(before, slot) {
+		if o.SameReplicas(before, slot) {
 			continue
 		}
 		r.versions[slot]++
 		r.changed[slot] = at + 1
-		if o.Senior(before, slot) || r.repair.wants(slot) && o.Holds(slot) {
+		if o.MustRepair(before, slot) || r.repair.wants(slot) && o.IsReplica(slot) {
 			r.repair.want(slot)
 		}
 	}
@@ -164,7 +164,7 @@
 
 // counts says whether the entry is load that this balancer reports.
 func (r *Router) counts(e *table.Entry) bool {
-	return r.ownership.First(ownership.Slot(e.Key.Hash()))
+	return r.ownership.IsOwner(ownership.Slot(e.Key.Hash()))
 }
 
 func (r *Router) unsettled(slot int, at uint32) bool {
--- a/internal/flow/router/repair.go
+++ b/internal/flow/router/repair.go
@@ -241,7 +241,7 @@
 		return idle > uint32(r.settings.ClosingTimeout/time.Second)
 	}
 	slot := ownership.Slot(e.Key.Hash())
-	if !r.ownership.Holds(slot) && !r.unsettled(slot, at) && !r.repair.wants(slot) {
+	if !r.ownership.IsReplica(slot) && !r.unsettled(slot, at) && !r.repair.wants(slot) {
 		return true
 	}
 	return idle > uint32(r.settings.IdleTimeout/time.Second)
--- a/internal/flow/router/router.go
+++ b/internal/flow/router/router.go
@@ -152,8 +152,8 @@
 	if r.doubtful(e, slot, now) {
 		return false
 	}
-	if r.ownership.Holds(slot) {
-		return r.ownership.First(slot) || !r.parser.Opening
+	if r.ownership.IsReplica(slot) {
+		return r.ownership.IsOwner(slot) || !r.parser.Opening
 	}
 	return !r.parser.Opening && e.State != table.Closing
 }
@@ -203,7 +203,7 @@
 		return
 	}
 	h := relay.Header{Flags: relay.Asking, Origin: r.settings.Address}
-	for _, i := range r.ownership.Chain(slot) {
+	for _, i := range r.ownership.LookupOrder(slot) {
 		if !r.ownership.IsSelf(i) {
 			h.AddHop(r.ownership.Member(i).Address)
 		}
