--- a/internal/flow/router/relayed.go
+++ b/internal/flow/router/relayed.go
@@ -59,7 +59,7 @@
 		return e
 	}
 	e, err := r.table.Insert(table.Entry{
-		Key: c.key, State: c.state, Strikes: copyStrikes, Upstream: index,
+		Key: c.key, State: c.state, CopyPackets: copyStrikes, Upstream: index,
 		LastSeen: at, LastCopied: at, Version: r.versions[slot],
 	}, hash, at)
 	if err != nil {
--- a/internal/flow/router/repair.go
+++ b/internal/flow/router/repair.go
@@ -136,7 +136,7 @@
 	if !r.repair.wants(slot) {
 		return
 	}
-	if e.Version == r.versions[slot] && e.Strikes >= copyStrikes {
+	if e.Version == r.versions[slot] && e.CopyPackets >= copyStrikes {
 		return
 	}
 	for _, i := range r.ownership.Copies(slot) {
@@ -146,7 +146,7 @@
 		r.collectFor(now, r.peerOf(i), e, out)
 	}
 	e.Version = r.versions[slot]
-	e.Strikes = copyStrikes
+	e.CopyPackets = copyStrikes
 	r.Counters.CopiedByTrickle++
 }
 
--- a/internal/flow/router/serve.go
+++ b/internal/flow/router/serve.go
@@ -39,7 +39,7 @@
 		}
 		if r.unreachable[m.Address] {
 			// The packet would be lost there; later ones bring the copy.
-			e.Strikes = 0
+			e.CopyPackets = 0
 			continue
 		}
 		h.AddHop(m.Address)
@@ -54,17 +54,17 @@
 func (r *Router) mustCopy(e *table.Entry, slot int, at uint32) bool {
 	if e.Version != r.versions[slot] {
 		e.Version = r.versions[slot]
-		e.Strikes = 0
+		e.CopyPackets = 0
 	}
 	if at-e.LastCopied > uint32(r.settings.IdleTimeout/time.Second)/4 {
-		e.Strikes = copyStrikes - 1
+		e.CopyPackets = copyStrikes - 1
 	}
 	confirmed := e.State == table.Opening && r.parser.Confirming
-	if !r.parser.Opening && !r.parser.Closing && !confirmed && e.Strikes >= copyStrikes {
+	if !r.parser.Opening && !r.parser.Closing && !confirmed && e.CopyPackets >= copyStrikes {
 		return false
 	}
 	if !r.parser.Opening {
-		e.Strikes++
+		e.CopyPackets++
 	}
 	e.LastCopied = at
 	return true
@@ -76,7 +76,7 @@
 	switch {
 	case r.parser.Closing:
 		r.table.SetState(e, table.Closing)
-	case e.State == table.Opening && (r.parser.Confirming || r.parser.Datagram && e.Strikes >= copyStrikes):
+	case e.State == table.Opening && (r.parser.Confirming || r.parser.Datagram && e.CopyPackets >= copyStrikes):
 		r.table.SetState(e, table.Established)
 	}
 }
--- a/internal/flow/table/doc.go
+++ b/internal/flow/table/doc.go
@@ -1,5 +1,5 @@
-// Package table holds flow entries in one pointer-free open-addressed array.
+// Package table stores flow entries in a pointer-free hash table with open addressing.
 //
-// It is mutable, unlike the other values of the project: a packet that hits
-// may not allocate, and its owner is the only goroutine that touches it.
+// Unlike most types of this module, a table is modified in place, because a lookup must not
+// allocate. It is not safe for concurrent use.
 package table
--- a/internal/flow/table/table.go
+++ b/internal/flow/table/table.go
@@ -6,10 +6,10 @@
 	"wasabideal/internal/flow/key"
 )
 
-// State is how far a flow has come.
+// State is the state of a flow.
 type State uint8
 
-// The states of an entry; a higher one wins when two copies meet.
+// The states of an entry. When two replicas differ, the higher state prevails.
 const (
 	Empty State = iota
 	Opening
@@ -17,20 +17,20 @@
 	Closing
 )
 
-// Entry is one flow: 32 bytes, so that two copies at half load stay near 64 bytes each.
+// Entry is one flow. It has 32 bytes, or about 64 bytes per flow in a half-full table.
 type Entry struct {
 	Key   key.Key
 	State State
-	// Strikes counts the packets that went through the flow's other copies
-	// since its slot last changed.
-	Strikes    uint8
-	Upstream   uint32
-	LastSeen   uint32
-	LastCopied uint32
-	Version    uint16
+	// CopyPackets counts the packets that were sent through the flow's other replicas
+	// since the replicas of its slot last changed.
+	CopyPackets uint8
+	Upstream    uint32
+	LastSeen    uint32
+	LastCopied  uint32
+	Version     uint16
 }
 
-// FullError says which limit of the table refused a flow.
+// FullError reports the limit that is reached.
 type FullError struct {
 	Limit string
 	Size  int
@@ -41,27 +41,29 @@
 }
 
 const (
-	// evictionProbe bounds the slots looked at for an old opening to evict.
-	evictionProbe = 64
-	// evictionAge is the age in seconds from which an opening may be evicted.
-	evictionAge = 1
+	// maxEvictionScan bounds the array slots that are scanned for an opening to evict.
+	maxEvictionScan = 64
+	// minEvictionAge is the idle time in seconds after which an opening may be evicted.
+	minEvictionAge = 1
 )
 
-// Table maps keys to entries, with separate limits for openings and for all flows.
+// Table maps keys to entries, with separate limits for openings and for all flows. Openings
+// are the flows in state Opening.
 type Table struct {
 	slots            []Entry
 	mask             uint64
 	limit, openLimit int
 	count, openings  int
-	hand             uint64
-	establishedFull  *FullError
-	openingFull      *FullError
+	// evictionScan is the array slot that was scanned last for an opening to evict.
+	evictionScan    uint64
+	establishedFull *FullError
+	openingFull     *FullError
 }
 
 // New returns a table for limit flows, of which a quarter may be openings.
 //
-// A flood of openings fills only that quarter: established feeds are never
-// evicted for it, and the oldest openings give way to new ones.
+// A SYN flood fills only that quarter: it evicts no established flow, and new openings replace
+// old ones.
 func New(limit int) *Table {
 	size := uint64(16)
 	for size*3/4 < uint64(limit) {
@@ -75,16 +77,16 @@
 	}
 }
 
-// Len returns the number of flows held.
+// Len returns the number of flows.
 func (t *Table) Len() int { return t.count }
 
-// Openings returns the number of flows not yet established.
+// Openings returns the number of flows in state Opening.
 func (t *Table) Openings() int { return t.openings }
 
-// Capacity returns the number of array slots, for scans by At.
+// Capacity returns the number of array slots, for scans with At.
 func (t *Table) Capacity() int { return len(t.slots) }
 
-// At returns the entry in array slot i, or nil when it is empty.
+// At returns the entry in array slot i, or nil if the slot is empty.
 func (t *Table) At(i int) *Entry {
 	e := &t.slots[i]
 	if e.State == Empty {
@@ -93,7 +95,7 @@
 	return e
 }
 
-// Find returns the flow's entry, valid until the next Insert or Remove.
+// Find returns the flow's entry or nil. The entry is valid until the next Insert or Remove.
 func (t *Table) Find(k key.Key, hash uint64) *Entry {
 	for i := hash & t.mask; ; i = (i + 1) & t.mask {
 		e := &t.slots[i]
@@ -106,7 +108,7 @@
 	}
 }
 
-// Insert adds an entry whose key is absent, or returns a FullError.
+// Insert adds an entry or returns a FullError. The table must not contain the key.
 func (t *Table) Insert(e Entry, hash uint64, now uint32) (*Entry, error) {
 	if t.count >= t.limit && !t.evictOpening(now) {
 		return nil, t.establishedFull
@@ -126,7 +128,7 @@
 	return &t.slots[i], nil
 }
 
-// SetState moves an entry of this table to another state.
+// SetState changes the state of an entry of this table.
 func (t *Table) SetState(e *Entry, s State) {
 	if e.State == Opening {
 		t.openings--
@@ -137,12 +139,12 @@
 	e.State = s
 }
 
-// evictOpening removes one opening that has waited for at least evictionAge.
+// evictOpening removes an opening that has been idle for at least minEvictionAge.
 func (t *Table) evictOpening(now uint32) bool {
-	for range evictionProbe {
-		t.hand = (t.hand + 1) & t.mask
-		e := &t.slots[t.hand]
-		if e.State == Opening && now-e.LastSeen >= evictionAge {
+	for range maxEvictionScan {
+		t.evictionScan = (t.evictionScan + 1) & t.mask
+		e := &t.slots[t.evictionScan]
+		if e.State == Opening && now-e.LastSeen >= minEvictionAge {
 			t.Remove(e.Key, e.Key.Hash())
 			return true
 		}
@@ -150,10 +152,10 @@
 	return false
 }
 
-// Remove deletes the flow's entry and reports whether it was there.
+// Remove deletes the flow's entry and reports whether there was one.
 //
-// Followers are shifted back rather than marked deleted: tombstones would make
-// every miss slower as flows come and go for weeks.
+// It shifts the following entries back and leaves no tombstone: tombstones would accumulate
+// over weeks and slow down lookups of unknown flows.
 func (t *Table) Remove(k key.Key, hash uint64) bool {
 	e := t.Find(k, hash)
 	if e == nil {
--- a/internal/flow/table/table_test.go
+++ b/internal/flow/table/table_test.go
@@ -10,8 +10,8 @@
 	"wasabideal/internal/flow/table"
 )
 
-// TestTableAgreesWithMap keeps a table and a map side by side under random
-// inserts and removes in a table small enough that runs wrap around its end.
+// TestTableAgreesWithMap applies random inserts and removes to a table and a map. The table is
+// small, so that probe sequences wrap around its end.
 func TestTableAgreesWithMap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tab := table.New(40)
@@ -26,7 +26,7 @@
 			switch {
 			case ok:
 				if !tab.Remove(k, k.Hash()) {
-					t.Fatalf("remove found nothing")
+					t.Fatalf("entry to remove not found")
 				}
 				delete(model, k)
 			case len(model) < 40:
