--- a/internal/flow/router/configure.go
+++ b/internal/flow/router/configure.go
@@ -12,44 +12,44 @@
 	"wasabideal/internal/model/upstream"
 )
 
-// SetIsolated says that half the members are out of sight: unknown flows are
-// then dropped, since their holder is likely alive on the far side.
+// SetIsolated sets whether half of the members are unreachable. Packets of unknown flows are
+// then dropped, because a member on the other side of the partition probably stores the flow.
 func (r *Router) SetIsolated(isolated bool) { r.isolated = isolated }
 
-// Joining is how much a balancer that began lately knows of its group.
+// Joining is the stage of a balancer that joins its group.
 type Joining uint8
 
-// The stages of joining; callers repeat openings that are refused meanwhile.
+// The stages of joining. Callers retransmit openings that are dropped meanwhile.
 const (
-	// Joined balancers open flows as first rank.
+	// Joined balancers open the flows that they own.
 	Joined Joining = iota
-	// Young ones do, but only where another copy is known.
+	// Young balancers open them only in slots with another known replica.
 	Young
-	// Newborn ones open none.
+	// Newborn balancers open no flow.
 	Newborn
 )
 
-// SetJoining tells the stage of joining.
+// SetJoining sets the stage of joining.
 func (r *Router) SetJoining(j Joining) { r.joining = j }
 
-// mayOpen is false while this balancer may take itself for the only one, and
-// would open flows that no other asks it for.
+// mayOpen reports whether flows of the slot may be opened here. It is false as long as this
+// balancer may not know the other members: they would not query it for these flows.
 func (r *Router) mayOpen(slot int) bool {
 	return r.joining == Joined || r.joining == Young && len(r.ownership.Copies(slot)) > 1
 }
 
-// SetUnreachable names the members that this balancer cannot talk to, though
-// others can: a copy then stands in for a first rank among them.
+// SetUnreachable sets the members that this balancer cannot reach, although others can. If an
+// owner is among them, packets go to another replica.
 func (r *Router) SetUnreachable(u map[netip.AddrPort]bool) { r.unreachable = u }
 
-// SetMembers ranks the members anew if any came, went, restarted or is leaving.
+// SetMembers updates the ranking if a member joined, left, restarted or is leaving.
 func (r *Router) SetMembers(now time.Time, ms []ownership.Member) {
 	if !slices.Equal(ms, r.ownership.Members()) {
 		r.SetOwnership(now, ownership.New(ms, r.settings.Self))
 	}
 }
 
-// SetConfiguration puts one whole revision in force.
+// SetConfiguration applies a revision of the configuration.
 func (r *Router) SetConfiguration(c configuration.Configuration) {
 	preset := c.Preset()
 	r.spill = preset.SpillPercent
@@ -73,7 +73,7 @@
 	r.planAll()
 }
 
-// planAll plans anew after a change of pools, of members or of the preset.
+// planAll updates all plans after a change of members or of the configuration.
 func (r *Router) planAll() {
 	for _, s := range r.byHash {
 		r.plan(s)
@@ -91,14 +91,14 @@
 	return 6
 }
 
-// Pooled is an upstream that takes new flows, with its share of a warm one's.
+// Pooled is an upstream that accepts new flows; Share is its weight, 1 for a warm upstream.
 type Pooled struct {
 	upstream.Identity
 	Zone  string
 	Share float64
 }
 
-// SetPool replaces the upstreams that take new flows of a service.
+// SetPool replaces the upstreams that accept new flows of a service.
 func (r *Router) SetPool(serviceName string, pool []Pooled) {
 	s := r.byHash[ServiceHash(serviceName)]
 	if s == nil {
@@ -115,7 +115,7 @@
 	r.plan(s)
 }
 
-// SetHolders tells which service each announced address belongs to now.
+// SetHolders sets the service that each announced address currently belongs to.
 func (r *Router) SetHolders(holders map[netip.AddrPort]string) { r.targets.setHolders(holders) }
 
 func targetOf(id upstream.Identity) target {
@@ -125,7 +125,7 @@
 	}
 }
 
-// SetOwnership takes a new ranking of members and starts the repair it calls for.
+// SetOwnership replaces the ranking of members and starts the repair of changed slots.
 func (r *Router) SetOwnership(now time.Time, o *ownership.Ownership) {
 	before := r.ownership
 	at := r.seconds(now)
@@ -134,15 +134,15 @@
 			continue
 		}
 		r.versions[slot]++
-		r.changed[slot] = at + 1
-		if o.MustRepair(before, slot) || r.repair.wants(slot) && o.IsReplica(slot) {
-			r.repair.want(slot)
+		r.changedAt[slot] = at + 1
+		if o.MustRepair(before, slot) || r.repair.isDirty(slot) && o.IsReplica(slot) {
+			r.repair.markDirty(slot)
 		}
 	}
 	for slot := range ownership.Slots {
-		if r.repair.wants(slot) {
-			// Batches under way are dropped with the old ranking: their flows
-			// must be collected again.
+		if r.repair.isDirty(slot) {
+			// Unacknowledged batches are discarded with the old ranking, and their
+			// flows must be collected again.
 			r.versions[slot]++
 		}
 	}
@@ -152,22 +152,23 @@
 	r.planAll()
 }
 
-// recount assigns each held flow's load to its upstream anew.
+// recount recomputes the load of each upstream.
 func (r *Router) recount() {
 	r.targets.clearLoads()
 	for i := range r.table.Capacity() {
-		if e := r.table.At(i); e != nil && r.counts(e) {
+		if e := r.table.At(i); e != nil && r.countsLoad(e) {
 			r.targets.add(e.Upstream, 1)
 		}
 	}
 }
 
-// counts says whether the entry is load that this balancer reports.
-func (r *Router) counts(e *table.Entry) bool {
+// countsLoad reports whether this balancer counts the flow as load: only the owner does.
+func (r *Router) countsLoad(e *table.Entry) bool {
 	return r.ownership.IsOwner(ownership.Slot(e.Key.Hash()))
 }
 
+// unsettled reports whether the replicas of the slot changed less than Settle ago.
 func (r *Router) unsettled(slot int, at uint32) bool {
-	c := r.changed[slot]
+	c := r.changedAt[slot]
 	return c != 0 && at-(c-1) < uint32(r.settings.Settle/time.Second)
 }
--- a/internal/flow/router/doc.go
+++ b/internal/flow/router/doc.go
@@ -1,12 +1,11 @@
 // Package router decides where each packet of a flow goes.
 //
-// Every flow has a first rank and copies (package ownership). A balancer that
-// holds the flow sends its packets to the upstream; another relays them to the
-// first rank. Copies are made by the packets themselves: an opening travels
-// through every copy before the upstream sees it, so a caller that answers the
-// upstream proves that the copies exist. After a change of members, packets
-// and a trickle within a byte budget make the missing copies.
+// Every flow has an owner and replicas (package ownership). A balancer that stores the flow
+// sends its packets to the upstream; any other relays them to the owner. Packets replicate the
+// flow: an opening passes through every replica before the upstream receives it, so a caller's
+// response to the upstream proves that the replicas have the flow. After a membership change,
+// packets and background repair within a byte budget create the missing copies.
 //
-// The router is mutable in place, since a hit must not allocate; one goroutine
-// owns it and the time is an argument of each call.
+// The router is modified in place, because routing a packet of a stored flow must not allocate.
+// It is not safe for concurrent use, and the current time is an argument of each call.
 package router
--- a/internal/flow/router/relayed.go
+++ b/internal/flow/router/relayed.go
@@ -10,7 +10,7 @@
 	"wasabideal/internal/wire/relay"
 )
 
-// Relayed routes a packet that another balancer sent.
+// Relayed routes a packet that another balancer relayed.
 func (r *Router) Relayed(now time.Time, datagram []byte, out *effect.List) {
 	var h relay.Header
 	packet, err := relay.Decode(datagram, &h)
@@ -29,18 +29,18 @@
 	case h.Has(relay.Missed):
 		r.relayedMiss(now, hash, slot, packet, out)
 	case h.Has(relay.Asking):
-		r.relayedAsk(now, &h, hash, slot, packet, out)
+		r.relayedLookup(now, &h, hash, slot, packet, out)
 	default:
 		r.relayedPacket(now, &h, hash, slot, packet, out)
 	}
 }
 
-// relayedEntry takes a copy of the flow and passes the packet on.
+// relayedEntry stores a copy of the flow and forwards the packet.
 func (r *Router) relayedEntry(now time.Time, h *relay.Header, hash uint64, slot int, packet []byte, out *effect.List) {
-	c := record{key: r.parser.Key, state: table.State(h.State), target: h.Target, fromFirst: r.isFirst(slot, h.Origin)}
-	e := r.learn(now, c, hash, slot)
+	c := record{key: r.parser.Key, state: table.State(h.State), target: h.Target, fromOwner: r.isOwner(slot, h.Origin)}
+	e := r.store(now, c, hash, slot)
 	if e == nil {
-		// No room for a copy: the flow goes on with one copy fewer.
+		// The table is full: the flow has one replica fewer.
 		r.forward(h, r.targets.intern(h.Target), packet, out)
 		return
 	}
@@ -50,8 +50,9 @@
 	r.forward(h, e.Upstream, packet, out)
 }
 
-// learn merges a flow told by another member and returns its entry, or nil when full.
-func (r *Router) learn(now time.Time, c record, hash uint64, slot int) *table.Entry {
+// store merges a flow received from another member and returns its entry, or nil if the table
+// is full.
+func (r *Router) store(now time.Time, c record, hash uint64, slot int) *table.Entry {
 	at := r.seconds(now)
 	index := r.targets.intern(c.target)
 	if e := r.table.Find(c.key, hash); e != nil {
@@ -59,19 +60,19 @@
 		return e
 	}
 	e, err := r.table.Insert(table.Entry{
-		Key: c.key, State: c.state, CopyPackets: copyStrikes, Upstream: index,
+		Key: c.key, State: c.state, CopyPackets: requiredCopyPackets, Upstream: index,
 		LastSeen: at, LastCopied: at, Version: r.versions[slot],
 	}, hash, at)
 	if err != nil {
 		r.Counters.TableFull++
 		return nil
 	}
-	r.count(e, 1)
+	r.addLoad(e, 1)
 	return e
 }
 
-// merge settles two views of one flow: the first rank's goes before others', an
-// opening yields to what is further, and a closed flow yields to a new opening.
+// merge resolves a conflict between two copies of a flow: the owner's copy prevails, an
+// established flow replaces an opening, and a new opening replaces a closed flow.
 func (r *Router) merge(e *table.Entry, c record, index uint32) {
 	if e.Upstream == index {
 		if c.state > e.State {
@@ -81,38 +82,38 @@
 	}
 	newer := c.state == table.Opening && e.State == table.Closing
 	further := c.state > e.State && c.state != table.Closing
-	if !c.fromFirst && !newer && !further {
+	if !c.fromOwner && !newer && !further {
 		r.Counters.Conflicts++
 		return
 	}
-	r.count(e, -1)
+	r.addLoad(e, -1)
 	e.Upstream = index
 	r.table.SetState(e, c.state)
-	r.count(e, 1)
+	r.addLoad(e, 1)
 }
 
-// relayedPacket serves a packet that a balancer without the flow passed on.
+// relayedPacket routes a packet relayed by a balancer that does not store the flow.
 func (r *Router) relayedPacket(now time.Time, h *relay.Header, hash uint64, slot int, packet []byte, out *effect.List) {
 	e := r.table.Find(r.parser.Key, hash)
-	if e != nil && (r.mayServe(e, slot, now) || h.Hops >= hopLimit) {
+	if e != nil && (r.mayServe(e, slot, now) || h.Hops >= maxHops) {
 		r.serve(now, e, slot, packet, nil, out)
 		return
 	}
 	r.miss(now, hash, slot, packet, h.Hops, out)
 }
 
-// relayedAsk answers a first rank that lacks the flow: with the flow, through
-// it, or by asking the next member.
-func (r *Router) relayedAsk(now time.Time, h *relay.Header, hash uint64, slot int, packet []byte, out *effect.List) {
+// relayedLookup handles a lookup by an owner that does not store the flow. It sends the packet
+// through the owner with a copy of the flow, or forwards the lookup to the next member.
+func (r *Router) relayedLookup(now time.Time, h *relay.Header, hash uint64, slot int, packet []byte, out *effect.List) {
 	e := r.table.Find(r.parser.Key, hash)
 	reopens := e != nil && r.parser.Opening && e.State == table.Closing
-	doubtful := e != nil && r.doubtful(e, slot, now) && !h.AtEnd()
-	if doubtful && !h.Has(relay.Doubted) {
-		// Others may know better; if none does, this entry is the flow's.
+	unconfirmed := e != nil && r.unconfirmed(e, slot, now) && !h.AtEnd()
+	if unconfirmed && !h.Has(relay.Doubted) {
+		// Another member may have a newer entry; otherwise this one is used.
 		h.Flags |= relay.Doubted
 		h.AddHop(r.settings.Address)
 	}
-	if e != nil && !reopens && !doubtful {
+	if e != nil && !reopens && !unconfirmed {
 		origin := h.Origin
 		r.serve(now, e, slot, packet, &origin, out)
 		return
@@ -126,19 +127,20 @@
 	r.send(h, origin, packet, out)
 }
 
-// relayedMiss is the answer that no member asked holds the flow.
+// relayedMiss handles the response that no queried member stores the flow.
 func (r *Router) relayedMiss(now time.Time, hash uint64, slot int, packet []byte, out *effect.List) {
 	if e := r.table.Find(r.parser.Key, hash); e != nil {
 		r.serve(now, e, slot, packet, nil, out)
 		return
 	}
-	r.lost(now, hash, slot, packet, out)
+	r.routeLost(now, hash, slot, packet, out)
 }
 
-func (r *Router) isFirst(slot int, a netip.AddrPort) bool {
+// isOwner reports whether the address is that of the slot's owner.
+func (r *Router) isOwner(slot int, a netip.AddrPort) bool {
 	c := r.ownership.Copies(slot)
 	return len(c) > 0 && r.peerOf(c[0]) == a
 }
 
-// peerOf returns the address of a member by its index.
+// peerOf returns the address of the member with the given index.
 func (r *Router) peerOf(i uint16) netip.AddrPort { return r.ownership.Member(i).Address }
--- a/internal/flow/router/repair.go
+++ b/internal/flow/router/repair.go
@@ -15,83 +15,84 @@
 )
 
 const (
-	// BatchKind and BatchAckKind are the first bytes of the trickle's datagrams.
+	// BatchKind and BatchAckKind are the first bytes of repair datagrams.
 	BatchKind    = 3
 	BatchAckKind = 4
 
-	batchHead   = 5
-	recordSize  = key.Size + 1 + relay.TargetSize
-	batchLimit  = 36
-	resendAfter = 500 * time.Millisecond
-	// scanLimit bounds the array slots looked at in one tick.
-	scanLimit = 1 << 16
+	batchHeaderSize = 5
+	recordSize      = key.Size + 1 + relay.TargetSize
+	maxBatchRecords = 36
+	resendAfter     = 500 * time.Millisecond
+	// maxScan bounds the table slots scanned in one tick.
+	maxScan = 1 << 16
 )
 
-// record is one flow as the trickle carries it.
+// record is a flow received from another member.
 type record struct {
 	key    key.Key
 	state  table.State
 	target relay.Target
-	// fromFirst is set when the slot's first rank tells the flow.
-	fromFirst bool
+	// fromOwner is set if the sender owns the flow's slot.
+	fromOwner bool
 }
 
+// batch is a repair datagram that is not acknowledged yet.
 type batch struct {
 	to   netip.AddrPort
 	data []byte
 	sent time.Time
 }
 
-// repair walks the table and copies flows of the wanted slots to their copies.
+// repair scans the table and sends the flows of dirty slots to their replicas.
 type repair struct {
-	dirty    [ownership.Slots]bool
-	any      bool
-	position int
-	wrapped  bool
-	number   uint32
-	unacked  map[uint32]*batch
-	pending  map[netip.AddrPort][]byte
-	budget   int
+	dirty      [ownership.Slots]bool
+	anyDirty   bool
+	position   int
+	scanned    bool
+	lastNumber uint32
+	unacked    map[uint32]*batch
+	pending    map[netip.AddrPort][]byte
+	budget     int
 }
 
-func (p *repair) want(slot int) {
+func (p *repair) markDirty(slot int) {
 	p.dirty[slot] = true
-	p.any = true
+	p.anyDirty = true
 }
 
-func (p *repair) wants(slot int) bool { return p.dirty[slot] }
+func (p *repair) isDirty(slot int) bool { return p.dirty[slot] }
 
-// restart scans from the beginning; batches under way to members that may be gone are dropped.
+// restart starts a new scan and discards all batches: their receivers may have left.
 func (p *repair) restart() {
 	p.position = 0
-	p.wrapped = false
+	p.scanned = false
 	p.unacked = map[uint32]*batch{}
 	p.pending = map[netip.AddrPort][]byte{}
 }
 
 func (p *repair) done() bool {
-	return !p.any
+	return !p.anyDirty
 }
 
-// Repaired says whether every flow held here has its copies as far as is known.
+// Repaired reports whether no repair is pending.
 func (r *Router) Repaired() bool { return r.repair.done() }
 
-// Tick expires flows and trickles copies within the byte budget.
+// Tick expires flows and sends repair batches within the byte budget.
 func (r *Router) Tick(now time.Time, out *effect.List) {
 	r.expire(now)
 	p := &r.repair
-	if !p.any {
+	if !p.anyDirty {
 		return
 	}
 	p.budget = min(p.budget+r.settings.RepairBytes, 4*r.settings.RepairBytes)
 	r.resend(now, out)
 	r.scan(now, out)
-	if p.wrapped {
+	if p.scanned {
 		r.flushAll(now, out)
 	}
-	if p.wrapped && len(p.unacked) == 0 {
+	if p.scanned && len(p.unacked) == 0 {
 		p.dirty = [ownership.Slots]bool{}
-		p.any = false
+		p.anyDirty = false
 	}
 }
 
@@ -102,25 +103,25 @@
 			continue
 		}
 		b.sent = now
-		r.spend(b, out)
+		r.sendBatch(b, out)
 	}
 }
 
-func (r *Router) spend(b *batch, out *effect.List) {
+func (r *Router) sendBatch(b *batch, out *effect.List) {
 	r.repair.budget -= len(b.data)
 	r.Counters.RepairBytes += uint64(len(b.data))
 	out.Add(effect.Effect{Kind: effect.ToPeer, To: b.to, Data: b.data})
 }
 
-// scan collects the flows of dirty slots, those with packets not yet copied first come first.
+// scan collects the flows of dirty slots in table order.
 func (r *Router) scan(now time.Time, out *effect.List) {
 	p := &r.repair
-	for range scanLimit {
-		if p.budget <= 0 || p.wrapped {
+	for range maxScan {
+		if p.budget <= 0 || p.scanned {
 			return
 		}
 		if p.position >= r.table.Capacity() {
-			p.wrapped = true
+			p.scanned = true
 			return
 		}
 		e := r.table.At(p.position)
@@ -131,36 +132,37 @@
 	}
 }
 
+// collect adds a flow to the batches of its other replicas, unless packets have copied it.
 func (r *Router) collect(now time.Time, e *table.Entry, out *effect.List) {
 	slot := ownership.Slot(e.Key.Hash())
-	if !r.repair.wants(slot) {
+	if !r.repair.isDirty(slot) {
 		return
 	}
-	if e.Version == r.versions[slot] && e.CopyPackets >= copyStrikes {
+	if e.Version == r.versions[slot] && e.CopyPackets >= requiredCopyPackets {
 		return
 	}
 	for _, i := range r.ownership.Copies(slot) {
 		if r.ownership.IsSelf(i) {
 			continue
 		}
-		r.collectFor(now, r.peerOf(i), e, out)
+		r.appendRecord(now, r.peerOf(i), e, out)
 	}
 	e.Version = r.versions[slot]
-	e.CopyPackets = copyStrikes
+	e.CopyPackets = requiredCopyPackets
 	r.Counters.CopiedByTrickle++
 }
 
-func (r *Router) collectFor(now time.Time, to netip.AddrPort, e *table.Entry, out *effect.List) {
+func (r *Router) appendRecord(now time.Time, to netip.AddrPort, e *table.Entry, out *effect.List) {
 	p := &r.repair
 	b := p.pending[to]
 	if b == nil {
-		b = make([]byte, batchHead, batchHead+batchLimit*recordSize)
+		b = make([]byte, batchHeaderSize, batchHeaderSize+maxBatchRecords*recordSize)
 	}
 	b = e.Key.Append(b)
 	b = append(b, uint8(e.State))
 	b = relay.AppendTarget(b, r.targets.at(e.Upstream))
 	p.pending[to] = b
-	if len(b) >= batchHead+batchLimit*recordSize {
+	if len(b) >= batchHeaderSize+maxBatchRecords*recordSize {
 		r.flush(now, to, out)
 	}
 }
@@ -175,38 +177,38 @@
 	p := &r.repair
 	data := p.pending[to]
 	delete(p.pending, to)
-	if len(data) <= batchHead {
+	if len(data) <= batchHeaderSize {
 		return
 	}
-	p.number++
+	p.lastNumber++
 	data[0] = BatchKind
-	binary.BigEndian.PutUint32(data[1:], p.number)
+	binary.BigEndian.PutUint32(data[1:], p.lastNumber)
 	b := &batch{to: to, data: data, sent: now}
-	p.unacked[p.number] = b
-	r.spend(b, out)
+	p.unacked[p.lastNumber] = b
+	r.sendBatch(b, out)
 }
 
-// Batch takes copies from another balancer's trickle and acknowledges them.
+// Batch stores the flows of another balancer's repair batch and acknowledges it.
 func (r *Router) Batch(now time.Time, from netip.AddrPort, datagram []byte, out *effect.List) {
-	if len(datagram) < batchHead || (len(datagram)-batchHead)%recordSize != 0 {
+	if len(datagram) < batchHeaderSize || (len(datagram)-batchHeaderSize)%recordSize != 0 {
 		r.Counters.Malformed++
 		return
 	}
-	for b := datagram[batchHead:]; len(b) > 0; b = b[recordSize:] {
+	for b := datagram[batchHeaderSize:]; len(b) > 0; b = b[recordSize:] {
 		c := record{
 			key: key.Decode(b), state: table.State(b[key.Size]),
 			target: relay.DecodeTarget(b[key.Size+1:]),
 		}
 		hash := c.key.Hash()
-		r.learn(now, c, hash, ownership.Slot(hash))
+		r.store(now, c, hash, ownership.Slot(hash))
 	}
-	ack := append([]byte{BatchAckKind}, datagram[1:batchHead]...)
+	ack := append([]byte{BatchAckKind}, datagram[1:batchHeaderSize]...)
 	out.Add(effect.Effect{Kind: effect.ToPeer, To: from, Data: ack})
 }
 
-// BatchAck notes that a batch of copies has arrived.
+// BatchAck handles the acknowledgement of a batch.
 func (r *Router) BatchAck(from netip.AddrPort, datagram []byte) {
-	if len(datagram) != batchHead {
+	if len(datagram) != batchHeaderSize {
 		r.Counters.Malformed++
 		return
 	}
@@ -216,16 +218,16 @@
 	}
 }
 
-// expirySweep is the share of the table looked at in one tick.
-const expirySweep = 64
+// expiryTicks is the number of ticks in which the whole table is scanned for expired flows.
+const expiryTicks = 64
 
-// expire drops flows that are over, and those that belong elsewhere by now.
+// expire removes flows that have timed out, and those of which this balancer is no replica.
 func (r *Router) expire(now time.Time) {
 	at := r.seconds(now)
-	n := max(r.table.Capacity()/expirySweep, 1)
+	n := max(r.table.Capacity()/expiryTicks, 1)
 	for range n {
-		r.sweep = (r.sweep + 1) % r.table.Capacity()
-		e := r.table.At(r.sweep)
+		r.expiryPosition = (r.expiryPosition + 1) % r.table.Capacity()
+		e := r.table.At(r.expiryPosition)
 		if e != nil && r.expired(e, at) {
 			r.remove(e)
 		}
@@ -241,7 +243,7 @@
 		return idle > uint32(r.settings.ClosingTimeout/time.Second)
 	}
 	slot := ownership.Slot(e.Key.Hash())
-	if !r.ownership.IsReplica(slot) && !r.unsettled(slot, at) && !r.repair.wants(slot) {
+	if !r.ownership.IsReplica(slot) && !r.unsettled(slot, at) && !r.repair.isDirty(slot) {
 		return true
 	}
 	return idle > uint32(r.settings.IdleTimeout/time.Second)
--- a/internal/flow/router/router.go
+++ b/internal/flow/router/router.go
@@ -15,18 +15,18 @@
 	"wasabideal/internal/wire/relay"
 )
 
-// LostPolicy says what becomes of a packet whose flow nobody holds.
+// LostPolicy selects what happens to a packet whose flow no member stores.
 type LostPolicy string
 
 const (
-	// LostCandidate sends it to the flow's candidate of the same service: it is
-	// the right one or its kernel resets the caller, who then knows.
+	// LostCandidate sends it to the upstream that a new flow would get. If the flow is not
+	// there, the upstream's kernel resets the connection, so that the caller notices.
 	LostCandidate LostPolicy = "Candidate"
-	// LostDrop drops it, and leaves the caller to its own timeouts.
+	// LostDrop drops it, so that the caller times out.
 	LostDrop LostPolicy = "Drop"
 )
 
-// Settings bound a router; times are in whole seconds.
+// Settings configure a router. Durations are in whole seconds.
 type Settings struct {
 	Self           string
 	Zone           string
@@ -36,12 +36,12 @@
 	OpeningTimeout time.Duration
 	IdleTimeout    time.Duration
 	ClosingTimeout time.Duration
-	// RepairBytes is the trickle's budget for one tick.
+	// RepairBytes is the byte budget of repair per tick.
 	RepairBytes int
 	Lost        LostPolicy
 }
 
-// Counters are the router's running totals.
+// Counters are the router's totals since its start.
 type Counters struct {
 	Hits, Relays, Openings, Asked, Lost, Resets, Dropped    uint64
 	UnknownService, NoUpstream, TableFull, Foreign          uint64
@@ -49,7 +49,7 @@
 	Misdelivered, Conflicts                                 uint64
 }
 
-// serviceKey is the address by which packets find their service.
+// serviceKey is the destination address, port and protocol that identify a service.
 type serviceKey struct {
 	address  [4]byte
 	port     uint16
@@ -63,7 +63,7 @@
 	plan   choice.Plan
 }
 
-// Router holds the flows of one balancer.
+// Router stores and routes the flows of one balancer.
 type Router struct {
 	settings  Settings
 	base      time.Time
@@ -75,19 +75,21 @@
 	spill     int
 	targets   targets
 	repair    repair
-	versions  [ownership.Slots]uint16
-	changed   [ownership.Slots]uint32
-	sweep     int
-	isolated  bool
-	joining   Joining
+	// versions are incremented with each change of a slot's replicas.
+	versions [ownership.Slots]uint16
+	// changedAt is the time of the slot's last change in seconds plus 1, or 0.
+	changedAt      [ownership.Slots]uint32
+	expiryPosition int
+	isolated       bool
+	joining        Joining
 
 	unreachable map[netip.AddrPort]bool
-	head        []byte
+	header      []byte
 	gue         gue.Header
 	Counters    Counters
 }
 
-// New returns a router that owns nothing until it is told of members.
+// New returns a router that knows no other member until SetMembers.
 func New(s Settings, base time.Time) *Router {
 	r := &Router{
 		settings:  s,
@@ -96,31 +98,32 @@
 		ownership: ownership.New([]ownership.Member{{Name: s.Self, Zone: s.Zone, Address: s.Address}}, s.Self),
 		targets:   newTargets(),
 		gue:       gue.New(),
-		head:      make([]byte, 0, 128),
+		header:    make([]byte, 0, 128),
 		services:  map[serviceKey]*service{},
 		byHash:    map[uint32]*service{},
 	}
 	r.repair.restart()
-	// A balancer that just began knows no members yet: unknown flows are held
-	// by others, and a guess would reset them.
-	for slot := range r.changed {
-		r.changed[slot] = 1
+	// A balancer that has just started knows no other member yet. Other members may
+	// store the flows that it does not know, so sending their packets to an upstream
+	// selected here would reset the connections.
+	for slot := range r.changedAt {
+		r.changedAt[slot] = 1
 	}
 	return r
 }
 
-// ServiceHash is the pointer-free name of a service on the wire and in tables.
+// ServiceHash returns the fixed-size identifier of a service on the wire and in tables.
 func ServiceHash(name string) uint32 { return uint32(xxhash.Sum64String(name)) }
 
-// Flows returns the number of flows held.
+// Flows returns the number of stored flows.
 func (r *Router) Flows() int { return r.table.Len() }
 
-// Openings returns the number of flows held that are not yet established.
+// Openings returns the number of stored flows that are not established yet.
 func (r *Router) Openings() int { return r.table.Openings() }
 
 func (r *Router) seconds(now time.Time) uint32 { return uint32(now.Sub(r.base) / time.Second) }
 
-// Packet routes a packet that the fabric handed to this balancer.
+// Packet routes a packet that this balancer received from the fabric.
 func (r *Router) Packet(now time.Time, packet []byte, out *effect.List) {
 	if err := r.parser.Parse(packet); err != nil {
 		r.Counters.Malformed++
@@ -141,15 +144,13 @@
 	r.miss(now, hash, slot, packet, 0, out)
 }
 
-// mayServe says whether a hit may bypass the first rank.
+// mayServe reports whether a packet of a stored flow may be routed here instead of by the owner.
 //
-// An opening that meets a holder which is no copy any more could revive a
-// flow that the first rank has opened anew at another upstream.
-//
-// An opening that was never confirmed here may have been repeated and taken by
-// the far side of a partition: after a change of members the others are asked.
+// Openings are left to the owner: the entry of a former replica could revive a flow that the
+// owner has since opened at another upstream. An unconfirmed opening may have been retransmitted to the other
+// side of a partition, so the other members are queried after a membership change.
 func (r *Router) mayServe(e *table.Entry, slot int, now time.Time) bool {
-	if r.doubtful(e, slot, now) {
+	if r.unconfirmed(e, slot, now) {
 		return false
 	}
 	if r.ownership.IsReplica(slot) {
@@ -158,7 +159,9 @@
 	return !r.parser.Opening && e.State != table.Closing
 }
 
-func (r *Router) doubtful(e *table.Entry, slot int, now time.Time) bool {
+// unconfirmed reports whether the entry is an opening that was not confirmed here before the last
+// change of its slot's replicas, which was less than Settle ago.
+func (r *Router) unconfirmed(e *table.Entry, slot int, now time.Time) bool {
 	return e.State == table.Opening && !r.parser.Opening && r.unsettled(slot, r.seconds(now)) &&
 		e.Version != r.versions[slot]
 }
@@ -168,19 +171,20 @@
 	return r.services[serviceKey{k.Destination, k.DestinationPort, k.Protocol}]
 }
 
-// miss sends a packet to the first rank, or looks for the flow if that is here.
+// miss relays a packet to the owner, or looks the flow up if this balancer is the owner.
 func (r *Router) miss(now time.Time, hash uint64, slot int, packet []byte, hops uint8, out *effect.List) {
 	to, ok := r.firstReachable(slot)
-	if ok && hops < hopLimit {
+	if ok && hops < maxHops {
 		h := relay.Header{Hops: hops + 1, Origin: r.settings.Address}
 		r.Counters.Relays++
 		r.send(&h, to, packet, out)
 		return
 	}
-	r.missAsFirst(now, hash, slot, packet, out)
+	r.missAsOwner(now, hash, slot, packet, out)
 }
 
-// firstReachable returns whom to relay to, or false when that is this balancer.
+// firstReachable returns the first reachable replica, or false if it is this balancer or there
+// is none.
 func (r *Router) firstReachable(slot int) (netip.AddrPort, bool) {
 	for _, i := range r.ownership.Copies(slot) {
 		if r.ownership.IsSelf(i) {
@@ -193,12 +197,13 @@
 	return netip.AddrPort{}, false
 }
 
-// hopLimit ends the dance of balancers that disagree on who is first.
-const hopLimit = 3
+// maxHops ends relay loops between balancers that disagree on the owner.
+const maxHops = 3
 
-func (r *Router) missAsFirst(now time.Time, hash uint64, slot int, packet []byte, out *effect.List) {
-	known := (r.parser.Opening || r.parser.Datagram) && !r.unsettled(slot, r.seconds(now))
-	if known {
+// missAsOwner opens a new flow, or queries the other members for a flow that may exist.
+func (r *Router) missAsOwner(now time.Time, hash uint64, slot int, packet []byte, out *effect.List) {
+	isNew := (r.parser.Opening || r.parser.Datagram) && !r.unsettled(slot, r.seconds(now))
+	if isNew {
 		r.open(now, hash, slot, packet, out)
 		return
 	}
@@ -210,15 +215,15 @@
 	}
 	first, ok := h.NextHop()
 	if !ok {
-		r.lost(now, hash, slot, packet, out)
+		r.routeLost(now, hash, slot, packet, out)
 		return
 	}
 	r.Counters.Asked++
 	r.send(&h, first, packet, out)
 }
 
-// lost decides on a packet whose flow none of the members asked holds.
-func (r *Router) lost(now time.Time, hash uint64, slot int, packet []byte, out *effect.List) {
+// routeLost routes a packet of a flow that no queried member stores.
+func (r *Router) routeLost(now time.Time, hash uint64, slot int, packet []byte, out *effect.List) {
 	if r.parser.Opening || r.parser.Datagram {
 		r.open(now, hash, slot, packet, out)
 		return
@@ -235,7 +240,7 @@
 	}
 }
 
-// open begins a new flow at an upstream, if its service takes flows here.
+// open creates a flow at a selected upstream and routes its first packet.
 func (r *Router) open(now time.Time, hash uint64, slot int, packet []byte, out *effect.List) {
 	s := r.service()
 	if s == nil {
@@ -246,7 +251,7 @@
 		r.Counters.Dropped++
 		return
 	}
-	upstreamIndex, ok := r.choose(s, hash)
+	upstreamIndex, ok := r.selectUpstream(s, hash)
 	if !ok {
 		return
 	}
@@ -260,13 +265,13 @@
 		return
 	}
 	r.Counters.Openings++
-	r.count(e, 1)
+	r.addLoad(e, 1)
 	r.serve(now, e, slot, packet, nil, out)
 }
 
-// choose picks the upstream of a new flow. It checks that the upstream is of
-// the flow's service: a pool with another's would cross customers.
-func (r *Router) choose(s *service, hash uint64) (uint32, bool) {
+// selectUpstream returns the upstream of a new flow. It checks that the upstream belongs to the
+// flow's service, because traffic must not cross workspaces if a pool is wrong.
+func (r *Router) selectUpstream(s *service, hash uint64) (uint32, bool) {
 	i := -1
 	if !s.closed {
 		i = s.plan.Pick(hash, r.targets.loads)
@@ -283,8 +288,9 @@
 	return chosen, true
 }
 
-func (r *Router) count(e *table.Entry, by int32) {
-	if r.counts(e) {
+// addLoad adds to the load of the flow's upstream if this balancer counts the flow.
+func (r *Router) addLoad(e *table.Entry, by int32) {
+	if r.countsLoad(e) {
 		r.targets.add(e.Upstream, by)
 	}
 }
--- a/internal/flow/router/router_test.go
+++ b/internal/flow/router/router_test.go
@@ -22,7 +22,7 @@
 	service = netip.MustParseAddrPort("10.20.0.1:443")
 )
 
-// newRouter is one of n members before fifteen upstreams.
+// newRouter returns the router of one of n members with fifteen upstreams.
 func newRouter(n, flows int) *router.Router {
 	self := netip.MustParseAddrPort("127.1.0.0:7400")
 	r := router.New(router.Settings{
@@ -59,9 +59,9 @@
 	return ps
 }
 
-// TestHitAllocatesNothing holds that a packet of a held flow, and one that is
-// relayed, cost the garbage collector nothing.
-func TestHitAllocatesNothing(t *testing.T) {
+// TestHitDoesNotAllocate checks that routing a packet of a stored flow and relaying a packet
+// do not allocate.
+func TestHitDoesNotAllocate(t *testing.T) {
 	for name, members := range map[string]int{"hit": 1, "relay": 64} {
 		t.Run(name, func(t *testing.T) {
 			r := newRouter(members, 10_000)
--- a/internal/flow/router/serve.go
+++ b/internal/flow/router/serve.go
@@ -9,22 +9,21 @@
 	"wasabideal/internal/wire/relay"
 )
 
-// copyStrikes is the packets sent through the copies before they count as made:
-// one may be lost on the way.
-const copyStrikes = 2
+// requiredCopyPackets is the number of packets sent through the replicas before they are
+// assumed to store the flow: one packet may be lost.
+const requiredCopyPackets = 2
 
-// serve sends a packet of a held flow on, through the copies where they may lack it.
-//
-// force names a member that lacks the flow and must take a copy first.
+// serve sends a packet of a stored flow to its upstream, through the replicas if they may lack
+// the flow. If force is set, the packet first goes to that member, which lacks the flow.
 func (r *Router) serve(now time.Time, e *table.Entry, slot int, packet []byte, force *netip.AddrPort, out *effect.List) {
 	at := r.seconds(now)
 	if e.State == table.Closing && r.parser.Opening {
 		r.reopen(now, e, slot, packet, out)
 		return
 	}
-	viaCopies := r.mustCopy(e, slot, at)
+	viaReplicas := r.mustCopy(e, slot, at)
 	r.observe(e, at)
-	if force == nil && !viaCopies {
+	if force == nil && !viaReplicas {
 		r.toUpstream(e.Upstream, packet, out)
 		return
 	}
@@ -38,7 +37,7 @@
 			continue
 		}
 		if r.unreachable[m.Address] {
-			// The packet would be lost there; later ones bring the copy.
+			// The packet would be lost on the way; later packets copy the flow.
 			e.CopyPackets = 0
 			continue
 		}
@@ -48,19 +47,19 @@
 	r.forward(&h, e.Upstream, packet, out)
 }
 
-// mustCopy says whether this packet has to go through the flow's copies: while
-// they may lack the flow, when it opens, is confirmed or closes, and now and
-// then so that an idle timeout never takes a copy of a flow that is busy elsewhere.
+// mustCopy reports whether a packet has to go through the flow's replicas: if they may lack the
+// flow, if the packet opens, confirms or closes it, and regularly, so that the idle timeout
+// does not remove the copies of an active flow.
 func (r *Router) mustCopy(e *table.Entry, slot int, at uint32) bool {
 	if e.Version != r.versions[slot] {
 		e.Version = r.versions[slot]
 		e.CopyPackets = 0
 	}
 	if at-e.LastCopied > uint32(r.settings.IdleTimeout/time.Second)/4 {
-		e.CopyPackets = copyStrikes - 1
+		e.CopyPackets = requiredCopyPackets - 1
 	}
 	confirmed := e.State == table.Opening && r.parser.Confirming
-	if !r.parser.Opening && !r.parser.Closing && !confirmed && e.CopyPackets >= copyStrikes {
+	if !r.parser.Opening && !r.parser.Closing && !confirmed && e.CopyPackets >= requiredCopyPackets {
 		return false
 	}
 	if !r.parser.Opening {
@@ -70,29 +69,29 @@
 	return true
 }
 
-// observe moves the flow's state on what the packet shows.
+// observe updates the flow's state according to the packet.
 func (r *Router) observe(e *table.Entry, at uint32) {
 	e.LastSeen = at
 	switch {
 	case r.parser.Closing:
 		r.table.SetState(e, table.Closing)
-	case e.State == table.Opening && (r.parser.Confirming || r.parser.Datagram && e.CopyPackets >= copyStrikes):
+	case e.State == table.Opening && (r.parser.Confirming || r.parser.Datagram && e.CopyPackets >= requiredCopyPackets):
 		r.table.SetState(e, table.Established)
 	}
 }
 
-// reopen replaces a closed flow whose caller uses its port again.
+// reopen replaces a closed flow whose caller reuses its port.
 func (r *Router) reopen(now time.Time, e *table.Entry, slot int, packet []byte, out *effect.List) {
 	r.remove(e)
 	r.open(now, r.parser.Key.Hash(), slot, packet, out)
 }
 
 func (r *Router) remove(e *table.Entry) {
-	r.count(e, -1)
+	r.addLoad(e, -1)
 	r.table.Remove(e.Key, e.Key.Hash())
 }
 
-// forward sends a packet to the next member of its path, or at its end to the upstream.
+// forward sends a packet to the next member of its path, or to the upstream if there is none.
 func (r *Router) forward(h *relay.Header, upstreamIndex uint32, packet []byte, out *effect.List) {
 	next, ok := h.NextHop()
 	if !ok {
@@ -103,16 +102,15 @@
 }
 
 func (r *Router) send(h *relay.Header, to netip.AddrPort, packet []byte, out *effect.List) {
-	r.head = h.Append(r.head[:0])
-	out.Build(effect.ToPeer, to, r.head, packet)
+	r.header = h.Append(r.header[:0])
+	out.Build(effect.ToPeer, to, r.header, packet)
 }
 
-// toUpstream is the only way out to an upstream, and checks that the address
-// still belongs to the flow's service: one handed to another service since
-// would get packets that are not meant for it.
+// toUpstream sends a packet to an upstream; no other function does. It drops packets for an
+// address that has been reassigned to another service.
 func (r *Router) toUpstream(index uint32, packet []byte, out *effect.List) {
 	t := r.targets.at(index)
-	if r.targets.foreign(index) {
+	if r.targets.addressReassigned(index) {
 		r.Counters.Foreign++
 		return
 	}
--- a/internal/flow/router/targets.go
+++ b/internal/flow/router/targets.go
@@ -9,14 +9,16 @@
 
 type target = relay.Target
 
-// targets numbers upstream identities, so that a flow's entry needs four bytes.
+// targets maps upstream identities to indices, so that a flow's entry needs only four bytes.
 type targets struct {
 	list  []relay.Target
 	index map[relay.Target]uint32
-	// loads are the flows that this balancer is first for, per target.
-	loads   []int32
+	// loads are the numbers of flows that this balancer owns, per target.
+	loads []int32
+	// holders are the services that addresses currently belong to.
 	holders map[netip.AddrPort]uint32
-	alien   []bool
+	// reassigned marks the targets whose address belongs to another service now.
+	reassigned []bool
 }
 
 func newTargets() targets {
@@ -31,7 +33,7 @@
 	t.list = append(t.list, x)
 	t.index[x] = i
 	t.loads = append(t.loads, 0)
-	t.alien = append(t.alien, t.isAlien(x))
+	t.reassigned = append(t.reassigned, t.isReassigned(x))
 	return i
 }
 
@@ -49,19 +51,19 @@
 		t.holders[a] = ServiceHash(name)
 	}
 	for i, x := range t.list {
-		t.alien[i] = t.isAlien(x)
+		t.reassigned[i] = t.isReassigned(x)
 	}
 }
 
-// isAlien says whether the target's address is known to belong to another service.
-func (t *targets) isAlien(x relay.Target) bool {
+// isReassigned reports whether the target's address is known to belong to another service.
+func (t *targets) isReassigned(x relay.Target) bool {
 	h, known := t.holders[x.AddrPort()]
 	return known && h != x.Service
 }
 
-func (t *targets) foreign(i uint32) bool { return t.alien[i] }
+func (t *targets) addressReassigned(i uint32) bool { return t.reassigned[i] }
 
-// seedOf hashes a target for the choice of upstreams, alike on every balancer.
+// seedOf hashes a target for the selection of upstreams, the same on every balancer.
 func seedOf(x relay.Target) uint64 {
 	address := uint64(x.Address[0])<<40 | uint64(x.Address[1])<<32 | uint64(x.Address[2])<<24 |
 		uint64(x.Address[3])<<16 | uint64(x.Port)
