--- a/internal/flow/ownership/ownership.go
+++ b/internal/flow/ownership/ownership.go
@@ -80,9 +80,9 @@
 	members []Member
 	seeds   []uint64
 	zones   []int
-	// best holds the best active member of each zone, and first the best of all zones.
-	best  []score
-	first [replicaCount]score
+	// zoneBest holds the best active member of each zone, and top the best of all zones.
+	zoneBest []score
+	top      [replicaCount]score
 	// passive is the best passive member.
 	passive score
 }
@@ -97,7 +97,7 @@
 		}
 		b.zones[i] = numbers[m.Zone]
 	}
-	b.best = make([]score, len(numbers))
+	b.zoneBest = make([]score, len(numbers))
 	return b
 }
 
@@ -107,7 +107,7 @@
 	var r ranking
 	b.addReplicas(&r)
 	r.replicas = r.length
-	for _, s := range b.first {
+	for _, s := range b.top {
 		r.add(s)
 	}
 	b.addZones(&r)
@@ -117,8 +117,8 @@
 
 // scan finds the best members of all zones, of each zone, and of the passive ones.
 func (b *builder) scan(mixed uint64) {
-	clear(b.best)
-	b.first = [replicaCount]score{}
+	clear(b.zoneBest)
+	b.top = [replicaCount]score{}
 	b.passive = score{}
 	for i, seed := range b.seeds {
 		s := score{value: key.Mix(seed ^ mixed), index: uint16(i), known: true}
@@ -128,18 +128,18 @@
 			}
 			continue
 		}
-		if z := b.zones[i]; s.above(b.best[z]) {
-			b.best[z] = s
+		if z := b.zones[i]; s.above(b.zoneBest[z]) {
+			b.zoneBest[z] = s
 		}
 		b.insert(s)
 	}
 }
 
 func (b *builder) insert(s score) {
-	for d := range b.first {
-		if s.above(b.first[d]) {
-			copy(b.first[d+1:], b.first[d:])
-			b.first[d] = s
+	for d := range b.top {
+		if s.above(b.top[d]) {
+			copy(b.top[d+1:], b.top[d:])
+			b.top[d] = s
 			return
 		}
 	}
@@ -156,10 +156,10 @@
 // addReplicas adds the best members. If they are all in one zone, the best member of another
 // zone replaces the last.
 func (b *builder) addReplicas(r *ranking) {
-	for _, s := range b.first[:replicaCount-1] {
+	for _, s := range b.top[:replicaCount-1] {
 		r.add(s)
 	}
-	last := b.first[replicaCount-1]
+	last := b.top[replicaCount-1]
 	if r.length == replicaCount-1 && b.oneZone(r) && last.known && b.zones[last.index] == b.zones[r.members[0]] {
 		if other := b.bestOutside(b.zones[r.members[0]]); other.known {
 			last = other
@@ -172,7 +172,7 @@
 
 func (b *builder) bestOutside(zone int) score {
 	var other score
-	for z, s := range b.best {
+	for z, s := range b.zoneBest {
 		if z != zone && s.known && s.above(other) {
 			other = s
 		}
@@ -183,8 +183,8 @@
 // addZones adds the best member of every zone, the highest score first: after a partition,
 // flows opened on the other side are stored by the best members of the zones there.
 func (b *builder) addZones(r *ranking) {
-	slices.SortFunc(b.best, func(x, y score) int { return cmp.Compare(y.value, x.value) })
-	for _, s := range b.best {
+	slices.SortFunc(b.zoneBest, func(x, y score) int { return cmp.Compare(y.value, x.value) })
+	for _, s := range b.zoneBest {
 		r.add(s)
 	}
 }
--- a/internal/flow/router/router.go
+++ b/internal/flow/router/router.go
@@ -147,8 +147,9 @@
 // mayServe reports whether a packet of a stored flow may be routed here instead of by the owner.
 //
 // Openings are left to the owner: the entry of a former replica could revive a flow that the
-// owner has since opened at another upstream. An unconfirmed opening may have been retransmitted to the other
-// side of a partition, so the other members are queried after a membership change.
+// owner has since opened at another upstream. An unconfirmed opening may have been
+// retransmitted to the other side of a partition, so the other members are queried after a
+// membership change.
 func (r *Router) mayServe(e *table.Entry, slot int, now time.Time) bool {
 	if r.unconfirmed(e, slot, now) {
 		return false
--- a/internal/overload/concurrency/concurrency.go
+++ b/internal/overload/concurrency/concurrency.go
@@ -6,7 +6,7 @@
 )
 
 // Limits of in-flight requests per slot of a service's upstreams, for all balancers together.
-// New flows beyond them are rejected. The share of requests served, weighted by worth, with 150
+// New flows beyond them are rejected. The share of requests served, weighted by value, with 150
 // upstreams and 70 balancers at four and six times the load: 0.913 and 0.718 with three and
 // eight, 0.891 and 0.704 with two and five, 0.896 and 0.684 with three and four and a half.
 const (
