--- a/internal/model/configuration/configuration.go
+++ b/internal/model/configuration/configuration.go
@@ -9,50 +9,50 @@
 	"github.com/samber/lo"
 )
 
-// Protocols a service may use.
+// The protocols of a service.
 const (
 	TCP = "tcp"
 	UDP = "udp"
 )
 
-// Service is a set of addresses with one pool of upstreams behind them.
+// Service is a set of addresses that share a pool of upstreams.
 type Service struct {
 	Name     string
 	Protocol string
-	// Group names the balancers that serve it; empty is all balancers.
+	// Group is the group of balancers that serve it; empty means all balancers.
 	Group     string
 	Addresses []netip.AddrPort
-	// TokenSha256 is the hex digest of the token with which upstreams join.
+	// TokenSha256 is the SHA-256 digest in hex of the token that upstreams authenticate with.
 	TokenSha256 string
-	// Repeatable says that a request without a key may be sent twice.
+	// Repeatable says that a request without an idempotency key may be retried.
 	Repeatable bool
-	// Priority orders services under overload; a higher one is served first.
+	// Priority ranks services under overload; a higher one is served first.
 	Priority int
-	// HealthPath is where an upstream of the service answers health checks over HTTP.
+	// HealthPath is the HTTP path of the health checks of the service's upstreams.
 	HealthPath string `json:",omitzero" cbor:",omitempty"`
-	// MaxFlows is the number of flows that one upstream holds; 0 sets no bound.
+	// MaxFlows is the maximum number of flows per upstream; 0 means no limit.
 	MaxFlows int `json:",omitzero" cbor:",omitempty"`
-	// Application is the protocol inside the flows as the operator names it; the
-	// balancer does not read it.
+	// Application is the operator's name of the application protocol; the balancer
+	// does not use it.
 	Application string `json:",omitzero" cbor:",omitempty"`
-	// TLS says that the flows are encrypted between the two ends.
+	// TLS says that flows are encrypted end to end.
 	TLS bool `json:",omitzero" cbor:",omitempty"`
-	// Cold is what upstreams bear that have just started; nil where operators say nothing.
+	// Cold limits the load of upstreams that have just started; nil if not configured.
 	Cold *Cold `json:",omitzero" cbor:",omitempty"`
 }
 
-// Cold is what an upstream of a service bears just after its start.
+// Cold limits the load of an upstream just after its start.
 type Cold struct {
 	_ struct{} `cbor:",toarray"`
-	// For is how long an upstream stays cold; its announcements tell the rest of it.
+	// For is how long an upstream stays cold; its announcements contain the remaining time.
 	For time.Duration
-	// PerSecond is how many requests it bears in any second then, from all balancers
-	// together; 0 sets no bound.
+	// PerSecond is the maximum number of requests in any second of that time, from all
+	// balancers together; 0 means no limit.
 	PerSecond float64
 }
 
-// ColdRate is how many requests a second a cold upstream of the service bears, 0 where
-// there is no bound.
+// ColdRate returns the maximum requests per second of a cold upstream of the service, 0 if
+// there is no limit.
 func (s Service) ColdRate() float64 {
 	if s.Cold == nil {
 		return 0
@@ -60,52 +60,52 @@
 	return s.Cold.PerSecond
 }
 
-// Preset is a named set of limits; exactly one is in force.
+// Preset is a named set of limits, of which exactly one is active.
 type Preset struct {
 	Name string
-	// SpillPercent is how far above the pool's mean load a zone's own upstream
-	// may be, in percent, before a new flow goes to another zone.
+	// SpillPercent is how far, in percent, the load of an upstream of the local zone may
+	// exceed the mean of the pool before new flows go to other zones.
 	SpillPercent int
-	// SlotLimit caps requests in flight per upstream, whatever it announces.
+	// SlotLimit limits requests in flight per upstream, even if it announces more slots.
 	SlotLimit int
-	// QueueLimit caps requests that wait per service at one balancer.
+	// QueueLimit limits the queued requests per service and balancer.
 	QueueLimit int
-	// RetryPercent is the retry budget as a share of first attempts.
+	// RetryPercent is the retry budget as a percentage of first attempts.
 	RetryPercent int
-	// ColdStartSeconds is the time a new upstream takes to reach its full share.
+	// ColdStartSeconds is the duration of the slow start of a new upstream.
 	ColdStartSeconds int
-	// Closed names the services that take no new flow while this preset is in force.
+	// Closed names the services that accept no new flows while this preset is active.
 	Closed []string
 }
 
-// OrdinaryPreset returns the preset of a system for which no operator set one;
-// its limits are those of the shipped example files.
+// OrdinaryPreset returns the default preset, with the limits of the shipped
+// example files.
 func OrdinaryPreset() Preset {
 	return Preset{Name: "ordinary", SpillPercent: 25, SlotLimit: 2, QueueLimit: 64, RetryPercent: 10, ColdStartSeconds: 3}
 }
 
-// Configuration is the whole of what operators set, at one revision.
+// Configuration is the complete configuration by operators at one revision.
 type Configuration struct {
 	Revision uint64
 	InForce  string
 	Services []Service
 	Presets  []Preset
-	// Routes are the addresses that new flows may name, with the services behind them.
+	// Routes map the destination addresses of new flows to services.
 	Routes []Route `json:",omitzero" cbor:",omitempty"`
-	// Limits bound what callers may send.
+	// Limits are the limits for callers.
 	Limits Limits `json:",omitzero" cbor:",omitzero"`
-	// Extra are members of the operator's document that mean nothing here, encoded, by where
-	// they stand: an operator reads back what was sent. Only voters keep them.
+	// Extra holds the unknown members of the operator's document, encoded, by their position
+	// in it, so that reading the document back returns them. Only voters store them.
 	Extra map[string][]byte `json:",omitzero" cbor:",omitempty"`
 }
 
-// WithoutExtra returns the configuration as balancers need it.
+// WithoutExtra returns the configuration without unknown members, for balancers.
 func (c Configuration) WithoutExtra() Configuration {
 	c.Extra = nil
 	return c
 }
 
-// InvalidError says which key of a configuration is wrong and what is allowed.
+// InvalidError is the first invalid key of a configuration, with the allowed values.
 type InvalidError struct {
 	Key, Value, Allowed string
 }
@@ -114,26 +114,26 @@
 	return fmt.Sprintf("%s is %q; allowed: %s", e.Key, e.Value, e.Allowed)
 }
 
-// WithPreset returns the configuration with another preset in force.
+// WithPreset returns the configuration with another active preset.
 func (c Configuration) WithPreset(name string) Configuration {
 	c.InForce = name
 	return c
 }
 
-// WithRevision returns the configuration at another revision.
+// WithRevision returns the configuration with another revision.
 func (c Configuration) WithRevision(r uint64) Configuration {
 	c.Revision = r
 	return c
 }
 
-// ForGroup returns the configuration with the services of one group of
-// balancers: the others' addresses, upstreams and flows cost it nothing.
+// ForGroup returns the configuration with only the services of a group of
+// balancers, so that the group spends no resources on other services.
 func (c Configuration) ForGroup(group string) Configuration {
 	c.Services = lo.Filter(c.Services, func(s Service, _ int) bool { return s.Group == "" || s.Group == group })
 	return c
 }
 
-// Preset returns the preset in force; a checked configuration always has one.
+// Preset returns the active preset; a configuration that passes Check has one.
 func (c Configuration) Preset() Preset {
 	p, _ := c.preset(c.InForce)
 	return p
@@ -143,12 +143,12 @@
 	return lo.Find(c.Presets, func(p Preset) bool { return p.Name == name })
 }
 
-// Service returns the service of that name.
+// Service returns the service with that name.
 func (c Configuration) Service(name string) (Service, bool) {
 	return lo.Find(c.Services, func(s Service) bool { return s.Name == name })
 }
 
-// Check returns an InvalidError for the first key that cannot be put in force.
+// Check returns an InvalidError for the first invalid key.
 func (c Configuration) Check() error {
 	if err := c.checkPresets(); err != nil {
 		return err
--- a/internal/model/configuration/doc.go
+++ b/internal/model/configuration/doc.go
@@ -1,3 +1,3 @@
-// Package configuration holds the operators' settings of services and presets
-// as one immutable value with one revision.
+// Package configuration defines the operators' configuration of services, routes and
+// presets as an immutable value with a revision.
 package configuration
--- a/internal/model/configuration/route.go
+++ b/internal/model/configuration/route.go
@@ -9,11 +9,11 @@
 	"github.com/samber/lo"
 )
 
-// Class says how a route's requests may be treated.
+// Class says how a route's requests may be handled.
 //
-// Operators may name classes that this version does not know. Such a word is kept as
-// it is, so that the document reads back as it was sent, and its requests get the most
-// careful treatment: they run at most once, and none of their flows ends early.
+// Operators may use classes that this version does not know. The name of such a class is
+// stored unchanged, so that the document can be read back as it was sent. Its requests get
+// the safest handling: they run at most once, and none of their flows is closed early.
 type Class string
 
 // The classes of requests.
@@ -24,23 +24,23 @@
 	Unrepeatable Class = "Unrepeatable"
 	// Upload requests carry large bodies and run at most once.
 	Upload Class = "Upload"
-	// Download requests have large answers and may be repeated after any failure.
+	// Download requests have large responses and may be repeated after any failure.
 	Download Class = "Download"
 )
 
-// unknownPrefix sets the operators' own words apart from the classes above.
+// unknownPrefix distinguishes unknown class names from the classes above.
 const unknownPrefix = "Unknown:"
 
-// UnknownClass returns the class that stands for an operator's own word.
-func UnknownClass(word string) Class { return Class(unknownPrefix + word) }
+// UnknownClass returns the class for a name that this version does not know.
+func UnknownClass(name string) Class { return Class(unknownPrefix + name) }
 
-// UnknownWord returns the operator's own word for a class that is not known here.
-func (c Class) UnknownWord() (string, bool) { return strings.CutPrefix(string(c), unknownPrefix) }
+// UnknownName returns the operator's name of a class that this version does not know.
+func (c Class) UnknownName() (string, bool) { return strings.CutPrefix(string(c), unknownPrefix) }
 
-// Repeatable says that requests of the class may run more than once.
+// Repeatable reports whether requests of the class may run more than once.
 func (c Class) Repeatable() bool { return c == Idempotent || c == Download }
 
-// Backend is one service of a split route and its share of new flows.
+// Backend is a service of a split route with its share of new flows.
 type Backend struct {
 	_       struct{} `cbor:",toarray"`
 	Service string
@@ -48,35 +48,35 @@
 	Weight int
 }
 
-// Route is an address that callers use, and where its new flows go.
+// Route maps an address that callers use to the services of its new flows.
 type Route struct {
 	_       struct{} `cbor:",toarray"`
 	Name    string
 	Address netip.AddrPort
-	// Service takes all new flows, unless Split divides them.
+	// Service gets all new flows, unless Split is set.
 	Service string
 	Split   []Backend
 	Class   Class
-	// Timeout is how long a caller waits for an answer.
+	// Timeout is how long a caller waits for a response.
 	Timeout time.Duration
-	// Objective is the latency within which an answer is on time.
+	// Objective is the latency objective of responses.
 	Objective time.Duration
-	// Priority orders routes under overload; 0 is served first.
+	// Priority ranks routes under overload; 0 is served first.
 	Priority int
-	// MaxAttempts is kept for the operator; callers make the attempts.
+	// MaxAttempts is stored for the operator only; callers make the attempts.
 	MaxAttempts int
 }
 
-// Limits bound what callers may send; the balancer itself applies IdleTimeout.
+// Limits are the limits for callers; the balancer itself enforces only IdleTimeout.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int
 	HeaderTimeout time.Duration
-	// IdleTimeout is the silence after which an open flow may be forgotten.
+	// IdleTimeout is the idle time after which an open flow may be removed.
 	IdleTimeout time.Duration
 }
 
-// Backends returns the services that may take new flows of the route, with weights.
+// Backends returns the services for new flows of the route, with their weights.
 func (r Route) Backends() []Backend {
 	if len(r.Split) > 0 {
 		return r.Split
--- a/internal/model/evacuation/doc.go
+++ b/internal/model/evacuation/doc.go
@@ -1,3 +1,3 @@
-// Package evacuation holds which availability zones take no new flows, as operators ordered
-// and voters agreed.
+// Package evacuation holds the replicated list of evacuated availability zones, which
+// receive no new flows.
 package evacuation
--- a/internal/model/evacuation/evacuation_test.go
+++ b/internal/model/evacuation/evacuation_test.go
@@ -10,7 +10,7 @@
 	"wasabideal/internal/model/evacuation"
 )
 
-func TestOrdersAreKeptByZone(t *testing.T) {
+func TestLatestOrderOfEachZoneIsStored(t *testing.T) {
 	var e evacuation.Evacuations
 	first := e.With(evacuation.Zone{Name: "b", Evacuated: true})
 	second := first.With(evacuation.Zone{Name: "a", Evacuated: true})
@@ -19,11 +19,11 @@
 	require.Equal(t, []string{"b"}, first.Names())
 	require.Equal(t, []string{"a", "b"}, second.Names())
 	require.Equal(t, []string{"a"}, third.Names())
-	require.Equal(t, uint64(3), third.Of("b").Revision, "a zone that was restored keeps the revision of that")
+	require.Equal(t, uint64(3), third.Of("b").Revision, "a restored zone keeps the revision of its restore")
 	require.False(t, third.Evacuated("c"))
 }
 
-func TestNamesThatCannotBeKept(t *testing.T) {
+func TestInvalidZoneNamesAreRejected(t *testing.T) {
 	var e evacuation.Evacuations
 	for _, name := range []string{"", strings.Repeat("x", 64), "a\nb", "a\x00"} {
 		var invalid *evacuation.InvalidError
@@ -34,5 +34,5 @@
 		e = e.With(evacuation.Zone{Name: fmt.Sprint("zone-", i), Evacuated: true})
 	}
 	require.Error(t, e.Check("one-more"))
-	require.NoError(t, e.Check("zone-3"), "a zone that is known may always be ordered again")
+	require.NoError(t, e.Check("zone-3"), "a stored zone accepts further orders")
 }
--- a/internal/model/roster/doc.go
+++ b/internal/model/roster/doc.go
@@ -1,7 +1,6 @@
-// Package roster is the agreed list of balancers that remember request keys.
+// Package roster defines the replicated list of balancers that store idempotency keys.
 //
-// Gossip alone cannot tell who remembers a key: two sides of a partition would
-// each find a majority among themselves. The roster changes in the voters' log
-// only, and a new one counts together with the one before until what that one
-// remembers is copied.
+// Gossip cannot determine who stores a key: both sides of a partition would each
+// find a majority. The roster therefore changes only in the voters' log. A new
+// list is valid together with the previous one until the keys are copied.
 package roster
--- a/internal/model/roster/roster.go
+++ b/internal/model/roster/roster.go
@@ -10,55 +10,55 @@
 	"wasabideal/internal/flow/ownership"
 )
 
-// Member is one life of a balancer.
+// Member is one run of a balancer.
 type Member struct {
 	Name string
 	Zone string
-	// Start tells lives apart: a restarted balancer remembers nothing.
+	// Start distinguishes runs: a restarted balancer has lost its keys.
 	Start uint64
-	// Rpc is where it answers questions on keys.
+	// Rpc is the address for requests about keys.
 	Rpc netip.AddrPort
 }
 
-// Roster is one agreed list, with the one before until that is settled.
+// Roster is a replicated list, with the previous one until the change is settled.
 type Roster struct {
-	// Version rises with every change, Epoch with every list.
+	// Version increases with every change, Epoch with every new list.
 	Version  uint64
 	Epoch    uint64
 	Members  []Member
 	Previous []Member
 }
 
-// Settled says that the list before needs no more asking.
+// Settled reports whether the previous list is no longer in use.
 func (r Roster) Settled() bool { return len(r.Previous) == 0 }
 
-// WithMembers returns the next epoch with another list; the present one must
-// be settled first.
+// WithMembers returns the next epoch with a new list; the current roster must
+// be settled.
 func (r Roster) WithMembers(ms []Member) Roster {
 	return Roster{Version: r.Version + 1, Epoch: r.Epoch + 1, Members: ms, Previous: r.Members}
 }
 
-// WithSettled returns the roster without the list before.
+// WithSettled returns the roster without the previous list.
 func (r Roster) WithSettled() Roster {
 	r.Version++
 	r.Previous = nil
 	return r
 }
 
-// Has says whether that life of a balancer is in the list.
+// Has reports whether the list contains that run of a balancer.
 func (r Roster) Has(m Member) bool { return contains(r.Members, m) }
 
 func contains(ms []Member, m Member) bool {
 	return slices.ContainsFunc(ms, func(o Member) bool { return o.Name == m.Name && o.Start == m.Start })
 }
 
-// View answers who remembers which keys under one roster; immutable.
+// View maps keys to the balancers that store them under a roster; it is immutable.
 type View struct {
 	Roster            Roster
 	current, previous *ownership.Ownership
 }
 
-// NewView ranks a roster's lists.
+// NewView returns the view of a roster.
 func NewView(r Roster) View {
 	return View{Roster: r, current: rank(r.Members), previous: rank(r.Previous)}
 }
@@ -71,12 +71,12 @@
 	return ownership.New(list, "")
 }
 
-// Slot returns the slot of a service's request key.
-func Slot(service, requestKey string) int {
-	return ownership.Slot(key.Mix(xxhash.Sum64String(service + "\x00" + requestKey)))
+// Slot returns the slot of an idempotency key of a service.
+func Slot(service, idempotencyKey string) int {
+	return ownership.Slot(key.Mix(xxhash.Sum64String(service + "\x00" + idempotencyKey)))
 }
 
-// Sets returns the sets of members of which each must give a majority.
+// Sets returns the sets of members that must each reach a majority.
 func (v View) Sets(slot int) [][]Member {
 	sets := [][]Member{members(v.current, slot)}
 	if !v.Roster.Settled() {
@@ -85,10 +85,10 @@
 	return sets
 }
 
-// Current returns the members that remember a slot's keys under the new list.
+// Current returns the members that store a slot's keys under the new list.
 func (v View) Current(slot int) []Member { return members(v.current, slot) }
 
-// Before returns those under the list before, none if that is settled.
+// Before returns the members that store them under the previous list, none if settled.
 func (v View) Before(slot int) []Member { return members(v.previous, slot) }
 
 func members(o *ownership.Ownership, slot int) []Member {
@@ -101,5 +101,5 @@
 	return ms
 }
 
-// Majority is the number of members of a set that must agree.
+// Majority returns the number of members that are a majority of a set.
 func Majority(set []Member) int { return len(set)/2 + 1 }
--- a/internal/model/upstream/doc.go
+++ b/internal/model/upstream/doc.go
@@ -1,2 +1,2 @@
-// Package upstream holds the value that describes one announced back end.
+// Package upstream defines the announcement of an upstream.
 package upstream
--- a/internal/model/upstream/upstream.go
+++ b/internal/model/upstream/upstream.go
@@ -5,10 +5,10 @@
 	"net/netip"
 )
 
-// State says whether an upstream takes new work.
+// State says whether an upstream accepts new flows.
 type State uint8
 
-// The states an upstream announces, or that its lease running out gives it.
+// The states that an upstream announces or gets when its lease expires.
 const (
 	Ready State = iota
 	Draining
@@ -17,7 +17,7 @@
 
 var stateNames = [...]string{"Ready", "Draining", "Withdrawn"}
 
-// String gives the state's name as it stands in JSON and logs.
+// String returns the name of the state as used in JSON and logs.
 func (s State) String() string {
 	if int(s) < len(stateNames) {
 		return stateNames[s]
@@ -25,17 +25,17 @@
 	return fmt.Sprintf("State(%d)", uint8(s))
 }
 
-// Identity names one life of one upstream in one service.
+// Identity identifies one incarnation of an upstream in a service.
 //
-// An address alone is not enough: an address handed to another service would
-// inherit the flows of the first, and their packets would reach that service.
+// The address alone is not sufficient: if an address is reassigned to another
+// service, packets of flows of the first service would reach the second one.
 type Identity struct {
 	Service     string
 	Address     netip.AddrPort
 	Incarnation uint64
 }
 
-// Upstream is one announcement of a back end, ordered by incarnation, start and sequence.
+// Upstream is an announcement of an upstream, ordered by incarnation, start time and sequence.
 type Upstream struct {
 	_ struct{} `cbor:",toarray"`
 	Identity
@@ -44,20 +44,20 @@
 	Slots    uint16
 	Sequence uint64
 	State    State
-	// Born is when this life began, in milliseconds since 1970 by the upstream's own
-	// clock; 0 where it does not say. An upstream may start again as the incarnation
-	// that it was: it knows nothing of before then, and its sequence starts anew.
+	// Born is the start time of the upstream's process in milliseconds since 1970 by the
+	// upstream's clock, 0 if unknown. An upstream may restart with the same incarnation:
+	// it keeps no state, and its sequence numbers start over.
 	Born uint64 `json:",omitzero"`
 }
 
-// WithState returns the upstream in another state, one sequence later.
+// WithState returns the upstream with another state and the next sequence number.
 func (u Upstream) WithState(s State) Upstream {
 	u.State = s
 	u.Sequence++
 	return u
 }
 
-// Newer says whether u was announced after o, for the same address.
+// Newer reports whether u was announced after o, for the same address.
 func (u Upstream) Newer(o Upstream) bool {
 	if u.Incarnation != o.Incarnation {
 		return u.Incarnation > o.Incarnation
@@ -65,8 +65,8 @@
 	return u.Later(o)
 }
 
-// Later says whether u was announced after o, both of one incarnation. The state decides
-// between equal sequences, so that the order in which the words arrive does not.
+// Later reports whether u was announced after o, both of the same incarnation. The state
+// breaks ties between equal sequences, so that the result does not depend on arrival order.
 func (u Upstream) Later(o Upstream) bool {
 	if u.Born != o.Born {
 		return u.Born > o.Born
--- a/internal/model/upstream/wire.go
+++ b/internal/model/upstream/wire.go
@@ -6,7 +6,7 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// wireUpstream is an upstream as records and messages hold it where it says no start.
+// wireUpstream is the encoding of an upstream without a start time in records and messages.
 type wireUpstream struct {
 	_ struct{} `cbor:",toarray"`
 	Identity
@@ -17,30 +17,30 @@
 	State    State
 }
 
-// wireBorn is the whole upstream, with the start that earlier versions did not know.
-type wireBorn Upstream
+// wireUpstreamWithBorn is the encoding with a start time, which earlier versions do not support.
+type wireUpstreamWithBorn Upstream
 
-// fieldsWithBorn is the number of fields of wireBorn, with those of the identity.
+// fieldsWithBorn is the number of fields of wireUpstreamWithBorn, including those of the identity.
 const fieldsWithBorn = 9
 
-// cborArray is the first byte of an array of no element (RFC 8949, major type 4).
+// cborArray is the initial byte of an empty array (RFC 8949, major type 4).
 const cborArray = 0x80
 
-// MarshalCBOR writes the form without a start where there is none, so that processes of
-// earlier versions read it during an upgrade.
+// MarshalCBOR omits a start time of 0, so that processes of earlier versions can decode
+// the upstream during an upgrade.
 func (u Upstream) MarshalCBOR() ([]byte, error) {
 	if u.Born == 0 {
 		return cbor.Marshal(wireUpstream{
 			Identity: u.Identity, Zone: u.Zone, Door: u.Door, Slots: u.Slots, Sequence: u.Sequence, State: u.State,
 		})
 	}
-	return cbor.Marshal(wireBorn(u))
+	return cbor.Marshal(wireUpstreamWithBorn(u))
 }
 
-// UnmarshalCBOR reads either form.
+// UnmarshalCBOR decodes an upstream with or without a start time.
 func (u *Upstream) UnmarshalCBOR(data []byte) error {
 	if len(data) > 0 && data[0] == cborArray|fieldsWithBorn {
-		var w wireBorn
+		var w wireUpstreamWithBorn
 		if err := cbor.Unmarshal(data, &w); err != nil {
 			return fmt.Errorf("decode upstream: %w", err)
 		}
--- a/internal/model/upstream/wire_test.go
+++ b/internal/model/upstream/wire_test.go
@@ -11,8 +11,8 @@
 	"wasabideal/internal/model/upstream"
 )
 
-// Records of before the start was known hold eight fields, and stay readable.
-func TestUpstreamWithoutAStartIsWrittenAsBefore(t *testing.T) {
+// Records of versions without the start time have eight fields and must stay readable.
+func TestUpstreamWithoutStartTimeKeepsEarlierEncoding(t *testing.T) {
 	const before = "88616146010203040500076060020000"
 	data, err := hex.DecodeString(before)
 	require.NoError(t, err)
@@ -27,7 +27,7 @@
 	require.Equal(t, before, hex.EncodeToString(written))
 }
 
-func TestUpstreamWithAStartIsReadBack(t *testing.T) {
+func TestUpstreamWithStartTimeRoundTrip(t *testing.T) {
 	u := upstream.Upstream{Identity: upstream.Identity{Service: "a", Incarnation: 7}, Sequence: 3, Born: 1790000000123}
 	data, err := cbor.Marshal([]upstream.Upstream{u})
 	require.NoError(t, err)
@@ -36,7 +36,7 @@
 	require.Equal(t, []upstream.Upstream{u}, read)
 }
 
-func TestTruncatedUpstreamIsAnError(t *testing.T) {
+func TestTruncatedUpstreamIsRejected(t *testing.T) {
 	for _, data := range []string{"", "88", "8961", "01"} {
 		b, err := hex.DecodeString(data)
 		require.NoError(t, err)
@@ -45,8 +45,8 @@
 	}
 }
 
-// FuzzUnmarshal holds that what voters and disks pass on is read as it was written, and
-// that nothing else ends a process.
+// FuzzUnmarshal checks that decoded upstreams survive a round trip, and that other data
+// from voters or disks does not crash a process.
 func FuzzUnmarshal(f *testing.F) {
 	for _, seed := range []string{"88616146010203040500076060020000", "8961614601020304050007606002000005", "80", "9fff"} {
 		data, err := hex.DecodeString(seed)
