--- a/internal/configuration/follower/doc.go
+++ b/internal/configuration/follower/doc.go
@@ -1,2 +1,2 @@
-// Package follower keeps the newest configuration that a balancer has heard of.
+// Package follower keeps the newest configuration that a balancer has received.
 package follower
--- a/internal/configuration/follower/follower.go
+++ b/internal/configuration/follower/follower.go
@@ -10,39 +10,39 @@
 	"wasabideal/internal/model/configuration"
 )
 
-// wireRevision is what a balancer says of its own configuration.
+// wireRevision is the revision of a balancer's configuration, with the address to fetch it.
 type wireRevision struct {
 	_        struct{} `cbor:",toarray"`
 	Revision uint64
 	Source   netip.AddrPort
 }
 
-// Follower applies revisions only upwards; one goroutine owns it.
+// Follower applies only newer revisions; it is not safe for concurrent use.
 type Follower struct {
-	current configuration.Configuration
-	source  netip.AddrPort
-	since   time.Time
-	heard   time.Time
-	behind  uint64
-	from    netip.AddrPort
+	current   configuration.Configuration
+	source    netip.AddrPort
+	since     time.Time
+	confirmed time.Time
+	newest    uint64
+	newestAt  netip.AddrPort
 }
 
-// New returns a follower with no configuration, which serves its own at source.
+// New returns a follower without a configuration; source is where peers can fetch its own.
 func New(source netip.AddrPort) *Follower { return &Follower{source: source} }
 
-// Current returns the configuration in force here; revision 0 means none yet.
+// Current returns the applied configuration; revision 0 means none yet.
 func (f *Follower) Current() configuration.Configuration { return f.current }
 
-// Age returns the time since anyone confirmed that the revision is the newest.
-func (f *Follower) Age(now time.Time) time.Duration { return now.Sub(f.heard) }
+// Age returns the time since the current or a newer revision was last received.
+func (f *Follower) Age(now time.Time) time.Duration { return now.Sub(f.confirmed) }
 
-// Offer puts a configuration in force if it is newer, and reports whether it did.
+// Offer applies a configuration if it is newer, and reports whether it did.
 //
-// An older one never replaces a newer one: a restarted peer or a voter that was
-// cut off may still send it.
+// An older one never replaces a newer one: a restarted peer or a partitioned
+// voter may still send it.
 func (f *Follower) Offer(now time.Time, c configuration.Configuration) bool {
 	if c.Revision >= f.current.Revision {
-		f.heard = now
+		f.confirmed = now
 	}
 	if c.Revision <= f.current.Revision || c.Check() != nil {
 		return false
@@ -52,24 +52,25 @@
 	return true
 }
 
-// Behind returns the peer that told of a newer revision, if one did.
+// Behind returns the peer that announced the newest revision, and whether it is newer
+// than the applied one.
 func (f *Follower) Behind() (netip.AddrPort, bool) {
-	return f.from, f.behind > f.current.Revision
+	return f.newestAt, f.newest > f.current.Revision
 }
 
-// Load tells peers which revision they may fetch here.
+// Load encodes the own revision for gossip, so that peers can fetch it.
 func (f *Follower) Load(time.Time, int) []byte {
 	b, _ := cbor.Marshal(wireRevision{Revision: f.current.Revision, Source: f.source})
 	return b
 }
 
-// Unload notes a peer's revision.
-func (f *Follower) Unload(_ time.Time, _ swim.Member, news []byte) {
+// Unload records the revision of a peer.
+func (f *Follower) Unload(_ time.Time, _ swim.Member, data []byte) {
 	var w wireRevision
-	if cbor.Unmarshal(news, &w) != nil || !w.Source.IsValid() {
+	if cbor.Unmarshal(data, &w) != nil || !w.Source.IsValid() {
 		return
 	}
-	if w.Revision > f.current.Revision && w.Revision >= f.behind {
-		f.behind, f.from = w.Revision, w.Source
+	if w.Revision > f.current.Revision && w.Revision >= f.newest {
+		f.newest, f.newestAt = w.Revision, w.Source
 	}
 }
--- a/internal/configuration/history/history.go
+++ b/internal/configuration/history/history.go
@@ -15,7 +15,7 @@
 	"wasabideal/internal/model/roster"
 )
 
-// Delta leads from one revision to the next.
+// Delta is the change from one revision to the next.
 type Delta struct {
 	From, To        uint64
 	InForce         string
@@ -26,39 +26,39 @@
 	Routes          []configuration.Route `cbor:",omitempty"`
 	RemovedRoutes   []string              `cbor:",omitempty"`
 	Limits          configuration.Limits  `cbor:",omitzero"`
-	// Digest is that of the whole configuration at To.
+	// Digest is the digest of the full configuration at To.
 	Digest uint64
 }
 
-// Answer brings a follower to the newest revision: Whole, or Deltas in order.
+// Answer updates a follower to the newest revision, by Whole or by Deltas in order.
 type Answer struct {
 	Whole  *configuration.Configuration
 	Deltas []Delta
-	// Revision is the newest known to the answering process.
+	// Revision is the newest revision that the responding process knows.
 	Revision uint64
-	// Current says that the answering process knows it to be the newest accepted.
+	// Current says that the responding process knows Revision to be the newest accepted one.
 	Current bool
-	// Evacuations is set where it is newer than what the follower holds.
+	// Evacuations is set if it is newer than the follower's.
 	Evacuations *evacuation.Evacuations `cbor:",omitempty"`
-	// Roster is set where it is newer than the one that the follower holds.
+	// Roster is set if it is newer than the follower's.
 	Roster *roster.Roster
 }
 
-// GapError says that deltas do not lead from the revision held.
+// GapError reports a delta that does not start at the follower's revision.
 type GapError struct{ Held, From uint64 }
 
 func (e *GapError) Error() string {
-	return fmt.Sprintf("delta starts at revision %d, held is %d; ask for the whole configuration", e.From, e.Held)
+	return fmt.Sprintf("delta starts at revision %d, current revision is %d; request the full configuration", e.From, e.Held)
 }
 
-// DigestError says that applying a delta gave another configuration than meant.
+// DigestError reports that the digest does not match after a delta was applied.
 type DigestError struct{ Revision uint64 }
 
 func (e *DigestError) Error() string {
-	return fmt.Sprintf("configuration at revision %d has another digest; ask for the whole", e.Revision)
+	return fmt.Sprintf("digest mismatch of configuration at revision %d; request the full configuration", e.Revision)
 }
 
-// History is the newest configuration and how it came about; immutable.
+// History is the newest configuration with the latest deltas; it is immutable.
 type History struct {
 	current configuration.Configuration
 	deltas  []Delta
@@ -85,7 +85,7 @@
 	return h
 }
 
-// Since answers a follower that holds a revision.
+// Since returns the update for a follower at a revision.
 func (h History) Since(revision uint64) Answer {
 	a := Answer{Revision: h.current.Revision}
 	if revision >= h.current.Revision {
@@ -101,7 +101,7 @@
 	return a
 }
 
-// Follow applies an answer to the configuration held.
+// Follow applies an answer to a follower's configuration.
 func Follow(held configuration.Configuration, a Answer) (configuration.Configuration, error) {
 	if a.Whole != nil {
 		return *a.Whole, nil
@@ -118,9 +118,9 @@
 	return held, nil
 }
 
-// Digest sums a whole configuration, whatever the order of its parts: deltas
-// keep what they tell and not where it stood, and a follower that asked for the
-// whole after each of them would fill the link of a small VM.
+// Digest returns a hash of a configuration that does not depend on the order of its
+// parts. Deltas do not preserve the order; with an order-dependent digest, followers
+// would fetch the full configuration after each delta and saturate the link of a small VM.
 func Digest(c configuration.Configuration) uint64 {
 	c.Services = sorted(c.Services, serviceName)
 	c.Presets = sorted(c.Presets, presetName)
@@ -149,19 +149,19 @@
 
 func routeName(r configuration.Route) string { return r.Name }
 
-// changes returns the items that are new or differ, and the names that are gone.
+// changes returns the items that are new or differ, and the names of removed items.
 func changes[T any](from, to []T, name func(T) string) ([]T, []string) {
 	old := lo.KeyBy(from, name)
-	kept := lo.KeyBy(to, name)
+	current := lo.KeyBy(to, name)
 	changed := lo.Filter(to, func(x T, _ int) bool {
 		o, ok := old[name(x)]
 		return !ok || !reflect.DeepEqual(o, x)
 	})
-	gone := lo.FilterMap(from, func(x T, _ int) (string, bool) {
-		_, ok := kept[name(x)]
+	removed := lo.FilterMap(from, func(x T, _ int) (string, bool) {
+		_, ok := current[name(x)]
 		return name(x), !ok
 	})
-	return changed, gone
+	return changed, removed
 }
 
 func (d Delta) apply(c configuration.Configuration) configuration.Configuration {
@@ -173,22 +173,22 @@
 	return c
 }
 
-func merge[T any](held, changed []T, gone []string, name func(T) string) []T {
-	news := lo.KeyBy(changed, name)
+func merge[T any](held, changed []T, removed []string, name func(T) string) []T {
+	updates := lo.KeyBy(changed, name)
 	var out []T
 	for _, x := range held {
 		n := name(x)
-		if slices.Contains(gone, n) {
+		if slices.Contains(removed, n) {
 			continue
 		}
-		if y, ok := news[n]; ok {
+		if y, ok := updates[n]; ok {
 			x = y
-			delete(news, n)
+			delete(updates, n)
 		}
 		out = append(out, x)
 	}
 	for _, x := range changed {
-		if _, ok := news[name(x)]; ok {
+		if _, ok := updates[name(x)]; ok {
 			out = append(out, x)
 		}
 	}
--- a/internal/configuration/history/history_test.go
+++ b/internal/configuration/history/history_test.go
@@ -21,12 +21,10 @@
 	return c
 }
 
-// Symptom: balancers asked every voter for the whole configuration after each
-// change, 120 kB over a link of 2 Mbit/s.
-// Events: an operator's document has a new route between two others.
-// Cause: the follower's copy had the same parts in another order, and the digest
-// of the whole depended on the order.
-func TestDeltaLeadsToTheSameDigestWhateverTheOrder(t *testing.T) {
+// Guards against full downloads after each change, 120 kB from every voter over a link
+// of 2 Mbit/s: when a route was inserted between two others, the follower's copy had
+// the same parts in another order, and the digest depended on the order.
+func TestDigestIsIndependentOfOrder(t *testing.T) {
 	h := history.New(8).With(routes(1, 80, 443)).With(routes(2, 80, 8080, 443)).With(routes(5, 9090, 8080))
 	answer := h.Since(1)
 	require.Len(t, answer.Deltas, 2)
@@ -36,7 +34,7 @@
 	require.ElementsMatch(t, routes(5, 9090, 8080).Routes, c.Routes)
 }
 
-func TestDeltaFromAnotherConfigurationIsNoticed(t *testing.T) {
+func TestDeltaOnDifferentConfigurationIsRejected(t *testing.T) {
 	h := history.New(8).With(routes(1, 80)).With(routes(2, 80, 443))
 	_, err := history.Follow(routes(1, 81), h.Since(1))
 	var digest *history.DigestError
--- a/internal/configuration/puller/doc.go
+++ b/internal/configuration/puller/doc.go
@@ -1,2 +1,2 @@
-// Package puller asks sources for newer configurations, one after another.
+// Package puller fetches newer configurations from a list of sources.
 package puller
--- a/internal/configuration/puller/puller.go
+++ b/internal/configuration/puller/puller.go
@@ -18,55 +18,55 @@
 
 // Settings of a puller.
 type Settings struct {
-	// Sources are asked in this order; the next one when one fails.
+	// Sources are tried in this order when one fails.
 	Sources []string
 	Token   string
-	// Hold is how long a source may keep a question open.
+	// Hold is how long a source may delay a response.
 	Hold time.Duration
-	// Grace is how much longer than Hold an answer may take: then the link
-	// counts as dead, though no error says so.
+	// Grace is how much longer than Hold a response may take before the request
+	// fails; it detects a dead link that reports no error.
 	Grace time.Duration
-	// RetryAfter is the mean pause after all sources failed.
+	// RetryAfter is the mean delay after all sources failed.
 	RetryAfter time.Duration
 }
 
-// Holder is what a puller keeps up to date.
-type Holder interface {
+// Store holds the state that a puller updates.
+type Store interface {
 	Configuration() configuration.Configuration
 	RosterVersion() uint64
 	Offer(c configuration.Configuration)
 	OfferRoster(r roster.Roster)
 	Evacuations() evacuation.Evacuations
-	// OfferEvacuations comes before the configuration of the same answer, so that no flow is
-	// placed by that without them.
+	// OfferEvacuations is called before Offer for the same response, so that no flow is
+	// placed by a new configuration without its evacuations.
 	OfferEvacuations(e evacuation.Evacuations)
 }
 
-// Puller follows the newest configuration and roster.
+// Puller fetches the newest configuration, roster and evacuations.
 type Puller struct {
 	settings Settings
 	log      hclog.Logger
-	holder   Holder
+	store    Store
 }
 
-// New returns a puller that keeps a holder up to date.
-func New(s Settings, log hclog.Logger, h Holder) *Puller {
-	return &Puller{settings: s, log: log, holder: h}
+// New returns a puller that updates a store.
+func New(s Settings, log hclog.Logger, st Store) *Puller {
+	return &Puller{settings: s, log: log, store: st}
 }
 
-// Run asks until the context ends.
+// Run polls the sources until the context ends.
 func (p *Puller) Run(ctx context.Context) {
 	for ctx.Err() == nil && len(p.settings.Sources) > 0 {
 		for _, address := range p.settings.Sources {
 			p.follow(ctx, address)
 		}
-		p.pause(ctx)
+		p.waitForRetry(ctx)
 	}
 }
 
-// pause waits between half and one and a half times the set time, so that a
-// fleet that lost its source does not come back in step.
-func (p *Puller) pause(ctx context.Context) {
+// waitForRetry waits for 0.5 to 1.5 times RetryAfter. The jitter spreads the retries of
+// a fleet that lost its source at the same time.
+func (p *Puller) waitForRetry(ctx context.Context) {
 	d := p.settings.RetryAfter/2 + time.Duration(rand.Int64N(int64(p.settings.RetryAfter)+1))
 	select {
 	case <-time.After(d):
@@ -74,7 +74,7 @@
 	}
 }
 
-// follow asks one source until it fails or knows no newer revision than others may.
+// follow polls a source until it fails or is stale.
 func (p *Puller) follow(ctx context.Context, address string) {
 	c := rpc.NewClient(address, p.settings.Token)
 	defer c.Close()
@@ -86,37 +86,37 @@
 	}
 }
 
-// StaleSourceError says that a source is cut off: it answers, but cannot know
-// the newest revision, so another one is asked.
+// StaleSourceError reports a partitioned source: it responds, but cannot know
+// whether its revision is the newest, so the next source is tried.
 type StaleSourceError struct{ Revision uint64 }
 
 func (e *StaleSourceError) Error() string {
 	return fmt.Sprintf("source has revision %d and cannot tell whether it is the newest", e.Revision)
 }
 
-// Ask makes one question to a source and offers its answer.
+// Ask sends a request to a source and passes the response to the store.
 func (p *Puller) Ask(ctx context.Context, c *rpc.Client, hold time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, hold+p.settings.Grace)
 	defer cancel()
-	held := p.holder.Configuration()
-	q := source.Question{Revision: held.Revision, RosterVersion: p.holder.RosterVersion(), Evacuations: p.holder.Evacuations().Revision, Hold: hold}
+	held := p.store.Configuration()
+	q := source.Question{Revision: held.Revision, RosterVersion: p.store.RosterVersion(), Evacuations: p.store.Evacuations().Revision, Hold: hold}
 	a, err := rpc.Call[source.Question, history.Answer](ctx, c, source.Method, q)
 	if err != nil {
 		return err
 	}
 	if a.Evacuations != nil {
-		p.holder.OfferEvacuations(*a.Evacuations)
+		p.store.OfferEvacuations(*a.Evacuations)
 	}
 	if a.Roster != nil {
-		p.holder.OfferRoster(*a.Roster)
+		p.store.OfferRoster(*a.Roster)
 	}
 	next, err := history.Follow(held, a)
 	if err != nil {
-		p.log.Warn("delta does not fit, taking the whole", "Error", err)
-		return p.askWhole(ctx, c)
+		p.log.Warn("delta does not match, requesting full configuration", "Error", err)
+		return p.requestFull(ctx, c)
 	}
 	if next.Revision > held.Revision {
-		p.holder.Offer(next)
+		p.store.Offer(next)
 	}
 	if !a.Current && a.Revision <= held.Revision && a.Roster == nil && a.Evacuations == nil {
 		return &StaleSourceError{Revision: a.Revision}
@@ -124,13 +124,13 @@
 	return nil
 }
 
-func (p *Puller) askWhole(ctx context.Context, c *rpc.Client) error {
+func (p *Puller) requestFull(ctx context.Context, c *rpc.Client) error {
 	a, err := rpc.Call[source.Question, history.Answer](ctx, c, source.Method, source.Question{})
 	if err != nil {
 		return err
 	}
 	if a.Whole != nil {
-		p.holder.Offer(*a.Whole)
+		p.store.Offer(*a.Whole)
 	}
 	return nil
 }
--- a/internal/configuration/source/doc.go
+++ b/internal/configuration/source/doc.go
@@ -1,3 +1,3 @@
-// Package source lets followers wait for the next revision; control voters
-// and balancers that relay to others serve the same way.
+// Package source serves configurations to followers by long polling, at voters and
+// at balancers that relay them.
 package source
--- a/internal/configuration/source/source.go
+++ b/internal/configuration/source/source.go
@@ -12,48 +12,48 @@
 	"wasabideal/internal/wire/rpc"
 )
 
-// Method is the name of the call that followers make.
+// Method is the name of the RPC method for followers.
 const Method = "Configuration.Since"
 
-// deltasKept is how many changes a follower may miss and still get deltas.
-const deltasKept = 1024
+// maxDeltas is how many changes a follower may miss and still get deltas.
+const maxDeltas = 1024
 
-// Question is what a follower asks.
+// Question is a follower's request, with the versions that it has.
 type Question struct {
 	Revision uint64
-	// RosterVersion is that of the roster held.
+	// RosterVersion is the version of the roster.
 	RosterVersion uint64
-	// Evacuations is the revision of the orders for availability zones that is held.
+	// Evacuations is the revision of the evacuated availability zones.
 	Evacuations uint64
-	// Hold is how long the answer may wait for a newer revision.
+	// Hold is how long the response may be delayed to wait for a change.
 	Hold time.Duration
 }
 
-// Source holds the newest configuration for any number of followers.
+// Source serves the newest configuration, roster and evacuations to followers.
 type Source struct {
-	mu      sync.Mutex
-	history history.History
-	roster  roster.Roster
-	// evacuations are the orders for availability zones.
+	mu          sync.Mutex
+	history     history.History
+	roster      roster.Roster
 	evacuations evacuation.Evacuations
-	changed     chan struct{}
-	current     func() bool
+	// changed is closed and replaced when anything changes.
+	changed chan struct{}
+	current func() bool
 }
 
-// New returns a source without a configuration; current says whether this
-// process knows that its newest revision is the newest accepted.
+// New returns a source without a configuration; current reports whether this
+// process knows that its newest revision is the newest accepted one.
 func New(current func() bool) *Source {
-	return &Source{history: history.New(deltasKept), changed: make(chan struct{}), current: current}
+	return &Source{history: history.New(maxDeltas), changed: make(chan struct{}), current: current}
 }
 
-// Serve adds the source's method to a server.
+// Serve registers the source's method at a server.
 func (s *Source) Serve(r *rpc.Server, token string) {
 	rpc.Handle(r, Method, token, func(ctx context.Context, q Question) (history.Answer, error) {
 		return s.Since(ctx, q), nil
 	})
 }
 
-// Publish gives followers a newer configuration; an older one is ignored.
+// Publish sends a newer configuration to followers; an older one is ignored.
 func (s *Source) Publish(c configuration.Configuration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -61,28 +61,27 @@
 		return
 	}
 	s.history = s.history.With(c)
-	s.wake()
+	s.notify()
 }
 
-// PublishEvacuations gives followers newer orders for availability zones; older ones are
-// ignored.
+// PublishEvacuations sends newer evacuations to followers; older ones are ignored.
 func (s *Source) PublishEvacuations(e evacuation.Evacuations) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if e.Revision > s.evacuations.Revision {
 		s.evacuations = e
-		s.wake()
+		s.notify()
 	}
 }
 
-// History returns the newest configuration and how it came about.
+// History returns the newest configuration with the latest deltas.
 func (s *Source) History() history.History {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.history
 }
 
-// PublishRoster gives followers a newer roster; an older one is ignored.
+// PublishRoster sends a newer roster to followers; an older one is ignored.
 func (s *Source) PublishRoster(r roster.Roster) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -90,42 +89,42 @@
 		return
 	}
 	s.roster = r
-	s.wake()
+	s.notify()
 }
 
-func (s *Source) wake() {
+func (s *Source) notify() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// Since answers at once if there is news, else after the hold or with the news.
+// Since responds as soon as there are changes for the follower, or after q.Hold.
 func (s *Source) Since(ctx context.Context, q Question) history.Answer {
 	hold := time.NewTimer(q.Hold)
 	defer hold.Stop()
 	for {
-		now, changed := s.state()
-		if now.news(q) {
-			return s.answer(now, q)
+		x, changed := s.state()
+		if x.hasChanges(q) {
+			return s.answer(x, q)
 		}
 		select {
 		case <-changed:
 		case <-hold.C:
-			return s.answer(now, q)
+			return s.answer(x, q)
 		case <-ctx.Done():
-			return s.answer(now, q)
+			return s.answer(x, q)
 		}
 	}
 }
 
-// state is what a source has at one time.
+// state is the state of a source at one time.
 type state struct {
 	history     history.History
 	roster      roster.Roster
 	evacuations evacuation.Evacuations
 }
 
-// news says that there is anything newer than the follower holds.
-func (x state) news(q Question) bool {
+// hasChanges reports whether anything is newer than what the follower has.
+func (x state) hasChanges(q Question) bool {
 	return x.history.Current().Revision > q.Revision || x.roster.Version > q.RosterVersion || x.evacuations.Revision > q.Evacuations
 }
 
--- a/internal/model/configuration/route.go
+++ b/internal/model/configuration/route.go
@@ -67,7 +67,7 @@
 	MaxAttempts int
 }
 
-// Limits are the limits for callers; the balancer itself enforces only IdleTimeout.
+// Limits are the limits for callers, stored for the operator.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int
