--- a/internal/wire/gue/doc.go
+++ b/internal/wire/gue/doc.go
@@ -1,3 +1,3 @@
-// Package gue reads and writes Generic UDP Encapsulation, variant 0, as the
-// Linux foo-over-udp receiver takes it (draft-ietf-intarea-gue).
+// Package gue encodes and decodes Generic UDP Encapsulation, variant 0
+// (draft-ietf-intarea-gue), in the form that Linux foo-over-udp accepts.
 package gue
--- a/internal/wire/gue/gue.go
+++ b/internal/wire/gue/gue.go
@@ -11,7 +11,7 @@
 	lengthMask   = 0x1f
 )
 
-// MalformedError says why a datagram is no GUE packet that we take.
+// MalformedError reports why a datagram is not a supported GUE packet.
 type MalformedError struct{ Reason string }
 
 func (e *MalformedError) Error() string { return "malformed GUE datagram: " + e.Reason }
@@ -23,13 +23,13 @@
 	errProtocol = &MalformedError{Reason: "inner protocol is not IPv4"}
 )
 
-// Header is the fixed header before an IPv4 packet.
+// Header is the GUE header in front of an IPv4 packet, without optional fields.
 type Header [headerSize]byte
 
-// New returns the header for an IPv4 packet without options.
+// New returns a header for an encapsulated IPv4 packet.
 func New() Header { return Header{0, protocolIPv4, 0, 0} }
 
-// Inner returns the IPv4 packet inside a datagram, sharing its memory.
+// Inner returns the encapsulated IPv4 packet as a slice of the datagram.
 func Inner(datagram []byte) ([]byte, error) {
 	if len(datagram) < headerSize {
 		return nil, errShort
--- a/internal/wire/gue/gue_test.go
+++ b/internal/wire/gue/gue_test.go
@@ -8,19 +8,19 @@
 	"wasabideal/internal/wire/gue"
 )
 
-func TestInnerTakesPlainHeadersOnly(t *testing.T) {
+func TestInnerRejectsUnsupportedDatagrams(t *testing.T) {
 	for name, c := range map[string]struct {
 		datagram []byte
 		ok       bool
 	}{
-		"plain":            {[]byte{0, 4, 0, 0, 0x45}, true},
-		"with options":     {[]byte{1, 4, 0, 0, 9, 9, 9, 9, 0x45}, true},
-		"short":            {[]byte{0, 4}, false},
-		"options cut":      {[]byte{2, 4, 0, 0, 9}, false},
-		"another variant":  {[]byte{0x40, 4, 0, 0, 0x45}, false},
-		"control message":  {[]byte{0x20, 4, 0, 0, 0x45}, false},
-		"not IPv4 inside":  {[]byte{0, 41, 0, 0, 0x60}, false},
-		"nothing whatever": {nil, false},
+		"no options":          {[]byte{0, 4, 0, 0, 0x45}, true},
+		"with options":        {[]byte{1, 4, 0, 0, 9, 9, 9, 9, 0x45}, true},
+		"truncated header":    {[]byte{0, 4}, false},
+		"truncated options":   {[]byte{2, 4, 0, 0, 9}, false},
+		"variant 1":           {[]byte{0x40, 4, 0, 0, 0x45}, false},
+		"control message":     {[]byte{0x20, 4, 0, 0, 0x45}, false},
+		"inner protocol IPv6": {[]byte{0, 41, 0, 0, 0x60}, false},
+		"empty":               {nil, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			inner, err := gue.Inner(c.datagram)
