--- a/internal/wire/rpc/client.go
+++ b/internal/wire/rpc/client.go
@@ -11,32 +11,32 @@
 	"storj.io/drpc/drpcconn"
 )
 
-// RemoteError is the other process's answer that a call failed there.
+// RemoteError is a failure that the server returned; Kind is the type name of its error.
 type RemoteError struct{ Kind, Text string }
 
 func (e *RemoteError) Error() string { return e.Text }
 
-// LostError says that a call got no answer; it may have been carried out.
+// LostError reports a call without a response; the server may have executed it.
 type LostError struct {
 	Address string
 	Cause   error
 }
 
-func (e *LostError) Error() string { return fmt.Sprintf("no answer from %s: %v", e.Address, e.Cause) }
+func (e *LostError) Error() string { return fmt.Sprintf("no response from %s: %v", e.Address, e.Cause) }
 
-// Unwrap returns the cause.
+// Unwrap returns the underlying error.
 func (e *LostError) Unwrap() error { return e.Cause }
 
-// DialTimeout is how long a connection may take to open. A VM without power does
-// not answer, and the kernel asks again after a second only: a caller that waited
-// for that missed a voter that was back after a third of a second. Connections
-// between zones open within some ms.
+// DialTimeout is the default limit for opening a connection. A VM without power does
+// not respond, and the kernel retransmits the SYN only after a second: a caller that
+// waited for it missed a voter that was back after a third of a second. Connections
+// between zones open within a few ms.
 const DialTimeout = 100 * time.Millisecond
 
 // Client calls one address, one call at a time.
 //
-// A call that its context ends also ends the connection: a link that went
-// silent for good, while new ones work, is thus given up and dialled anew.
+// A call that fails or times out also closes the connection, so that the next
+// call redials: a connection can stop responding while new ones work.
 type Client struct {
 	address, token string
 	dialTimeout    time.Duration
@@ -44,33 +44,33 @@
 	conn           *drpcconn.Conn
 }
 
-// NewClient returns a client that dials with its first call.
+// NewClient returns a client that connects on its first call.
 func NewClient(address, token string) *Client {
 	return &Client{address: address, token: token, dialTimeout: DialTimeout}
 }
 
-// SetDialTimeout changes how long a connection may take to open, from the next one on.
+// SetDialTimeout sets the limit for opening later connections.
 func (c *Client) SetDialTimeout(d time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.dialTimeout = d
 }
 
-// Close ends the connection.
+// Close closes the connection.
 func (c *Client) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.drop()
+	c.disconnect()
 }
 
-func (c *Client) drop() {
+func (c *Client) disconnect() {
 	if c.conn != nil {
 		_ = c.conn.Close()
 		c.conn = nil
 	}
 }
 
-// Connect opens the connection, if it is not open, for a call later on.
+// Connect opens the connection for later calls if it is not open.
 func (c *Client) Connect(ctx context.Context) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -98,7 +98,7 @@
 	return nil
 }
 
-// Call makes one call; the context must have a deadline.
+// Call calls the named method; the context must have a deadline, as no other timeout applies.
 func Call[In, Out any](ctx context.Context, c *Client, name string, in In) (Out, error) {
 	var out Out
 	body, err := cbor.Marshal(in)
@@ -113,10 +113,10 @@
 		return out, &RemoteError{Kind: r.Kind, Text: r.Error}
 	}
 	if body, err = r.body(); err != nil {
-		return out, fmt.Errorf("decode answer of %s: %w", name, err)
+		return out, fmt.Errorf("decode response of %s: %w", name, err)
 	}
 	if err := cbor.Unmarshal(body, &out); err != nil {
-		return out, fmt.Errorf("decode answer of %s: %w", name, err)
+		return out, fmt.Errorf("decode response of %s: %w", name, err)
 	}
 	return out, nil
 }
@@ -129,7 +129,7 @@
 		return r, &LostError{Address: c.address, Cause: err}
 	}
 	if err := c.conn.Invoke(ctx, name, encoding{}, in, &r); err != nil {
-		c.drop()
+		c.disconnect()
 		return r, &LostError{Address: c.address, Cause: err}
 	}
 	return r, nil
--- a/internal/wire/rpc/doc.go
+++ b/internal/wire/rpc/doc.go
@@ -1,3 +1,3 @@
-// Package rpc calls between the project's processes over drpc, with CBOR
-// bodies, a token, and errors that keep their kind across the wire.
+// Package rpc implements calls between processes over drpc, with CBOR bodies
+// and token authentication. A failed call returns the type name of the remote error.
 package rpc
--- a/internal/wire/rpc/rpc_test.go
+++ b/internal/wire/rpc/rpc_test.go
@@ -17,7 +17,7 @@
 	"wasabideal/internal/wire/rpc"
 )
 
-// TypedError is a failure that must keep its kind across the wire.
+// TypedError is an error whose type name must reach the caller.
 type TypedError struct{}
 
 func (*TypedError) Error() string { return "typed" }
@@ -45,7 +45,7 @@
 	return rpc.Call[string, string](ctx, c, "Echo", text)
 }
 
-func TestErrorsKeepTheirKind(t *testing.T) {
+func TestErrorKindReachesCaller(t *testing.T) {
 	l := listen(t)
 	serve(t, l)
 	c := rpc.NewClient(l.Addr().String(), "token")
@@ -59,11 +59,11 @@
 	require.Equal(t, "rpc_test.TypedError", remote.Kind)
 }
 
-// Symptom: a process waited for ever on a connection, while new ones worked.
-// Events: something between the two ends forgets the open connection; nothing
-// arrives on it any more and no error says so. Cause: a call without a deadline,
-// or a connection kept after one passed.
-func TestSilentConnectionIsGivenUpAndDialledAnew(t *testing.T) {
+// Guards against a process that waits forever on a dead connection while new ones work.
+// A device between the two ends drops the connection's state, so that nothing arrives and
+// no error is reported. It happens with a call without a deadline, or with a connection
+// that is reused after a deadline passed.
+func TestDeadConnectionIsClosedAndRedialled(t *testing.T) {
 	front := listen(t)
 	back := listen(t)
 	serve(t, back)
@@ -80,7 +80,7 @@
 	_ = front.Close()
 }
 
-// forward swallows the first connection and passes the others on.
+// forward leaves the first connection unserved and proxies the others.
 func forward(l net.Listener, to string) {
 	for n := 0; ; n++ {
 		in, err := l.Accept()
@@ -113,9 +113,9 @@
 	}
 }
 
-// unanswered returns an address on which connections hang as they do to a VM
-// without power: a listener whose queue is full drops the opening packets.
-func unanswered(t *testing.T) string {
+// unresponsiveAddress returns an address on which connection attempts hang as they do
+// for a VM without power: a listener whose queue is full drops SYN packets.
+func unresponsiveAddress(t *testing.T) string {
 	s, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM, 0)
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = unix.Close(s) })
@@ -133,14 +133,12 @@
 	}
 }
 
-// Symptom: after a loss of power everywhere, balancers had no configuration for
-// a second although voters had one after a third of a second.
-// Events: a balancer starts before a voter's VM has power and calls it; the
-// opening packet is lost; the VM is back at once; the kernel asks again after a
-// second.
-// Cause: the call waited for the connection until its own deadline.
+// Guards against a late configuration after a power failure of all VMs: balancers got it
+// after a second, although voters had it after a third of a second. A balancer that starts
+// before a voter's VM loses its SYN, and the kernel retransmits it only after a second; the
+// call used to wait for the connection until its own deadline.
 func TestConnectionsThatHangAreGivenUpEarly(t *testing.T) {
-	c := rpc.NewClient(unanswered(t), "token")
+	c := rpc.NewClient(unresponsiveAddress(t), "token")
 	defer c.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
@@ -150,10 +148,10 @@
 	require.NoError(t, ctx.Err())
 }
 
-// Symptom: balancers with a link of 2 Mbit/s were ready 0.1 s after the first voter.
-// Events: all VMs lose power; each balancer asks for all upstreams and the configuration.
-// Cause: the answers took most of that time on the link.
-func TestLargeAnswersAreCompressed(t *testing.T) {
+// Guards against a slow start: after a power failure of all VMs, balancers with a link of
+// 2 Mbit/s were ready 0.1 s after the first voter. Each one fetches all upstreams and the
+// configuration, and transferring the responses took most of that time.
+func TestLargeResponsesAreCompressed(t *testing.T) {
 	l := listen(t)
 	counted := &countingListener{Listener: l}
 	serve(t, counted)
@@ -169,7 +167,7 @@
 	require.Equal(t, "short", got)
 }
 
-// countingListener counts what its connections write and read.
+// countingListener counts the bytes that its connections write and read.
 type countingListener struct {
 	net.Listener
 	written, read atomic.Int64
@@ -191,10 +189,9 @@
 	return n, err
 }
 
-// Symptom: the links of balancers at the top of a zone carried the names of services and
-// zones again and again.
-// Events: balancers hand on announcements, which are calls with large bodies.
-// Cause: answers were compressed and calls were not.
+// Guards against wasted bandwidth on the links of balancers at the top of a zone: forwarded
+// announcements are calls with large bodies that repeat the names of services and zones, and
+// only responses were compressed.
 func TestLargeCallsAreCompressed(t *testing.T) {
 	l := listen(t)
 	counted := &countingListener{Listener: l}
--- a/internal/wire/rpc/server.go
+++ b/internal/wire/rpc/server.go
@@ -19,21 +19,21 @@
 type request struct {
 	Token string
 	Body  cbor.RawMessage `cbor:",omitempty"`
-	// Compressed says that the answer may be; earlier versions ask for none.
+	// Compressed allows a compressed response; earlier versions do not set it.
 	Compressed bool
-	// Packed is the body in S2's block format, in place of Body.
+	// Packed replaces Body by the body in S2 block format.
 	Packed []byte `cbor:",omitempty"`
 }
 
-// packFrom is the size in bytes from which a call's body is compressed. Twenty announcements
-// that a balancer hands on are 1,400 bytes and repeat names of services and zones: 700
-// compressed.
-const packFrom = 512
+// minCompressedCall is the size in bytes from which the body of a call is compressed. Twenty
+// announcements that a balancer forwards repeat the names of services and zones and take
+// 1,400 bytes, or 700 compressed.
+const minCompressedCall = 512
 
-// newRequest returns the call that carries a body.
+// newRequest returns a request with a body, compressed if large.
 func newRequest(token string, body []byte) *request {
 	r := &request{Token: token, Compressed: true}
-	if len(body) < packFrom {
+	if len(body) < minCompressedCall {
 		r.Body = body
 	} else {
 		r.Packed = s2.Encode(nil, body)
@@ -41,61 +41,61 @@
 	return r
 }
 
-// body returns the body of a call.
+// body returns the uncompressed body of a request.
 func (r request) body() ([]byte, error) {
 	if len(r.Packed) == 0 {
 		return r.Body, nil
 	}
-	return unpack(r.Packed)
+	return decompress(r.Packed)
 }
 
 type response struct {
 	Body  cbor.RawMessage `cbor:",omitempty"`
 	Kind  string
 	Error string
-	// Compressed is the body in S2's block format, in place of Body.
+	// Compressed replaces Body by the body in S2 block format.
 	Compressed []byte `cbor:",omitempty"`
 }
 
-// compressFrom is the size in bytes from which answers are compressed. A balancer that
-// starts gets all upstreams and the configuration, 20 kB for 220 upstreams and 70
-// routes, which take 80 ms on a link of 2 Mbit/s, and half of that compressed. Smaller
-// answers are deltas, for which it would only cost time.
-const compressFrom = 2 << 10
+// minCompressedResponse is the size in bytes from which responses are compressed. A starting
+// balancer fetches all upstreams and the configuration: 20 kB for 220 upstreams and 70
+// routes, which take 80 ms on a link of 2 Mbit/s, or half of that compressed. Smaller
+// responses are deltas, for which compression costs more time than it saves.
+const minCompressedResponse = 2 << 10
 
-// newResponse returns the answer that carries a body.
+// newResponse returns a response with a body, compressed if large and allowed.
 func newResponse(body []byte, compressed bool) *response {
-	if !compressed || len(body) < compressFrom {
+	if !compressed || len(body) < minCompressedResponse {
 		return &response{Body: body}
 	}
 	return &response{Compressed: s2.Encode(nil, body)}
 }
 
-// body returns the body of an answer.
+// body returns the uncompressed body of a response.
 func (r response) body() ([]byte, error) {
 	if len(r.Compressed) == 0 {
 		return r.Body, nil
 	}
-	return unpack(r.Compressed)
+	return decompress(r.Compressed)
 }
 
-func unpack(b []byte) ([]byte, error) {
+func decompress(b []byte) ([]byte, error) {
 	size, err := s2.DecodedLen(b)
-	if err != nil || size > bodyMost {
+	if err != nil || size > maxBodySize {
 		return nil, &OversizeError{Size: size}
 	}
 	return s2.Decode(nil, b)
 }
 
-// bodyMost bounds what a compressed answer may unfold to, in bytes: configurations of
-// tens of thousands of routes fit.
-const bodyMost = 64 << 20
+// maxBodySize is the largest decompressed body in bytes; configurations of tens of
+// thousands of routes fit.
+const maxBodySize = 64 << 20
 
-// OversizeError says that a compressed answer does not fit, or is none.
+// OversizeError reports a compressed body that is too large or has an invalid length.
 type OversizeError struct{ Size int }
 
 func (e *OversizeError) Error() string {
-	return fmt.Sprintf("compressed answer of %d bytes; allowed: %d", e.Size, bodyMost)
+	return fmt.Sprintf("compressed body of %d bytes exceeds the limit or is invalid; allowed: %d", e.Size, maxBodySize)
 }
 
 type encoding struct{}
@@ -104,18 +104,18 @@
 
 func (encoding) Unmarshal(b []byte, m drpc.Message) error { return cbor.Unmarshal(b, m) }
 
-// DeniedError says that a call needs a token that the caller lacks.
+// DeniedError reports a call without the token that the method requires.
 type DeniedError struct{ Method string }
 
 func (e *DeniedError) Error() string {
 	return fmt.Sprintf("%s needs a token that the caller does not have; set Token in the settings or pass --token", e.Method)
 }
 
-// UnknownMethodError says that the process does not serve a method.
+// UnknownMethodError reports a method that the server does not implement.
 type UnknownMethodError struct{ Method string }
 
 func (e *UnknownMethodError) Error() string {
-	return e.Method + " is not served here; check the address and the version"
+	return e.Method + " is not implemented by this server; check the address and the version"
 }
 
 type method struct {
@@ -124,18 +124,18 @@
 	calls *atomic.Int64
 }
 
-// Server answers calls; all methods are set before it serves.
+// Server serves calls; all methods must be registered before Serve.
 type Server struct {
-	methods map[string]method
-	denied  func(method string)
+	methods  map[string]method
+	onDenied func(method string)
 }
 
-// NewServer returns a server without methods; denied is told of refused calls.
-func NewServer(denied func(method string)) *Server {
-	return &Server{methods: map[string]method{}, denied: denied}
+// NewServer returns a server without methods; onDenied is called for each call without a valid token.
+func NewServer(onDenied func(method string)) *Server {
+	return &Server{methods: map[string]method{}, onDenied: onDenied}
 }
 
-// Handle adds a method that needs the token; an empty token admits nobody.
+// Handle registers a method that requires the token; with an empty token, all calls are denied.
 func Handle[In, Out any](s *Server, name, token string, f func(ctx context.Context, in In) (Out, error)) {
 	s.methods[name] = method{token: token, calls: &atomic.Int64{}, call: func(ctx context.Context, body []byte) (any, error) {
 		var in In
@@ -146,35 +146,35 @@
 	}}
 }
 
-// Serve answers calls on a listener until the context ends.
+// Serve serves calls on a listener until the context is done.
 func (s *Server) Serve(ctx context.Context, l net.Listener) error {
 	return drpcserver.New(s).Serve(ctx, l)
 }
 
-// HandleRPC answers one call; drpc calls it.
+// HandleRPC implements drpc.Handler.
 func (s *Server) HandleRPC(stream drpc.Stream, name string) error {
 	var in request
 	if err := stream.MsgRecv(&in, encoding{}); err != nil {
 		return err
 	}
-	out, err := s.answer(stream.Context(), name, in)
+	out, err := s.dispatch(stream.Context(), name, in)
 	if err != nil {
-		return stream.MsgSend(&response{Kind: kindOf(err), Error: err.Error()}, encoding{})
+		return stream.MsgSend(&response{Kind: errorKind(err), Error: err.Error()}, encoding{})
 	}
 	body, err := cbor.Marshal(out)
 	if err != nil {
-		return fmt.Errorf("encode answer of %s: %w", name, err)
+		return fmt.Errorf("encode response of %s: %w", name, err)
 	}
 	return stream.MsgSend(newResponse(body, in.Compressed), encoding{})
 }
 
-func (s *Server) answer(ctx context.Context, name string, in request) (any, error) {
+func (s *Server) dispatch(ctx context.Context, name string, in request) (any, error) {
 	m, ok := s.methods[name]
 	if !ok {
 		return nil, &UnknownMethodError{Method: name}
 	}
 	if m.token == "" || subtle.ConstantTimeCompare([]byte(m.token), []byte(in.Token)) != 1 {
-		s.denied(name)
+		s.onDenied(name)
 		return nil, &DeniedError{Method: name}
 	}
 	m.calls.Add(1)
@@ -185,13 +185,13 @@
 	return m.call(ctx, body)
 }
 
-// Calls returns how often each method was called.
+// Calls returns the number of authorized calls of each method.
 func (s *Server) Calls() map[string]int64 {
 	return lo.MapValues(s.methods, func(m method, _ string) int64 { return m.calls.Load() })
 }
 
-// kindOf names the innermost error's type, which a caller may act on.
-func kindOf(err error) string {
+// errorKind returns the type name of the innermost error, which callers compare.
+func errorKind(err error) string {
 	for {
 		inner := errors.Unwrap(err)
 		if inner == nil {
