--- a/internal/wire/datagram/datagram.go
+++ b/internal/wire/datagram/datagram.go
@@ -10,20 +10,20 @@
 
 const (
 	batchSize = 64
-	// Size is the longest datagram that is read whole.
+	// Size is the receive buffer size of a datagram in bytes; longer ones are truncated.
 	Size         = 2048
 	socketBuffer = 4 << 20
-	// addressCache bounds the remembered socket addresses.
-	addressCache = 4096
+	// maxCachedAddresses bounds the cache of destination addresses.
+	maxCachedAddresses = 4096
 )
 
-// Socket reads and writes UDP datagrams in batches.
+// Socket sends and receives UDP datagrams in batches.
 type Socket struct {
-	conn    *net.UDPConn
-	batch   *ipv4.PacketConn
-	in, out []ipv4.Message
-	queued  int
-	known   map[netip.AddrPort]*net.UDPAddr
+	conn      *net.UDPConn
+	batch     *ipv4.PacketConn
+	in, out   []ipv4.Message
+	queued    int
+	addresses map[netip.AddrPort]*net.UDPAddr
 }
 
 // Listen opens a socket at an IPv4 address and port.
@@ -36,47 +36,47 @@
 	if err != nil {
 		return nil, err
 	}
-	// The kernel may grant less; more loss under bursts is then all that follows.
+	// The kernel may grant smaller buffers, which only increases packet loss in bursts.
 	_ = c.SetReadBuffer(socketBuffer)
 	_ = c.SetWriteBuffer(socketBuffer)
-	s := &Socket{conn: c, batch: ipv4.NewPacketConn(c), known: map[netip.AddrPort]*net.UDPAddr{}}
+	s := &Socket{conn: c, batch: ipv4.NewPacketConn(c), addresses: map[netip.AddrPort]*net.UDPAddr{}}
 	s.in = make([]ipv4.Message, batchSize)
 	for i := range s.in {
 		s.in[i].Buffers = [][]byte{make([]byte, Size)}
-		s.in[i].OOB = make([]byte, stampSize)
+		s.in[i].OOB = make([]byte, controlSize)
 	}
-	return s, stampArrivals(c)
+	return s, enableTimestamps(c)
 }
 
-// Address returns where the socket listens.
+// Address returns the local address.
 func (s *Socket) Address() netip.AddrPort { return s.conn.LocalAddr().(*net.UDPAddr).AddrPort() }
 
-// Close ends pending and later reads.
+// Close closes the socket; pending and later reads fail.
 func (s *Socket) Close() { _ = s.conn.Close() }
 
-// Read waits for datagrams and returns how many there are.
+// Read blocks until datagrams arrive and returns their number.
 func (s *Socket) Read() (int, error) { return s.batch.ReadBatch(s.in, 0) }
 
-// Datagram returns one of those read, valid until the next Read.
+// Datagram returns the source and content of the i-th datagram, valid until the next Read.
 func (s *Socket) Datagram(i int) (netip.AddrPort, []byte) {
 	m := &s.in[i]
 	from := m.Addr.(*net.UDPAddr).AddrPort()
 	return netip.AddrPortFrom(from.Addr().Unmap(), from.Port()), m.Buffers[0][:m.N]
 }
 
-// Waited returns how long one of those read waited in the socket's queue, zero where the kernel
-// does not tell. It goes by the time of day, as the kernel does: after a step of that in
-// between, it may be too long.
+// Waited returns how long the i-th datagram waited in the socket's receive queue, or zero if
+// the kernel reports no timestamp. Kernel timestamps use the wall clock, so the result may be
+// too long after a clock step.
 func (s *Socket) Waited(now time.Time, i int) time.Duration {
 	m := &s.in[i]
-	arrived, told := stamp(m.OOB[:m.NN])
-	if !told {
+	arrival, ok := parseTimestamp(m.OOB[:m.NN])
+	if !ok {
 		return 0
 	}
-	return now.Round(0).Sub(arrived).Abs()
+	return now.Round(0).Sub(arrival).Abs()
 }
 
-// Queue keeps a datagram until Flush; data must stay unchanged until then.
+// Queue adds a datagram to the next Flush; data must not change until then.
 func (s *Socket) Queue(to netip.AddrPort, data []byte) {
 	if s.queued == len(s.out) {
 		s.out = append(s.out, ipv4.Message{Buffers: [][]byte{nil}})
@@ -88,27 +88,27 @@
 }
 
 func (s *Socket) resolve(to netip.AddrPort) *net.UDPAddr {
-	if a := s.known[to]; a != nil {
+	if a := s.addresses[to]; a != nil {
 		return a
 	}
-	if len(s.known) >= addressCache {
-		clear(s.known)
+	if len(s.addresses) >= maxCachedAddresses {
+		clear(s.addresses)
 	}
 	a := net.UDPAddrFromAddrPort(to)
-	s.known[to] = a
+	s.addresses[to] = a
 	return a
 }
 
-// Flush sends what is queued; a refused datagram is skipped, as if lost on the way.
+// Flush sends the queued datagrams; one that the kernel rejects is skipped, as if lost in the network.
 func (s *Socket) Flush() error {
 	var failed error
-	for at := 0; at < s.queued; {
-		n, err := s.batch.WriteBatch(s.out[at:s.queued], 0)
+	for sent := 0; sent < s.queued; {
+		n, err := s.batch.WriteBatch(s.out[sent:s.queued], 0)
 		if err != nil {
 			failed = err
 			n = max(n, 1)
 		}
-		at += n
+		sent += n
 	}
 	s.queued = 0
 	return failed
--- a/internal/wire/datagram/datagram_test.go
+++ b/internal/wire/datagram/datagram_test.go
@@ -10,8 +10,8 @@
 	"wasabideal/internal/wire/datagram"
 )
 
-// Guards against an age of zero for datagrams that waited until the process had a processor.
-func TestTimeInTheQueueIsKnown(t *testing.T) {
+// Guards against a queue delay of zero for datagrams that waited until the process was scheduled.
+func TestQueueDelayIsMeasured(t *testing.T) {
 	s, err := datagram.Listen("127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(s.Close)
--- a/internal/wire/datagram/doc.go
+++ b/internal/wire/datagram/doc.go
@@ -1,2 +1,2 @@
-// Package datagram reads and writes UDP datagrams in batches.
+// Package datagram sends and receives UDP datagrams in batches.
 package datagram
--- a/internal/wire/datagram/timestamp.go
+++ b/internal/wire/datagram/timestamp.go
@@ -9,24 +9,24 @@
 	"golang.org/x/sys/unix"
 )
 
-// stampSize is room for the one control message with a datagram's time of arrival.
-const stampSize = 64
+// controlSize is the buffer size for the one control message, the receive timestamp.
+const controlSize = 64
 
-// stampArrivals asks the kernel for the time at which each datagram arrived. Where it refuses,
-// no datagram has one.
-func stampArrivals(c *net.UDPConn) error {
+// enableTimestamps requests a receive timestamp for each datagram. If the kernel refuses,
+// datagrams have none.
+func enableTimestamps(c *net.UDPConn) error {
 	raw, err := c.SyscallConn()
 	if err != nil {
-		return fmt.Errorf("reach the socket: %w", err)
+		return fmt.Errorf("access the raw socket: %w", err)
 	}
 	return raw.Control(func(fd uintptr) {
 		_ = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_TIMESTAMPNS, 1)
 	})
 }
 
-// stamp reads the time of arrival from a datagram's control messages, if it is there: seconds and
-// nanoseconds since 1970.
-func stamp(control []byte) (time.Time, bool) {
+// parseTimestamp decodes the receive timestamp from a datagram's control message, if present:
+// seconds and nanoseconds since 1970.
+func parseTimestamp(control []byte) (time.Time, bool) {
 	if len(control) < unix.SizeofCmsghdr {
 		return time.Time{}, false
 	}
