--- a/internal/wire/relay/doc.go
+++ b/internal/wire/relay/doc.go
@@ -1,2 +1,2 @@
-// Package relay is the datagram that carries a packet from balancer to balancer.
+// Package relay encodes the datagrams in which balancers forward packets to each other.
 package relay
--- a/internal/wire/relay/relay.go
+++ b/internal/wire/relay/relay.go
@@ -5,29 +5,30 @@
 	"net/netip"
 )
 
-// Kind is the first byte of every datagram on the peer port.
+// Kind is the first byte of relay datagrams; it distinguishes them from other datagrams on the peer port.
 const Kind = 1
 
 const (
 	fixedSize   = 34
 	addressSize = 6
-	// maxPath bounds the members a packet may visit.
+	// maxPath is the maximum number of members that a packet visits.
 	maxPath = 10
 )
 
-// The flags of a relayed packet.
+// Flags of a relayed packet.
 const (
-	// HasEntry says that Target names the flow's upstream.
+	// HasEntry marks a packet whose Target is the flow's upstream.
 	HasEntry = 1 << iota
-	// Missed says that all members asked lack the flow.
+	// Missed marks a packet whose flow no visited member has.
 	Missed
-	// Asking says that the packet looks for a holder on behalf of Origin.
+	// Asking marks a packet that looks up the flow's entry on behalf of Origin.
 	Asking
-	// Doubted says that a holder that doubts its entry is to be asked again last.
+	// Doubted marks a packet with a holder of a possibly outdated entry appended to its path:
+	// its entry is used if no other member has one.
 	Doubted
 )
 
-// MalformedError says why a datagram is no relayed packet.
+// MalformedError reports why a datagram is not a valid relayed packet.
 type MalformedError struct{ Reason string }
 
 func (e *MalformedError) Error() string { return "malformed relay datagram: " + e.Reason }
@@ -37,7 +38,7 @@
 	errPath  = &MalformedError{Reason: "path too long"}
 )
 
-// Target is an upstream's identity without pointers: service is a hash of its name.
+// Target identifies an upstream without pointers; Service is a hash of the service name.
 type Target struct {
 	Incarnation uint64
 	Service     uint32
@@ -50,58 +51,58 @@
 	return netip.AddrPortFrom(netip.AddrFrom4(t.Address), t.Port)
 }
 
-// Header tells the receiver what is known of the packet's flow and where it goes next.
+// Header describes a relayed packet: its flow entry, if known, and the members still to visit.
 type Header struct {
-	Flags  uint8
-	State  uint8
-	Hops   uint8
-	Target Target
-	Origin netip.AddrPort
-	path   [maxPath]netip.AddrPort
-	length int
+	Flags      uint8
+	State      uint8
+	Hops       uint8
+	Target     Target
+	Origin     netip.AddrPort
+	path       [maxPath]netip.AddrPort
+	pathLength int
 }
 
-// AddHop appends a member to visit; hops over the limit are left out.
+// AddHop appends a member to the path; hops beyond maxPath are ignored.
 func (h *Header) AddHop(a netip.AddrPort) {
-	if h.length < maxPath {
-		h.path[h.length] = a
-		h.length++
+	if h.pathLength < maxPath {
+		h.path[h.pathLength] = a
+		h.pathLength++
 	}
 }
 
-// AtEnd says that no member is left to visit.
-func (h *Header) AtEnd() bool { return h.length == 0 }
+// AtEnd reports whether the path is empty.
+func (h *Header) AtEnd() bool { return h.pathLength == 0 }
 
-// NextHop takes the next member from the path.
+// NextHop removes the first member from the path and returns it.
 func (h *Header) NextHop() (netip.AddrPort, bool) {
-	if h.length == 0 {
+	if h.pathLength == 0 {
 		return netip.AddrPort{}, false
 	}
 	next := h.path[0]
-	copy(h.path[:], h.path[1:h.length])
-	h.length--
+	copy(h.path[:], h.path[1:h.pathLength])
+	h.pathLength--
 	return next, true
 }
 
-// Has says whether a flag is set.
+// Has reports whether a flag is set.
 func (h *Header) Has(flag uint8) bool { return h.Flags&flag != 0 }
 
-// Append writes the header's wire form to b; the packet follows it.
+// Append appends the encoded header to b; the packet follows it.
 func (h *Header) Append(b []byte) []byte {
-	b = append(b, Kind, h.Flags, h.State, h.Hops, uint8(h.length), 0, 0, 0)
+	b = append(b, Kind, h.Flags, h.State, h.Hops, uint8(h.pathLength), 0, 0, 0)
 	b = AppendTarget(b, h.Target)
 	b = appendAddress(b, h.Origin)
 	b = append(b, 0, 0)
-	for _, a := range h.path[:h.length] {
+	for _, a := range h.path[:h.pathLength] {
 		b = appendAddress(b, a)
 	}
 	return b
 }
 
-// TargetSize is the length of an encoded target in bytes.
+// TargetSize is the pathLength of an encoded target in bytes.
 const TargetSize = 18
 
-// AppendTarget writes a target's wire form to b.
+// AppendTarget appends an encoded target to b.
 func AppendTarget(b []byte, t Target) []byte {
 	b = binary.BigEndian.AppendUint64(b, t.Incarnation)
 	b = binary.BigEndian.AppendUint32(b, t.Service)
@@ -109,7 +110,7 @@
 	return binary.BigEndian.AppendUint16(b, t.Port)
 }
 
-// DecodeTarget reads a target from the first TargetSize bytes of b.
+// DecodeTarget decodes a target from the first TargetSize bytes of b.
 func DecodeTarget(b []byte) Target {
 	return Target{
 		Incarnation: binary.BigEndian.Uint64(b),
@@ -132,23 +133,23 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte(b[:4])), binary.BigEndian.Uint16(b[4:]))
 }
 
-// Decode reads a header and returns the packet after it, sharing memory.
+// Decode decodes a header and returns the packet after it as a slice of b.
 func Decode(b []byte, h *Header) ([]byte, error) {
 	if len(b) < fixedSize {
 		return nil, errShort
 	}
-	h.Flags, h.State, h.Hops, h.length = b[1], b[2], b[3], int(b[4])
-	if h.length > maxPath {
+	h.Flags, h.State, h.Hops, h.pathLength = b[1], b[2], b[3], int(b[4])
+	if h.pathLength > maxPath {
 		return nil, errPath
 	}
 	h.Target = DecodeTarget(b[8:])
 	h.Origin = decodeAddress(b[8+TargetSize:])
 	b = b[fixedSize:]
-	if len(b) < h.length*addressSize {
+	if len(b) < h.pathLength*addressSize {
 		return nil, errShort
 	}
-	for i := range h.length {
+	for i := range h.pathLength {
 		h.path[i] = decodeAddress(b[i*addressSize:])
 	}
-	return b[h.length*addressSize:], nil
+	return b[h.pathLength*addressSize:], nil
 }
--- a/internal/wire/relay/relay_test.go
+++ b/internal/wire/relay/relay_test.go
@@ -9,7 +9,7 @@
 	"wasabideal/internal/wire/relay"
 )
 
-func TestHeaderSurvivesTheWire(t *testing.T) {
+func TestHeaderRoundTrip(t *testing.T) {
 	h := relay.Header{
 		Flags: relay.HasEntry, State: 2, Hops: 1, Origin: netip.MustParseAddrPort("127.0.0.1:7400"),
 		Target: relay.Target{Incarnation: 1 << 60, Service: 7, Address: [4]byte{10, 0, 0, 1}, Port: 6080},
