--- a/internal/wire/extensible/doc.go
+++ b/internal/wire/extensible/doc.go
@@ -1,3 +1,3 @@
-// Package extensible reads JSON objects whose writers may add members that this version does
-// not know, and writes them back as they came.
+// Package extensible decodes JSON objects that may have members unknown to this version, and
+// encodes them again with these members unchanged.
 package extensible
--- a/internal/wire/extensible/extensible.go
+++ b/internal/wire/extensible/extensible.go
@@ -8,14 +8,14 @@
 	"strings"
 )
 
-// Object is a JSON object with the members that T names, and all others as they came.
+// Object is a JSON object with the members of T and all others in encoded form.
 type Object[T any] struct {
 	Known T
-	// Extra is an encoded object of the members that T lacks, empty where there are none.
+	// Extra is an encoded object of the members that T lacks, or empty if there are none.
 	Extra []byte
 }
 
-// UnmarshalJSON reads an object. One without further members, as nearly all are, is read once.
+// UnmarshalJSON decodes an object. The usual object without unknown members is decoded only once.
 func (o *Object[T]) UnmarshalJSON(body []byte) error {
 	var strict T
 	d := json.NewDecoder(bytes.NewReader(body))
@@ -44,7 +44,7 @@
 	return err
 }
 
-// MarshalJSON writes the object with all members.
+// MarshalJSON encodes the object with all members, known and unknown.
 func (o Object[T]) MarshalJSON() ([]byte, error) {
 	known, err := json.Marshal(o.Known)
 	if err != nil || len(o.Extra) == 0 {
--- a/internal/wire/extensible/extensible_test.go
+++ b/internal/wire/extensible/extensible_test.go
@@ -18,7 +18,7 @@
 	Items []extensible.Object[inner] `json:"items"`
 }
 
-func TestObjectsAreWrittenAsTheyCame(t *testing.T) {
+func TestUnknownMembersArePreserved(t *testing.T) {
 	for _, body := range []string{
 		`{"items":[{"name":"a"},{"name":"b","size":3}]}`,
 		`{"items":[{"name":"a","colour":"red","tags":["x",{"y":1.50}]}],"owner":null,"big":12345678901234567890}`,
@@ -32,7 +32,7 @@
 	}
 }
 
-func TestKnownMembersKeepTheirTypes(t *testing.T) {
+func TestKnownMembersOfWrongTypeAreRejected(t *testing.T) {
 	for _, body := range []string{`{"items":[{"name":5}]}`, `{"items":5,"more":1}`, `[]`, `{"items":[{"name":"a","size":"3","more":1}]}`} {
 		var o extensible.Object[outer]
 		require.Error(t, json.Unmarshal([]byte(body), &o), body)
