--- a/internal/wire/pool/doc.go
+++ b/internal/wire/pool/doc.go
@@ -1,2 +1,2 @@
-// Package pool keeps a few rpc connections to each peer.
+// Package pool reuses idle rpc connections to each peer.
 package pool
