--- a/internal/wire/ipv4/doc.go
+++ b/internal/wire/ipv4/doc.go
@@ -1,2 +1,2 @@
-// Package ipv4 reads the flow of an inner packet with the codecs of gopacket.
+// Package ipv4 parses the flow key and TCP flags of an inner packet with gopacket.
 package ipv4
--- a/internal/wire/ipv4/ipv4.go
+++ b/internal/wire/ipv4/ipv4.go
@@ -7,7 +7,7 @@
 	"wasabideal/internal/flow/key"
 )
 
-// MalformedError says why an inner packet is dropped.
+// MalformedError reports why an inner packet is dropped.
 type MalformedError struct{ Reason string }
 
 func (e *MalformedError) Error() string { return "inner packet dropped: " + e.Reason }
@@ -20,7 +20,7 @@
 	errProtocol  = &MalformedError{Reason: "protocol is neither TCP nor UDP"}
 )
 
-// Parser reads packets into memory of its own, one at a time.
+// Parser parses one packet at a time into its own fields, without allocation.
 type Parser struct {
 	ip  layers.IPv4
 	tcp layers.TCP
@@ -29,18 +29,18 @@
 	Key key.Key
 	// Opening is set for a TCP SYN without ACK.
 	Opening bool
-	// Confirming is set for a TCP segment that only an answered caller sends.
+	// Confirming is set for a TCP segment with ACK but without SYN or RST: its sender has received
+	// the SYN-ACK.
 	Confirming bool
 	// Closing is set for FIN or RST.
 	Closing bool
-	// Datagram is set for UDP, where any packet may be a flow's first.
+	// Datagram is set for UDP, where any packet may be the first of a flow.
 	Datagram bool
 }
 
-// Parse reads one inner packet into the parser's fields.
+// Parse parses one inner packet into the parser's fields.
 //
-// Fragments are refused: a later one has no ports, so it cannot be told which
-// service it is for.
+// Fragments are rejected: all but the first lack ports, so their service is unknown.
 func (p *Parser) Parse(packet []byte) error {
 	if len(packet) < 20 || packet[0]>>4 != 4 {
 		return errHeader
--- a/internal/wire/ipv4/ipv4_test.go
+++ b/internal/wire/ipv4/ipv4_test.go
@@ -18,7 +18,7 @@
 	return p
 }
 
-func TestParseRefusesWhatHasNoFlow(t *testing.T) {
+func TestParseRejectsPacketsWithoutFlow(t *testing.T) {
 	var p ipv4.Parser
 	good := syn(t)
 	require.NoError(t, p.Parse(good))
@@ -28,8 +28,8 @@
 		"first fragment":    func(b []byte) []byte { b[6] |= 0x20; return b },
 		"later fragment":    func(b []byte) []byte { b[7] = 8; return b },
 		"version 6":         func(b []byte) []byte { b[0] = 0x65; return b },
-		"cut short":         func(b []byte) []byte { return b[:30] },
-		"longer than said":  func(b []byte) []byte { return append(b, 0) },
+		"truncated":         func(b []byte) []byte { return b[:30] },
+		"trailing byte":     func(b []byte) []byte { return append(b, 0) },
 		"unknown transport": func(b []byte) []byte { b[9] = 1; return b },
 		"empty":             func([]byte) []byte { return nil },
 	} {
