--- a/internal/disk/fault/doc.go
+++ b/internal/disk/fault/doc.go
@@ -1,3 +1,3 @@
-// Package fault is a data folder in memory that fails or crashes on demand,
-// for tests.
+// Package fault implements an in-memory data folder for tests, with injected
+// operation failures, crashes and corruption.
 package fault
--- a/internal/disk/fault/fault.go
+++ b/internal/disk/fault/fault.go
@@ -8,41 +8,43 @@
 	"wasabideal/internal/disk/folder"
 )
 
-// InjectedError is the failure that a test asked for.
+// InjectedError is a failure that a test injected.
 type InjectedError struct{ Operation string }
 
 func (e *InjectedError) Error() string { return "injected failure of " + e.Operation }
 
+// content is the data of one file, as synced and as written.
 type content struct {
 	durable []byte
 	written []byte
 }
 
-// Folder keeps for each file what is synced and what is merely written.
+// Folder tracks synced and unsynced content of each file, and the names that are synced.
 type Folder struct {
-	names   map[string]*content
+	files   map[string]*content
 	durable map[string]*content
 	random  *rand.Rand
-	// Operations counts writes, syncs, renames and removes so far.
+	// Operations counts the operations so far that change files or sync them.
 	Operations int
-	// FailAt is the operation from which on everything fails; 0 is never.
+	// FailAt is the number of the first operation that fails, as do all later ones; 0 disables failures.
 	FailAt int
-	// FailOnly makes just that one operation fail, as a full disk may.
-	FailOnly bool
+	// FailOnce limits the failure to operation FailAt, as on a disk that is full for a moment.
+	FailOnce bool
 }
 
-// New returns an empty folder; seed decides how much of an unsynced write a crash leaves.
+// New returns an empty folder; the seed determines how much of an unsynced write survives a crash.
 func New(seed uint64) *Folder {
 	return &Folder{
-		names: map[string]*content{}, durable: map[string]*content{},
+		files: map[string]*content{}, durable: map[string]*content{},
 		random: rand.New(rand.NewPCG(seed, seed)),
 	}
 }
 
-func (f *Folder) step(operation string) error {
+// inject counts an operation and returns the injected error if it is to fail.
+func (f *Folder) inject(operation string) error {
 	f.Operations++
 	failed := f.FailAt > 0 && f.Operations >= f.FailAt
-	if f.FailOnly {
+	if f.FailOnce {
 		failed = f.Operations == f.FailAt
 	}
 	if failed {
@@ -51,94 +53,94 @@
 	return nil
 }
 
-// Crash loses what was not synced, but for a random part of each last write,
-// and lets operations succeed again.
+// Crash discards unsynced names and data, except a random prefix of the data that each
+// file was given since its last sync, and disables failures.
 func (f *Folder) Crash() {
 	f.FailAt = 0
-	f.names = maps.Clone(f.durable)
-	for _, c := range f.names {
-		extra := len(c.written) - len(c.durable)
-		if extra <= 0 {
+	f.files = maps.Clone(f.durable)
+	for _, c := range f.files {
+		unsynced := len(c.written) - len(c.durable)
+		if unsynced <= 0 {
 			c.written = append([]byte(nil), c.durable...)
 			continue
 		}
-		keep := len(c.durable) + f.random.IntN(extra+1)
-		c.durable = append([]byte(nil), c.written[:keep]...)
+		kept := len(c.durable) + f.random.IntN(unsynced+1)
+		c.durable = append([]byte(nil), c.written[:kept]...)
 		c.written = append([]byte(nil), c.durable...)
 	}
 }
 
-// Wipe loses everything, as a replaced disk does.
+// Wipe removes all files, as replacing the disk does.
 func (f *Folder) Wipe() {
-	f.names, f.durable = map[string]*content{}, map[string]*content{}
+	f.files, f.durable = map[string]*content{}, map[string]*content{}
 }
 
-// Corrupt flips a bit of a file's byte.
+// Corrupt flips one bit of the byte at an offset.
 func (f *Folder) Corrupt(name string, offset int) {
-	c := f.names[name]
+	c := f.files[name]
 	c.written[offset] ^= 1
 	c.durable = append([]byte(nil), c.written...)
 }
 
-// ReadFile returns a file's content.
+// ReadFile returns the content of a file, synced or not.
 func (f *Folder) ReadFile(name string) ([]byte, error) {
-	c := f.names[name]
+	c := f.files[name]
 	if c == nil {
 		return nil, fs.ErrNotExist
 	}
 	return append([]byte(nil), c.written...), nil
 }
 
-// Create opens an empty file for writing.
+// Create creates or truncates a file for writing.
 func (f *Folder) Create(name string) (folder.File, error) {
-	if err := f.step("create"); err != nil {
+	if err := f.inject("create"); err != nil {
 		return nil, err
 	}
 	c := &content{}
-	f.names[name] = c
+	f.files[name] = c
 	return &file{folder: f, content: c}, nil
 }
 
-// Append opens a file for writing at its end, and cuts it to size first.
+// Append truncates a file to size and opens it for appending.
 func (f *Folder) Append(name string, size int64) (folder.File, error) {
-	if err := f.step("append"); err != nil {
+	if err := f.inject("append"); err != nil {
 		return nil, err
 	}
-	c := f.names[name]
+	c := f.files[name]
 	if c == nil {
 		c = &content{}
-		f.names[name] = c
+		f.files[name] = c
 	}
 	c.written = append([]byte(nil), c.written[:size]...)
 	c.durable = c.durable[:min(len(c.durable), int(size))]
 	return &file{folder: f, content: c}, nil
 }
 
-// Rename replaces to by from.
+// Rename renames a file and replaces the target if it exists.
 func (f *Folder) Rename(from, to string) error {
-	if err := f.step("rename"); err != nil {
+	if err := f.inject("rename"); err != nil {
 		return err
 	}
-	f.names[to] = f.names[from]
-	delete(f.names, from)
+	f.files[to] = f.files[from]
+	delete(f.files, from)
 	return nil
 }
 
 // Remove deletes a file.
 func (f *Folder) Remove(name string) error {
-	if err := f.step("remove"); err != nil {
+	if err := f.inject("remove"); err != nil {
 		return err
 	}
-	delete(f.names, name)
+	delete(f.files, name)
 	return nil
 }
 
-// Sync makes the folder's names last.
+// Sync makes created, renamed and removed names durable.
 func (f *Folder) Sync() error {
-	if err := f.step("folder sync"); err != nil {
+	if err := f.inject("folder sync"); err != nil {
 		return err
 	}
-	f.durable = maps.Clone(f.names)
+	f.durable = maps.Clone(f.files)
 	return nil
 }
 
@@ -147,9 +149,9 @@
 	content *content
 }
 
-// Write may leave a part behind when it fails, as a full disk does.
+// Write may write a part of b before it fails, as on a full disk.
 func (f *file) Write(b []byte) (int, error) {
-	if err := f.folder.step("write"); err != nil {
+	if err := f.folder.inject("write"); err != nil {
 		n := f.folder.random.IntN(len(b) + 1)
 		f.content.written = append(f.content.written, b[:n]...)
 		return n, err
@@ -159,7 +161,7 @@
 }
 
 func (f *file) Sync() error {
-	if err := f.folder.step("sync"); err != nil {
+	if err := f.folder.inject("sync"); err != nil {
 		return err
 	}
 	f.content.durable = append([]byte(nil), f.content.written...)
--- a/internal/disk/wal/doc.go
+++ b/internal/disk/wal/doc.go
@@ -1,6 +1,6 @@
-// Package wal keeps a voter's log, vote and snapshot in a data folder.
+// Package wal stores a voter's log, vote and snapshot in a data folder.
 //
-// Records carry checksums of head and body. A torn end, left by a crash in the
-// middle of a write, is cut; damage before the end is refused, since cutting
-// there would lose what was acknowledged.
+// The header and the body of a record have checksums. A torn write at the end of
+// the log, left by a crash, is truncated. Corruption before the end is an error,
+// since truncating there would lose acknowledged entries.
 package wal
--- a/internal/disk/wal/fuzz_test.go
+++ b/internal/disk/wal/fuzz_test.go
@@ -9,10 +9,10 @@
 	"wasabideal/internal/disk/wal"
 )
 
-// FuzzOpen opens logs of any content: they are read, cut or refused.
+// FuzzOpen opens logs with arbitrary content: they are read, truncated or rejected without a panic.
 func FuzzOpen(f *testing.F) {
 	d := fault.New(1)
-	written(f, d, 3)
+	writeEntries(f, d, 3)
 	log, err := d.ReadFile("log")
 	require.NoError(f, err)
 	f.Add(log)
--- a/internal/disk/wal/wal.go
+++ b/internal/disk/wal/wal.go
@@ -14,16 +14,16 @@
 )
 
 const (
-	logFile      = "log"
-	snapFile     = "snapshot"
-	headSize     = 12
-	bodyLimit    = 64 << 20
-	headSumStart = 8
+	logFile         = "log"
+	snapshotFile    = "snapshot"
+	headerSize      = 12
+	maxBodySize     = 64 << 20
+	headerSumOffset = 8
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// CorruptError says where a file is damaged.
+// CorruptError reports a corrupt file and the offset of the first corrupt record.
 type CorruptError struct {
 	File   string
 	Offset int64
@@ -31,10 +31,10 @@
 }
 
 func (e *CorruptError) Error() string {
-	return fmt.Sprintf("%s is damaged at byte %d: %s; replace this voter's disk and start it empty, the others will fill it", e.File, e.Offset, e.Reason)
+	return fmt.Sprintf("%s is corrupt at byte %d: %s; replace this voter's disk and start it with an empty data folder, it receives the state from the other voters", e.File, e.Offset, e.Reason)
 }
 
-// FailedError says that the disk refused an operation; nothing more is written.
+// FailedError reports a failed disk operation; all later writes fail with it.
 type FailedError struct {
 	Operation string
 	Cause     error
@@ -44,21 +44,20 @@
 	return fmt.Sprintf("disk failed at %s: %v; the voter is read-only until it is restarted on a working disk", e.Operation, e.Cause)
 }
 
-// Unwrap returns the disk's own error.
+// Unwrap returns the underlying error.
 func (e *FailedError) Unwrap() error { return e.Cause }
 
 // record is the body of one log record.
 type record struct {
 	_    struct{} `cbor:",toarray"`
 	Vote *agreement.Vote
-	// Entries are those of one write. They share a record: of two records in
-	// one write a loss of power may keep the second and tear the first, which
-	// could not be told from damage.
+	// Entries are all entries of one write. With two records in one write, a power
+	// failure could tear the first and keep the second, which would look like corruption.
 	Entries []agreement.Entry
 	Commit  uint64
 }
 
-// Wal is an open log; one goroutine owns it.
+// Wal is an open log; it is not safe for concurrent use.
 type Wal struct {
 	folder folder.Folder
 	file   folder.File
@@ -66,7 +65,7 @@
 	failed *FailedError
 }
 
-// Open reads what the folder holds; an empty one gives an empty state.
+// Open reads the state from a folder and opens its log; an empty folder yields an empty state.
 func Open(f folder.Folder) (*Wal, agreement.Durable, error) {
 	var state agreement.Durable
 	if err := readSnapshot(f, &state); err != nil {
@@ -87,7 +86,7 @@
 	return w, state, nil
 }
 
-// Close gives the log's file back; what was written stays.
+// Close closes the log file.
 func (w *Wal) Close() error { return w.file.Close() }
 
 // Size returns the length of the log in bytes.
@@ -103,14 +102,14 @@
 	return nil
 }
 
-// fail makes every later write fail too: after a failed sync nobody knows what
-// the disk holds, so nothing may be acknowledged any more.
+// fail makes all later writes fail: after a failed sync, the content of the disk is
+// unknown, so nothing more may be acknowledged.
 func (w *Wal) fail(operation string, err error) error {
 	w.failed = &FailedError{Operation: operation, Cause: err}
 	return w.failed
 }
 
-// Write appends a vote and entries, and returns once they are synced.
+// Write appends a vote and entries, or compacts the log to a snapshot, and returns once the data is synced.
 func (w *Wal) Write(p agreement.Persist) error {
 	if w.failed != nil {
 		return w.failed
@@ -136,14 +135,14 @@
 	return nil
 }
 
-// compact replaces the snapshot and then the log; a crash in between leaves
-// entries that the snapshot covers, which the next Open skips.
+// compact replaces the snapshot and then the log. After a crash in between, the log
+// still has entries that the snapshot covers; Open skips them.
 func (w *Wal) compact(p agreement.Persist) error {
 	body, err := cbor.Marshal(p.Snapshot)
 	if err != nil {
 		return w.fail("encode", err)
 	}
-	if err := w.replace(snapFile, appendFramed(nil, body)); err != nil {
+	if err := w.replace(snapshotFile, appendFrame(nil, body)); err != nil {
 		return err
 	}
 	b, err := appendRecord(nil, p)
@@ -176,50 +175,50 @@
 	if err != nil {
 		return nil, fmt.Errorf("encode record: %w", err)
 	}
-	return appendFramed(b, body), nil
+	return appendFrame(b, body), nil
 }
 
-// appendFramed writes length, sum of the body, sum of those two, and the body.
-func appendFramed(b, body []byte) []byte {
+// appendFrame appends the length and checksum of the body, a checksum of these two, and the body.
+func appendFrame(b, body []byte) []byte {
 	start := len(b)
 	b = binary.BigEndian.AppendUint32(b, uint32(len(body)))
 	b = binary.BigEndian.AppendUint32(b, crc32.Checksum(body, castagnoli))
-	b = binary.BigEndian.AppendUint32(b, crc32.Checksum(b[start:start+headSumStart], castagnoli))
+	b = binary.BigEndian.AppendUint32(b, crc32.Checksum(b[start:start+headerSumOffset], castagnoli))
 	return append(b, body...)
 }
 
-// framed returns the body of the record at the start of b, if it is whole.
-func framed(b []byte) ([]byte, bool) {
-	if len(b) < headSize {
+// parseFrame returns the body of the record at the start of b if the record is complete and valid.
+func parseFrame(b []byte) ([]byte, bool) {
+	if len(b) < headerSize {
 		return nil, false
 	}
-	if crc32.Checksum(b[:headSumStart], castagnoli) != binary.BigEndian.Uint32(b[headSumStart:]) {
+	if crc32.Checksum(b[:headerSumOffset], castagnoli) != binary.BigEndian.Uint32(b[headerSumOffset:]) {
 		return nil, false
 	}
 	n := int(binary.BigEndian.Uint32(b))
-	if n > bodyLimit || len(b) < headSize+n {
+	if n > maxBodySize || len(b) < headerSize+n {
 		return nil, false
 	}
-	body := b[headSize : headSize+n]
+	body := b[headerSize : headerSize+n]
 	return body, crc32.Checksum(body, castagnoli) == binary.BigEndian.Uint32(b[4:])
 }
 
 func readSnapshot(f folder.Folder, state *agreement.Durable) error {
-	b, err := f.ReadFile(snapFile)
+	b, err := f.ReadFile(snapshotFile)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil
 	}
 	if err != nil {
 		return &FailedError{Operation: "read snapshot", Cause: err}
 	}
-	body, ok := framed(b)
+	body, ok := parseFrame(b)
 	if !ok || cbor.Unmarshal(body, &state.Snapshot) != nil {
-		return &CorruptError{File: snapFile, Reason: "checksum does not match"}
+		return &CorruptError{File: snapshotFile, Reason: "checksum does not match"}
 	}
 	return nil
 }
 
-// readLog returns the length of the log's whole records.
+// readLog applies the records of the log to the state and returns the length of the valid part.
 func readLog(f folder.Folder, state *agreement.Durable) (int64, error) {
 	b, err := f.ReadFile(logFile)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -230,34 +229,34 @@
 	}
 	offset := 0
 	for offset < len(b) {
-		body, ok := framed(b[offset:])
+		body, ok := parseFrame(b[offset:])
 		if !ok {
-			if holdsRecord(b[offset+1:]) {
-				return 0, &CorruptError{File: logFile, Offset: int64(offset), Reason: "whole records follow a damaged one"}
+			if containsRecord(b[offset+1:]) {
+				return 0, &CorruptError{File: logFile, Offset: int64(offset), Reason: "valid records follow a corrupt one"}
 			}
 			break
 		}
-		if err := readRecord(body, state); err != nil {
+		if err := applyRecord(body, state); err != nil {
 			return 0, &CorruptError{File: logFile, Offset: int64(offset), Reason: err.Error()}
 		}
-		offset += headSize + len(body)
+		offset += headerSize + len(body)
 	}
 	return int64(offset), nil
 }
 
-// holdsRecord says whether a whole record starts anywhere in b: then the damage
-// before it is no torn end. The search is byte by byte, since a damaged length
-// says nothing about where the next record begins.
-func holdsRecord(b []byte) bool {
+// containsRecord reports whether a valid record starts anywhere in b, in which case the
+// corruption before it is not a torn write at the end. It tries every byte offset, since
+// a corrupt length does not show where the next record starts.
+func containsRecord(b []byte) bool {
 	for i := range b {
-		if body, ok := framed(b[i:]); ok && len(body) > 0 {
+		if body, ok := parseFrame(b[i:]); ok && len(body) > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-func readRecord(body []byte, state *agreement.Durable) error {
+func applyRecord(body []byte, state *agreement.Durable) error {
 	var r record
 	if err := cbor.Unmarshal(body, &r); err != nil {
 		return fmt.Errorf("decode record: %w", err)
--- a/internal/disk/wal/wal_test.go
+++ b/internal/disk/wal/wal_test.go
@@ -15,7 +15,7 @@
 	return agreement.Entry{Index: i, Term: 1, Data: []byte{byte(i)}}
 }
 
-func written(t require.TestingT, f *fault.Folder, n uint64) *wal.Wal {
+func writeEntries(t require.TestingT, f *fault.Folder, n uint64) *wal.Wal {
 	w, _, err := wal.Open(f)
 	require.NoError(t, err)
 	for i := uint64(1); i <= n; i++ {
@@ -24,11 +24,11 @@
 	return w
 }
 
-// Symptom: a voter did not start after a power cut. Events: the machine stops
-// in the middle of a write. Cause: half a record at the end of the log.
-func TestTornEndIsCut(t *testing.T) {
+// Guards against a voter that does not start after a power failure in the middle of a
+// write, which leaves a partial record at the end of the log.
+func TestTornWriteAtTheEndIsTruncated(t *testing.T) {
 	f := fault.New(1)
-	w := written(t, f, 5)
+	w := writeEntries(t, f, 5)
 	size := w.Size()
 	b, err := f.ReadFile("log")
 	require.NoError(t, err)
@@ -43,12 +43,12 @@
 	require.Equal(t, size, w.Size())
 }
 
-// Symptom: acknowledged changes were gone after a restart. Events: a bit of an
-// early record flips on the disk. Cause: taking any damage for a torn end.
-func TestDamageBeforeTheEndIsRefusedWithItsPlace(t *testing.T) {
+// Guards against the loss of acknowledged changes at a restart: a flipped bit in an early
+// record must not be treated as a torn write at the end.
+func TestCorruptionBeforeTheEndIsReportedWithItsOffset(t *testing.T) {
 	for offset := range 40 {
 		f := fault.New(1)
-		written(t, f, 5)
+		writeEntries(t, f, 5)
 		f.Corrupt("log", offset)
 		_, _, err := wal.Open(f)
 		var corrupt *wal.CorruptError
@@ -58,24 +58,23 @@
 	}
 }
 
-// Symptom: after a full disk, later changes were lost though called accepted.
-// Events: one write fails and the next ones succeed. Cause: going on after a
-// failure, behind a half-written record.
-func TestAfterOneFailureNothingIsWritten(t *testing.T) {
+// Guards against the loss of accepted changes after the disk was full: if one write fails and
+// later ones succeed, their records follow a partial one and cannot be read.
+func TestWritesFailAfterOneFailure(t *testing.T) {
 	f := fault.New(1)
-	w := written(t, f, 2)
-	f.FailAt, f.FailOnly = f.Operations+1, true
+	w := writeEntries(t, f, 2)
+	f.FailAt, f.FailOnce = f.Operations+1, true
 	var failed *wal.FailedError
 	require.ErrorAs(t, w.Write(agreement.Persist{Entries: []agreement.Entry{entry(3)}}), &failed)
 	require.ErrorAs(t, w.Write(agreement.Persist{Entries: []agreement.Entry{entry(3)}}), &failed)
 }
 
-// TestCrashAtAnyOperationKeepsWhatWasAcknowledged crashes at a random
-// operation among writes and compactions, and opens the log again.
-func TestCrashAtAnyOperationKeepsWhatWasAcknowledged(t *testing.T) {
+// TestCrashKeepsAcknowledgedEntries crashes at a random operation during writes and
+// compactions, and reopens the log.
+func TestCrashKeepsAcknowledgedEntries(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := fault.New(rapid.Uint64().Draw(t, "seed"))
-		w := written(t, f, 1)
+		w := writeEntries(t, f, 1)
 		f.FailAt = f.Operations + rapid.IntRange(1, 40).Draw(t, "crash")
 		synced, snapshot := uint64(1), uint64(0)
 		for i := uint64(2); ; i++ {
