--- a/internal/disk/folder/doc.go
+++ b/internal/disk/folder/doc.go
@@ -1,3 +1,3 @@
-// Package folder is the data folder as the project uses it, so that tests can
-// put failures in its place.
+// Package folder defines the interface of a data folder, which tests implement
+// with injected failures, and replaces files atomically.
 package folder
--- a/internal/disk/folder/folder.go
+++ b/internal/disk/folder/folder.go
@@ -2,19 +2,19 @@
 
 import "io"
 
-// File is an open file; what was written lasts only after Sync.
+// File is an open file; written data is durable only after Sync.
 type File interface {
 	io.WriteCloser
 	Sync() error
 }
 
-// Folder is one data folder; its names last only after its own Sync.
+// Folder is a data folder; created, renamed and removed names are durable only after Sync.
 type Folder interface {
-	// ReadFile returns a file's content, or an error that is fs.ErrNotExist.
+	// ReadFile returns the content of a file; errors.Is finds fs.ErrNotExist if there is none.
 	ReadFile(name string) ([]byte, error)
-	// Create opens an empty file for writing.
+	// Create creates or truncates a file for writing.
 	Create(name string) (File, error)
-	// Append opens a file for writing at its end, and cuts it to size first.
+	// Append truncates a file to size and opens it for appending.
 	Append(name string, size int64) (File, error)
 	Rename(from, to string) error
 	Remove(name string) error
