--- a/internal/disk/local/doc.go
+++ b/internal/disk/local/doc.go
@@ -1,2 +1,2 @@
-// Package local is a data folder on the machine's disk.
+// Package local implements a data folder on the local disk.
 package local
--- a/internal/disk/local/local.go
+++ b/internal/disk/local/local.go
@@ -16,28 +16,28 @@
 	lockFile   = "lock"
 )
 
-// LockedError says that another process uses the data folder.
+// LockedError reports that another process has locked the data folder.
 type LockedError struct{ Folder string }
 
 func (e *LockedError) Error() string {
-	return fmt.Sprintf("data folder %s is in use by another process; give each its own DataFolder", e.Folder)
+	return fmt.Sprintf("data folder %s is in use by another process; set a separate DataFolder for each process", e.Folder)
 }
 
-// Folder is a data folder that this process has locked.
+// Folder is a data folder locked by this process.
 type Folder struct {
 	path string
 	lock *os.File
 }
 
-// Open makes the folder if needed and locks it: two processes that append to
-// one log would tear each other's records.
+// Open creates the folder if needed and locks it: two processes that append to
+// one log would corrupt each other's records.
 func Open(path string) (*Folder, error) {
 	if err := os.MkdirAll(path, folderMode); err != nil {
-		return nil, fmt.Errorf("make data folder: %w", err)
+		return nil, fmt.Errorf("create data folder: %w", err)
 	}
 	lock, err := os.OpenFile(filepath.Join(path, lockFile), os.O_CREATE|os.O_RDWR, fileMode)
 	if err != nil {
-		return nil, fmt.Errorf("open lock: %w", err)
+		return nil, fmt.Errorf("open lock file: %w", err)
 	}
 	if err := unix.Flock(int(lock.Fd()), unix.LOCK_EX|unix.LOCK_NB); err != nil {
 		_ = lock.Close()
@@ -46,22 +46,22 @@
 	return &Folder{path: path, lock: lock}, nil
 }
 
-// Close gives the folder free.
+// Close releases the lock.
 func (f *Folder) Close() error { return f.lock.Close() }
 
-func (f *Folder) join(name string) string { return filepath.Join(f.path, name) }
+func (f *Folder) pathOf(name string) string { return filepath.Join(f.path, name) }
 
-// ReadFile returns a file's content.
-func (f *Folder) ReadFile(name string) ([]byte, error) { return os.ReadFile(f.join(name)) }
+// ReadFile returns the content of a file.
+func (f *Folder) ReadFile(name string) ([]byte, error) { return os.ReadFile(f.pathOf(name)) }
 
-// Create opens an empty file for writing.
+// Create creates or truncates a file for writing.
 func (f *Folder) Create(name string) (folder.File, error) {
-	return os.OpenFile(f.join(name), os.O_CREATE|os.O_TRUNC|os.O_WRONLY, fileMode)
+	return os.OpenFile(f.pathOf(name), os.O_CREATE|os.O_TRUNC|os.O_WRONLY, fileMode)
 }
 
-// Append opens a file for writing at its end, and cuts it to size first.
+// Append truncates a file to size and opens it for appending.
 func (f *Folder) Append(name string, size int64) (folder.File, error) {
-	file, err := os.OpenFile(f.join(name), os.O_CREATE|os.O_WRONLY|os.O_APPEND, fileMode)
+	file, err := os.OpenFile(f.pathOf(name), os.O_CREATE|os.O_WRONLY|os.O_APPEND, fileMode)
 	if err != nil {
 		return nil, err
 	}
@@ -72,13 +72,13 @@
 	return file, nil
 }
 
-// Rename replaces to by from.
-func (f *Folder) Rename(from, to string) error { return os.Rename(f.join(from), f.join(to)) }
+// Rename renames a file and replaces the target if it exists.
+func (f *Folder) Rename(from, to string) error { return os.Rename(f.pathOf(from), f.pathOf(to)) }
 
 // Remove deletes a file.
-func (f *Folder) Remove(name string) error { return os.Remove(f.join(name)) }
+func (f *Folder) Remove(name string) error { return os.Remove(f.pathOf(name)) }
 
-// Sync makes the folder's names last.
+// Sync makes created, renamed and removed names durable.
 func (f *Folder) Sync() error {
 	d, err := os.Open(f.path)
 	if err != nil {
