--- a/internal/log/lines/doc.go
+++ b/internal/log/lines/doc.go
@@ -1,2 +1,2 @@
-// Package lines reads the JSON lines of processes' logs.
+// Package lines reads JSON log lines.
 package lines
--- a/internal/log/lines/lines.go
+++ b/internal/log/lines/lines.go
@@ -8,17 +8,17 @@
 	"io"
 )
 
-// lineLimit bounds one line in bytes; longer ones are no lines of ours.
-const lineLimit = 1 << 20
+// maxLineSize is the maximum line length in bytes; no process writes longer lines.
+const maxLineSize = 1 << 20
 
-// Read calls a function with each line from its brace on. What stands before it, as a
-// collector may put it there, is passed over, and so are lines without one.
-func Read(r io.Reader, each func(line []byte)) error {
+// Read calls handle with each line, starting at its first brace. A prefix, as a log collector
+// may add, is skipped, and so are lines without a brace.
+func Read(r io.Reader, handle func(line []byte)) error {
 	s := bufio.NewScanner(r)
-	s.Buffer(nil, lineLimit)
+	s.Buffer(nil, maxLineSize)
 	for s.Scan() {
-		if begin := bytes.IndexByte(s.Bytes(), '{'); begin >= 0 {
-			each(s.Bytes()[begin:])
+		if start := bytes.IndexByte(s.Bytes(), '{'); start >= 0 {
+			handle(s.Bytes()[start:])
 		}
 	}
 	if err := s.Err(); err != nil && !errors.Is(err, bufio.ErrTooLong) {
--- a/internal/log/lines/lines_test.go
+++ b/internal/log/lines/lines_test.go
@@ -9,9 +9,9 @@
 	"wasabideal/internal/log/lines"
 )
 
-func TestWhatStandsBeforeTheBraceIsPassedOver(t *testing.T) {
+func TestPrefixesAndOtherLinesAreSkipped(t *testing.T) {
 	var read []string
-	log := "  6.1 entry-a-1 {\"a\":1}\nno line of ours\n{\"b\":2}\n"
+	log := "  6.1 entry-a-1 {\"a\":1}\nnot a log line\n{\"b\":2}\n"
 	require.NoError(t, lines.Read(strings.NewReader(log), func(line []byte) { read = append(read, string(line)) }))
 	require.Equal(t, []string{`{"a":1}`, `{"b":2}`}, read)
 }
