--- a/internal/log/outlet/outlet.go
+++ b/internal/log/outlet/outlet.go
@@ -7,38 +7,38 @@
 	"sync"
 )
 
-// bufferLimit bounds the lines that wait for the writer, in bytes: some
-// seconds of lines at the rates that the processes log at most.
-const bufferLimit = 256 << 10
+// maxPending is the maximum size of the lines not yet written, in bytes: a few
+// seconds of output at the highest rate at which the processes log.
+const maxPending = 256 << 10
 
-// Outlet is a writer that drops lines when its destination is too slow: a
-// process that waited for its log would stop forwarding because nobody reads it.
+// Outlet is a writer that drops lines when its destination is too slow: with blocking
+// writes, a process would stop forwarding packets when nothing reads its log.
 type Outlet struct {
-	to      io.Writer
-	mu      sync.Mutex
-	waiting []byte
-	dropped int
-	wake    chan struct{}
-	done    chan struct{}
-	closed  bool
+	destination io.Writer
+	mu          sync.Mutex
+	pending     []byte
+	dropped     int
+	wake        chan struct{}
+	done        chan struct{}
+	closed      bool
 }
 
-// New returns an outlet and starts its writer, which Close ends.
-func New(to io.Writer) *Outlet {
-	o := &Outlet{to: to, wake: make(chan struct{}, 1), done: make(chan struct{})}
+// New returns an outlet and starts its writer goroutine, which Close stops.
+func New(destination io.Writer) *Outlet {
+	o := &Outlet{destination: destination, wake: make(chan struct{}, 1), done: make(chan struct{})}
 	go o.run()
 	return o
 }
 
-// Write takes one line; it never fails and never waits for the destination.
+// Write queues or drops one line; it never fails and never blocks on the destination.
 func (o *Outlet) Write(line []byte) (int, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if len(o.waiting)+len(line) > bufferLimit {
+	if len(o.pending)+len(line) > maxPending {
 		o.dropped++
 		return len(line), nil
 	}
-	o.waiting = append(o.waiting, line...)
+	o.pending = append(o.pending, line...)
 	o.signal()
 	return len(line), nil
 }
@@ -50,7 +50,7 @@
 	}
 }
 
-// Close writes what waits and ends the writer.
+// Close writes the pending lines and stops the writer goroutine.
 func (o *Outlet) Close() {
 	o.mu.Lock()
 	o.closed = true
@@ -63,10 +63,10 @@
 	defer close(o.done)
 	for range o.wake {
 		lines, closed := o.take()
-		if n, err := o.to.Write(lines); err != nil {
-			// A disk that is full takes lines again later; there is nowhere to say
-			// so before that.
-			o.lose(bytes.Count(lines[n:], []byte{'\n'}))
+		if n, err := o.destination.Write(lines); err != nil {
+			// The destination may accept lines again later, such as a disk that was full;
+			// the dropped lines are reported there then.
+			o.addDropped(bytes.Count(lines[n:], []byte{'\n'}))
 		}
 		if closed {
 			return
@@ -74,8 +74,8 @@
 	}
 }
 
-// lose counts lines that the destination did not take.
-func (o *Outlet) lose(n int) {
+// addDropped counts lines that the destination did not accept.
+func (o *Outlet) addDropped(n int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.dropped += n
@@ -84,8 +84,8 @@
 func (o *Outlet) take() ([]byte, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	lines := o.waiting
-	o.waiting = nil
+	lines := o.pending
+	o.pending = nil
 	if o.dropped > 0 {
 		lines = fmt.Appendf(lines, "{\"@level\":\"warn\",\"@message\":\"log lines dropped\",\"Count\":%d}\n", o.dropped)
 		o.dropped = 0
--- a/internal/log/outlet/outlet_test.go
+++ b/internal/log/outlet/outlet_test.go
@@ -18,7 +18,7 @@
 	"wasabideal/internal/log/outlet"
 )
 
-// stuck is a reader that stops reading until it is let go.
+// stuck is a log destination that blocks while its lock is held.
 type stuck struct {
 	mu  sync.Mutex
 	got bytes.Buffer
@@ -30,10 +30,9 @@
 	return s.got.Write(b)
 }
 
-// Symptom: a balancer forwarded nothing for minutes.
-// Events: what collects its log stops reading; the pipe between them fills up.
-// Cause: writing a line waited for the reader.
-func TestReaderThatStopsHoldsNobodyUp(t *testing.T) {
+// Guards against a balancer that forwards nothing for minutes: its log collector stops reading,
+// the pipe between them fills up, and writing a line blocks.
+func TestWriteDoesNotBlockOnStuckReader(t *testing.T) {
 	reader := &stuck{}
 	reader.mu.Lock()
 	o := outlet.New(reader)
@@ -45,26 +44,25 @@
 		for range lines {
 			n, err := o.Write(line)
 			if n != len(line) || err != nil {
-				panic(fmt.Sprint("a line was not taken: ", n, err))
+				panic(fmt.Sprint("write of a line failed: ", n, err))
 			}
 		}
 	}()
 	select {
 	case <-written:
 	case <-time.After(20 * time.Second):
-		require.Fail(t, "writing waits for the reader")
+		require.Fail(t, "writing blocks on the reader")
 	}
 	reader.mu.Unlock()
 	o.Close()
 	got := reader.got.String()
 	kept := strings.Count(got, "xxx\n")
-	require.Less(t, kept, 600, "what waits is bounded")
+	require.Less(t, kept, 600, "pending lines are bounded")
 	require.Greater(t, kept, 200)
-	require.Equal(t, lines-kept, dropped(t, got), "what was dropped is counted")
+	require.Equal(t, lines-kept, dropped(t, got), "dropped lines are counted")
 }
 
-// dropped adds up the lines that a log says are missing; it may say so more than
-// once.
+// dropped returns the sum of the dropped lines that a log reports, possibly in several lines.
 func dropped(t *testing.T, log string) int {
 	sum := 0
 	for _, m := range regexp.MustCompile(`"log lines dropped","Count":(\d+)}`).FindAllStringSubmatch(log, -1) {
@@ -75,12 +73,12 @@
 	return sum
 }
 
-// closed is a reader that has gone away.
+// closed is a log destination whose reader has closed the pipe.
 type closed struct{}
 
 func (closed) Write([]byte) (int, error) { return 0, io.ErrClosedPipe }
 
-func TestReaderThatIsGoneHoldsNobodyUp(t *testing.T) {
+func TestWriteDoesNotFailOnClosedPipe(t *testing.T) {
 	o := outlet.New(closed{})
 	for range 1000 {
 		_, err := o.Write(make([]byte, 1000))
@@ -89,7 +87,7 @@
 	o.Close()
 }
 
-// full is a file on a disk that is full at first.
+// full is a file on a disk that is full while refusing is set.
 type full struct {
 	bytes.Buffer
 	refusing atomic.Bool
@@ -104,10 +102,9 @@
 	return f.Buffer.Write(b)
 }
 
-// Symptom: a process logged nothing for the rest of its life.
-// Events: the disk that takes its log is full for some seconds.
-// Cause: the writer ended at the first error.
-func TestLogGoesOnOnceTheDiskTakesLinesAgain(t *testing.T) {
+// Guards against a process that logs nothing until its restart: the disk for its log is full
+// for some seconds, and the writer goroutine returned at the first error.
+func TestLoggingResumesAfterFullDisk(t *testing.T) {
 	f := &full{refused: make(chan struct{})}
 	f.refusing.Store(true)
 	o := outlet.New(f)
