--- a/internal/log/pace/doc.go
+++ b/internal/log/pace/doc.go
@@ -1,2 +1,2 @@
-// Package pace bounds how many log lines of one kind a process writes in a second.
+// Package pace limits the rate of log lines of one kind.
 package pace
--- a/internal/log/pace/pace.go
+++ b/internal/log/pace/pace.go
@@ -2,31 +2,31 @@
 
 import "time"
 
-// span is the time over which lines are counted.
-const span = time.Second
+// window is the time in which the limit applies.
+const window = time.Second
 
-// Pace lets some lines a second through and counts the others.
+// Pace allows a number of lines per second and counts the suppressed ones.
 type Pace struct {
-	most   int
-	since  time.Time
-	spent  int
-	passed int
+	limit       int
+	windowStart time.Time
+	written     int
+	suppressed  int
 }
 
-// New returns a pace of so many lines a second.
-func New(most int) *Pace { return &Pace{most: most} }
+// New returns a Pace that allows limit lines per second.
+func New(limit int) *Pace { return &Pace{limit: limit} }
 
-// Take says whether a line may be written now, and how many were not since the last
-// that was.
-func (p *Pace) Take(now time.Time) (passed int, ok bool) {
-	if now.Sub(p.since) >= span {
-		p.since, p.spent = now, 0
+// Take reports whether a line may be written now and, if so, how many were suppressed since
+// the last one written.
+func (p *Pace) Take(now time.Time) (suppressed int, ok bool) {
+	if now.Sub(p.windowStart) >= window {
+		p.windowStart, p.written = now, 0
 	}
-	if p.spent >= p.most {
-		p.passed++
+	if p.written >= p.limit {
+		p.suppressed++
 		return 0, false
 	}
-	p.spent++
-	passed, p.passed = p.passed, 0
-	return passed, true
+	p.written++
+	suppressed, p.suppressed = p.suppressed, 0
+	return suppressed, true
 }
--- a/internal/log/pace/pace_test.go
+++ b/internal/log/pace/pace_test.go
@@ -9,17 +9,17 @@
 	"wasabideal/internal/log/pace"
 )
 
-func TestLinesBeyondThePaceAreCounted(t *testing.T) {
+func TestSuppressedLinesAreCounted(t *testing.T) {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	p := pace.New(2)
 	for i, allowed := range []bool{true, true, false, false} {
 		_, ok := p.Take(now.Add(time.Duration(i) * 100 * time.Millisecond))
 		require.Equal(t, allowed, ok)
 	}
-	passed, ok := p.Take(now.Add(time.Second))
+	suppressed, ok := p.Take(now.Add(time.Second))
 	require.True(t, ok)
-	require.Equal(t, 2, passed)
-	passed, ok = p.Take(now.Add(time.Second))
+	require.Equal(t, 2, suppressed)
+	suppressed, ok = p.Take(now.Add(time.Second))
 	require.True(t, ok)
-	require.Zero(t, passed)
+	require.Zero(t, suppressed)
 }
