--- a/internal/log/followers/doc.go
+++ b/internal/log/followers/doc.go
@@ -1,3 +1,3 @@
-// Package followers tells from balancers' logs who follows whom, how much each had heard
-// when it last changed that, and why it did.
+// Package followers prints from the logs of balancers which parent each one follows, when
+// and why it changed it last, and how many voters had sent it recent data by then.
 package followers
--- a/internal/log/followers/followers.go
+++ b/internal/log/followers/followers.go
@@ -13,14 +13,14 @@
 	"wasabideal/internal/log/lines"
 )
 
-// The messages that tell of it.
+// Messages of the log lines that are read.
 const (
 	messageStart   = "start"
 	messageFollows = "follows"
 )
 
-// wireLine is a log line as the processes write it.
-type wireLine struct {
+// logLine is a log line in the form that processes write.
+type logLine struct {
 	Message     string    `json:"@message"`
 	Process     string    `json:"@module"`
 	At          time.Time `json:"@timestamp"`
@@ -34,50 +34,50 @@
 	FreshVoters int
 }
 
-// EmptyError says that no log has a balancer's lines.
+// EmptyError reports that no log contains lines of a balancer.
 type EmptyError struct{}
 
 func (*EmptyError) Error() string {
-	return "no log has a balancer's line 'start' or 'follows'; pass the balancers' logs"
+	return "no log contains a line 'start' or 'follows' of a balancer; pass the logs of balancers"
 }
 
-// balancer is what its log says last.
+// balancer is the last logged state of a balancer.
 type balancer struct {
-	wireLine
+	logLine
 	zone    string
 	changes int
 }
 
-// Followers is what some logs tell.
+// Followers collects the balancers and their parents from logs.
 type Followers struct {
 	balancers map[string]balancer
-	// names are the processes by their call addresses.
+	// names maps rpc addresses to process names.
 	names map[string]string
 }
 
-// New returns one that has read no log.
+// New returns a Followers without balancers.
 func New() *Followers {
 	return &Followers{balancers: map[string]balancer{}, names: map[string]string{}}
 }
 
-// Read takes one log; lines that are none of ours are passed over.
+// Read adds one log; lines in other formats are skipped.
 func (f *Followers) Read(r io.Reader) error {
 	return lines.Read(r, func(line []byte) {
-		var l wireLine
+		var l logLine
 		if err := json.Unmarshal(line, &l); err == nil {
-			f.note(l)
+			f.record(l)
 		}
 	})
 }
 
-func (f *Followers) note(l wireLine) {
+func (f *Followers) record(l logLine) {
 	b := f.balancers[l.Process]
 	switch {
 	case l.Message == messageStart && l.Role == "balancer":
-		b.zone, b.wireLine, b.changes = l.Zone, l, 0
+		b.zone, b.logLine, b.changes = l.Zone, l, 0
 		f.names[l.Rpc] = l.Process
 	case l.Message == messageFollows && !l.At.Before(b.At):
-		b.wireLine = l
+		b.logLine = l
 		b.changes++
 	default:
 		return
@@ -85,7 +85,7 @@
 	f.balancers[l.Process] = b
 }
 
-// Tell writes a line for each balancer, by zone and level.
+// Tell writes a table of the balancers, ordered by zone and level.
 func (f *Followers) Tell(w io.Writer) error {
 	if len(f.balancers) == 0 {
 		return &EmptyError{}
@@ -94,7 +94,7 @@
 		return cmp.Or(cmp.Compare(a.zone, b.zone), cmp.Compare(a.Level, b.Level), cmp.Compare(a.Process, b.Process))
 	})
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	_, _ = fmt.Fprintln(t, "ZONE\tLEVEL\tBALANCER\tFOLLOWS\tSINCE\tREASON\tVOTERS HEARD\tCHANGES")
+	_, _ = fmt.Fprintln(t, "ZONE\tLEVEL\tBALANCER\tFOLLOWS\tSINCE\tREASON\tFRESH VOTERS\tCHANGES")
 	for _, b := range all {
 		_, _ = fmt.Fprintf(t, "%s\t%d\t%s\t%s\t%s\t%s\t%d\t%d\n", b.zone, b.Level, b.Process, f.parent(b),
 			b.At.Format("15:04:05.000"), cmp.Or(b.Reason, "start"), b.FreshVoters, b.changes)
--- a/internal/log/followers/followers_test.go
+++ b/internal/log/followers/followers_test.go
@@ -12,7 +12,7 @@
 	"wasabideal/internal/log/followers"
 )
 
-var update = flag.Bool("update", false, "rewrite the golden files")
+var update = flag.Bool("update", false, "update the golden files")
 
 func TestTableOfAZone(t *testing.T) {
 	log, err := os.Open("testdata/balancers.log")
@@ -33,7 +33,7 @@
 
 func TestLogWithoutBalancers(t *testing.T) {
 	f := followers.New()
-	require.NoError(t, f.Read(strings.NewReader("panic: none of ours\n{\"@message\":\"flow\"}\n")))
+	require.NoError(t, f.Read(strings.NewReader("panic: not a log line\n{\"@message\":\"flow\"}\n")))
 	var empty *followers.EmptyError
 	require.ErrorAs(t, f.Tell(&bytes.Buffer{}), &empty)
 }
