--- a/internal/log/story/doc.go
+++ b/internal/log/story/doc.go
@@ -1,3 +1,3 @@
-// Package story reads the logs of balancers and voters and tells, for a caller's
-// flow, an upstream or a revision, what was decided in which order and why.
+// Package story prints from the logs of balancers and voters what happened to a caller's
+// flow, an upstream or a configuration revision, in order and with an explanation.
 package story
--- a/internal/log/story/line.go
+++ b/internal/log/story/line.go
@@ -11,7 +11,7 @@
 	"wasabideal/internal/log/lines"
 )
 
-// The messages that a story is made of.
+// Messages of the log lines that are evaluated.
 const (
 	messageStart        = "start"
 	messageLeaving      = "leaving"
@@ -27,7 +27,7 @@
 	messageRefused      = "configuration refused"
 	messageStanding     = "standing"
 	messageLost         = "voter does not answer"
-	messageRegained     = "voter answers again"
+	messageAnswersAgain = "voter answers again"
 	messageReadOnly     = "voter is read-only now"
 	messageDiskWorks    = "disk works again"
 	messageDropped      = "log lines dropped"
@@ -35,8 +35,8 @@
 	messageEvacuated    = "zones evacuated"
 )
 
-// wireLine is a log line as the processes write it.
-type wireLine struct {
+// logLine is a log line in the form that processes write.
+type logLine struct {
 	Message     string    `json:"@message"`
 	Process     string    `json:"@module"`
 	At          time.Time `json:"@timestamp"`
@@ -52,26 +52,26 @@
 	Revision    uint64
 }
 
-// line is one log line with the text that it came from.
+// line is a decoded log line with its text.
 type line struct {
-	wireLine
+	logLine
 	text string
 }
 
-// NoLinesError says that a file holds no log lines.
+// NoLinesError reports a file without log lines.
 type NoLinesError struct{ Name string }
 
 func (e *NoLinesError) Error() string {
-	return fmt.Sprintf("%s holds no log lines; pass files of JSON lines as the processes write them", e.Name)
+	return fmt.Sprintf("%s contains no log lines; pass the JSON logs of balancers and voters", e.Name)
 }
 
-// readLines reads all log lines.
+// readLines decodes all log lines of a file and skips other text.
 func readLines(name string, r io.Reader) ([]line, error) {
 	var all []line
 	err := lines.Read(r, func(text []byte) {
-		var w wireLine
+		var w logLine
 		if err := json.Unmarshal(text, &w); err == nil && w.Message != "" {
-			all = append(all, line{wireLine: w, text: string(text)})
+			all = append(all, line{logLine: w, text: string(text)})
 		}
 	})
 	if err != nil {
@@ -83,10 +83,10 @@
 	return all, nil
 }
 
-// timeFormat shows times of one day to a tenth of a millisecond.
+// timeFormat prints the time of day with tenths of a millisecond.
 const timeFormat = "15:04:05.0000"
 
-// String shows the line for a reader: when, where, what, and its other fields.
+// String formats the line as time, process, message and other fields.
 func (l line) String() string {
 	var rest map[string]json.RawMessage
 	if err := json.Unmarshal([]byte(l.text), &rest); err != nil {
--- a/internal/log/story/story.go
+++ b/internal/log/story/story.go
@@ -11,35 +11,35 @@
 )
 
 const (
-	// around is how long before and after what was asked for other lines matter:
-	// callers try for some seconds, and beliefs change within one or two.
-	around = 5 * time.Second
-	// linesMost bounds the lines that a story shows.
-	linesMost = 200
+	// contextWindow is how long before and after the matching lines other lines are included:
+	// callers retry for a few seconds, and the state of a process changes within one or two.
+	contextWindow = 5 * time.Second
+	// maxLines is the maximum number of printed lines.
+	maxLines = 200
 )
 
-// Question is what a story is asked for; one of the first three is set.
+// Question selects a flow, an upstream or a revision; exactly one field is set.
 type Question struct {
-	// Caller is the caller's address and port, as its own log or a capture shows it.
+	// Caller is the address and port of the caller, as in its own log or a packet capture.
 	Caller string
-	// Incarnation is that of an upstream, as the lines of flows name it.
+	// Incarnation is the incarnation of an upstream, as in the log lines of flows.
 	Incarnation string
-	// Revision is that of a configuration.
+	// Revision is the revision of a configuration.
 	Revision uint64
 }
 
-// EmptyError says that no line tells of what was asked for.
+// EmptyError reports that no line matches the question.
 type EmptyError struct{ Question Question }
 
 func (e *EmptyError) Error() string {
-	return fmt.Sprintf("no line tells of %+v; its lines may be on a process whose log is missing here, "+
+	return fmt.Sprintf("no line matches %+v; the lines may be in the log of another process, "+
 		"or among those that the lines 'decisions' only count", e.Question)
 }
 
-// Story is the lines of some processes.
+// Story holds the log lines of some processes, ordered by time.
 type Story struct{ lines []line }
 
-// Read returns the story with the lines of a further log.
+// Read returns the story with the lines of another log added.
 func (s Story) Read(name string, r io.Reader) (Story, error) {
 	more, err := readLines(name, r)
 	if err != nil {
@@ -50,15 +50,15 @@
 	return Story{lines: lines}, nil
 }
 
-// Tell writes the lines that matter in order, and what they say together.
+// Tell writes the relevant lines in order of time, and a summary.
 func (s Story) Tell(w io.Writer, q Question) error {
-	asked := lo.Filter(s.lines, func(l line, _ int) bool { return q.asks(l) })
-	if len(asked) == 0 {
+	matched := lo.Filter(s.lines, func(l line, _ int) bool { return q.matches(l) })
+	if len(matched) == 0 {
 		return &EmptyError{Question: q}
 	}
-	shown := s.matter(asked, q)
+	shown := s.selectLines(matched, q)
 	for i, l := range shown {
-		if i == linesMost {
+		if i == maxLines {
 			if _, err := fmt.Fprintf(w, "… and %d more lines\n", len(shown)-i); err != nil {
 				return fmt.Errorf("write story: %w", err)
 			}
@@ -68,7 +68,7 @@
 			return fmt.Errorf("write story: %w", err)
 		}
 	}
-	for _, c := range causes(shown, asked, q) {
+	for _, c := range summarize(shown, matched, q) {
 		if _, err := fmt.Fprintln(w, "=> "+c); err != nil {
 			return fmt.Errorf("write story: %w", err)
 		}
@@ -76,8 +76,8 @@
 	return nil
 }
 
-// asks says whether a line is about just what was asked for.
-func (q Question) asks(l line) bool {
+// matches reports whether a line is directly about the question.
+func (q Question) matches(l line) bool {
 	switch {
 	case q.Caller != "":
 		return l.Message == messageFlow && l.Caller == q.Caller
@@ -88,53 +88,53 @@
 	}
 }
 
-// matter returns the lines asked for and those that bear on them.
-func (s Story) matter(asked []line, q Question) []line {
-	from, to := asked[0].At.Add(-around), asked[len(asked)-1].At.Add(around)
+// selectLines returns the matching lines and those that give their context.
+func (s Story) selectLines(matched []line, q Question) []line {
+	from, to := matched[0].At.Add(-contextWindow), matched[len(matched)-1].At.Add(contextWindow)
 	processes, incarnations := map[string]bool{}, map[string]bool{}
-	for _, l := range asked {
+	for _, l := range matched {
 		processes[l.Process] = true
 		if l.Incarnation != "" {
 			incarnations[l.Incarnation] = true
 		}
 	}
-	held := s.heldBefore(asked[0].At, processes)
+	configurations := s.configurationsBefore(matched[0].At, processes)
 	if q.Incarnation != "" {
-		// An upstream's life is long; only what was believed near its end matters.
-		from = to.Add(-2 * around)
+		// An upstream runs for long; only the state of processes near its end is relevant.
+		from = to.Add(-2 * contextWindow)
 	}
 	return lo.Filter(s.lines, func(l line, _ int) bool {
-		within := !l.At.Before(from) && !l.At.After(to)
+		inWindow := !l.At.Before(from) && !l.At.After(to)
 		switch {
-		case q.asks(l) || held[l.text]:
+		case q.matches(l) || configurations[l.text]:
 			return true
 		case incarnations[l.Incarnation] && l.Message == messageAnnounced:
 			return true
 		case incarnations[l.Incarnation] && l.Message == messageSuspected:
-			return within
+			return inWindow
 		default:
-			return within && processes[l.Process] && beliefs[l.Message]
+			return inWindow && processes[l.Process] && contextMessages[l.Message]
 		}
 	})
 }
 
-// beliefs are the messages that say what a process knew and whether it could act.
-var beliefs = map[string]bool{
+// contextMessages are the messages about the state of a process.
+var contextMessages = map[string]bool{
 	messageStart: true, messageLeaving: true, messageStopped: true, messageReadiness: true, messageLost: true,
-	messageRegained: true, messageReadOnly: true, messageDiskWorks: true, messageDropped: true,
+	messageAnswersAgain: true, messageReadOnly: true, messageDiskWorks: true, messageDropped: true,
 	messageNotAccepted: true, messageRefused: true, messageStanding: true,
 	messageFollows: true, messageEvacuated: true,
 }
 
-// heldBefore returns the line of each process on the configuration that it held.
-func (s Story) heldBefore(at time.Time, processes map[string]bool) map[string]bool {
-	last := map[string]string{}
+// configurationsBefore returns for each process the line about the configuration in force at a time.
+func (s Story) configurationsBefore(at time.Time, processes map[string]bool) map[string]bool {
+	latest := map[string]string{}
 	for _, l := range s.lines {
 		if l.Message == messageInForce && processes[l.Process] && l.At.Before(at) {
-			last[l.Process] = l.text
+			latest[l.Process] = l.text
 		}
 	}
-	return lo.SliceToMap(lo.Values(last), func(text string) (string, bool) { return text, true })
+	return lo.SliceToMap(lo.Values(latest), func(text string) (string, bool) { return text, true })
 }
 
 func sortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
--- a/internal/log/story/story_test.go
+++ b/internal/log/story/story_test.go
@@ -13,7 +13,7 @@
 	"wasabideal/internal/log/story"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "update the golden files")
 
 func readAll(t *testing.T) story.Story {
 	var s story.Story
@@ -54,7 +54,7 @@
 	}
 }
 
-func TestUnknownIdAndForeignFilesAreToldApart(t *testing.T) {
+func TestUnknownIdsAndFilesWithoutLogLinesAreRejected(t *testing.T) {
 	var empty *story.EmptyError
 	require.ErrorAs(t, readAll(t).Tell(&bytes.Buffer{}, story.Question{Caller: "100.64.9.9:1"}), &empty)
 	var none *story.NoLinesError
