--- a/internal/metric/latency/doc.go
+++ b/internal/metric/latency/doc.go
@@ -1,2 +1,2 @@
-// Package latency records how long things took, for the metrics page.
+// Package latency records durations in histograms for the metrics endpoint.
 package latency
--- a/internal/metric/latency/latency.go
+++ b/internal/metric/latency/latency.go
@@ -6,20 +6,20 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// samples is the number of latencies from which quantiles are told, and
-// sampleBias how much the newest weigh more: some minutes' worth of one process.
+// samples and sampleBias are the size and the decay factor of the exponentially decaying
+// sample for quantiles, which covers a few minutes of one process.
 const (
 	samples    = 512
 	sampleBias = 0.015
 )
 
-// Latency is one histogram in microseconds; it is safe for concurrent use.
+// Latency is a histogram of durations in microseconds, safe for concurrent use.
 type Latency struct{ histogram metrics.Histogram }
 
-// New returns a histogram under a name in a registry.
+// New registers a histogram under the name with the suffix "Microseconds".
 func New(name string, r metrics.Registry) Latency {
 	return Latency{metrics.NewRegisteredHistogram(name+"Microseconds", r, metrics.NewExpDecaySample(samples, sampleBias))}
 }
 
-// Record notes one duration.
+// Record adds one duration.
 func (l Latency) Record(d time.Duration) { l.histogram.Update(d.Microseconds()) }
