--- a/internal/metric/text/doc.go
+++ b/internal/metric/text/doc.go
@@ -1,2 +1,2 @@
-// Package text prints metrics in the text form that scrapers read.
+// Package text writes metrics in the text exposition format that scrapers read.
 package text
--- a/internal/metric/text/text.go
+++ b/internal/metric/text/text.go
@@ -10,13 +10,13 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// Printer writes a registry's metrics, one line each, ordered by name.
+// Printer writes the metrics of a registry, one per line, ordered by name.
 type Printer struct {
 	registry metrics.Registry
 	prefix   string
 }
 
-// New returns a printer of a registry whose names begin with prefix.
+// New returns a printer of a registry; prefix is prepended to all names.
 func New(r metrics.Registry, prefix string) Printer { return Printer{registry: r, prefix: prefix} }
 
 // Print writes all metrics.
@@ -35,7 +35,7 @@
 		}
 	})
 	for _, name := range slices.Sorted(maps.Keys(values)) {
-		if _, err := fmt.Fprintf(w, "%s_%s %s\n", p.prefix, snake(name), values[name]); err != nil {
+		if _, err := fmt.Fprintf(w, "%s_%s %s\n", p.prefix, snakeCase(name), values[name]); err != nil {
 			return fmt.Errorf("print metrics: %w", err)
 		}
 	}
@@ -43,21 +43,21 @@
 }
 
 var quantiles = []struct {
-	name  string
-	share float64
+	name string
+	rank float64
 }{{"P50", 0.5}, {"P90", 0.9}, {"P99", 0.99}}
 
-// printHistogram writes the number of samples, their sum and quantiles.
+// printHistogram adds the count, sum and quantiles of a histogram to values.
 func printHistogram(values map[string]string, name string, h metrics.Histogram) {
 	values[name+"Count"] = fmt.Sprint(h.Count())
 	values[name+"Sum"] = fmt.Sprint(h.Sum())
 	for _, q := range quantiles {
-		values[name+q.name] = fmt.Sprint(h.Percentile(q.share))
+		values[name+q.name] = fmt.Sprint(h.Percentile(q.rank))
 	}
 }
 
-// snake turns PascalCase into the lower case that scrapers expect.
-func snake(name string) string {
+// snakeCase converts PascalCase to snake_case, which scrapers expect.
+func snakeCase(name string) string {
 	var b strings.Builder
 	for i, r := range name {
 		upper := r >= 'A' && r <= 'Z'
