--- a/internal/setting/settings/doc.go
+++ b/internal/setting/settings/doc.go
@@ -1,2 +1,2 @@
-// Package settings is what a process reads from its TOML file.
+// Package settings defines the settings file of a process and decodes it from TOML.
 package settings
--- a/internal/setting/settings/settings.go
+++ b/internal/setting/settings/settings.go
@@ -10,17 +10,17 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// The roles of a process.
+// Roles of a process.
 const (
 	RoleBalancer = "Balancer"
 	RoleControl  = "Control"
 	RoleBoth     = "Both"
 )
 
-// Duration is a time span written like "1.5s" in settings.
+// Duration is a duration in the format of time.ParseDuration, such as "1.5s".
 type Duration time.Duration
 
-// UnmarshalText reads a duration.
+// UnmarshalText parses a duration.
 func (d *Duration) UnmarshalText(b []byte) error {
 	v, err := time.ParseDuration(string(b))
 	if err != nil {
@@ -30,93 +30,93 @@
 	return nil
 }
 
-// MarshalText writes a duration.
+// MarshalText formats a duration.
 func (d Duration) MarshalText() ([]byte, error) { return []byte(time.Duration(d).String()), nil }
 
-// Value returns the duration as the standard library has it.
+// Value returns the duration as a time.Duration.
 func (d Duration) Value() time.Duration { return time.Duration(d) }
 
-// Listen are the addresses that a process listens on.
+// Listen holds the listen addresses of a process.
 type Listen struct {
-	// Fabric takes GUE datagrams from the network fabric.
+	// Fabric receives GUE datagrams from the network fabric.
 	Fabric string
-	// Peer takes datagrams of other balancers.
+	// Peer receives datagrams from other balancers.
 	Peer string
-	// Rpc takes calls of other processes and operators.
+	// Rpc serves calls of other processes and operators.
 	Rpc string
 	// Admin serves announcements, health and metrics over HTTP.
 	Admin string
-	// Door serves requests over HTTP, one address per service.
+	// Door holds the addresses that serve requests over HTTP, one per service.
 	Door []Door
 }
 
-// Door is where a service's requests come in.
+// Door is the HTTP listen address for the requests of a service.
 type Door struct{ Service, Address string }
 
-// Balancer are the settings of an entry VM.
+// Balancer holds the settings of a balancer.
 type Balancer struct {
-	// Group is the balancers that share flows; the configuration's services
-	// name theirs. Empty serves services without a group.
+	// Group names the balancers that share flows; services in the configuration name
+	// their group. If empty, the balancer serves the services without a group.
 	Group string
-	// Seeds are peer addresses of some balancers of the group.
+	// Seeds are the peer addresses of some balancers of the group, used to join it.
 	Seeds []string
-	// Sources are rpc addresses of control voters or relays, best first.
+	// Sources are the rpc addresses of control voters or relays, in order of preference.
 	Sources  []string
 	MaxFlows int
-	// MaxKeys is the request keys remembered at once; more are refused.
+	// MaxKeys is the maximum number of stored request keys; further ones are rejected.
 	MaxKeys int
 	Tick    Duration
-	// ControlBytes is the bytes a second that gossip and repair may send together.
+	// ControlBytes is the combined limit for gossip and repair traffic in bytes per second.
 	ControlBytes int
-	// Lease is how long an upstream's announcement holds without a newer one.
+	// Lease is how long an announcement of an upstream is valid without a newer one.
 	Lease Duration
-	// Quarantine is how long an address that changes service takes no flow.
+	// Quarantine is how long an address gets no flows after it changes its service.
 	Quarantine Duration
-	// Tombstone is how long a withdrawn upstream is remembered.
+	// Tombstone is how long a withdrawn upstream stays recorded.
 	Tombstone Duration
-	// Settle is how long after a change of members unknown flows are asked for
-	// and not guessed.
+	// Settle is how long after a change of members the balancer looks up unknown flows at
+	// other members and does not guess their upstream.
 	Settle Duration
-	// OpeningTimeout, IdleTimeout and ClosingTimeout forget flows that are not
-	// confirmed, silent, or closed for so long.
+	// OpeningTimeout, IdleTimeout and ClosingTimeout are the times after which flows
+	// are removed that are unconfirmed, idle or closed.
 	OpeningTimeout Duration
 	IdleTimeout    Duration
 	ClosingTimeout Duration
-	// IndirectAfter, SuspectAfter and DeadAfter are the silences after which a
-	// member is probed through others, is suspected, and then is dead.
+	// IndirectAfter, SuspectAfter and DeadAfter are the times without a response
+	// after which a member is probed indirectly, suspected, and then declared dead.
 	IndirectAfter Duration
 	SuspectAfter  Duration
 	DeadAfter     Duration
-	// ForgetAfter is how long a dead member is looked for.
+	// ForgetAfter is how long a dead member stays listed and is still probed.
 	ForgetAfter Duration
-	// StopTimeout bounds a planned stop.
+	// StopTimeout is the maximum duration of a planned shutdown.
 	StopTimeout Duration
-	// Lost is Candidate or Drop.
+	// Lost is the policy for flows that no member knows: Candidate or Drop.
 	Lost string
-	// TraceFile records events for replay if set.
+	// TraceFile is the file to record events for replay; empty disables the trace.
 	TraceFile string
 }
 
-// Founder is a voter of the first list.
+// Founder is a voter of the initial voter list.
 type Founder struct{ Name, Address string }
 
-// Control are the settings of a voter.
+// Control holds the settings of a voter.
 type Control struct {
 	Founders []Founder
-	// Heartbeat is the time between a leader's messages, Election the least
-	// silence after which another is elected.
+	// Heartbeat is the interval between a leader's messages, Election the minimum
+	// election timeout.
 	Heartbeat Duration
 	Election  Duration
 	Tick      Duration
-	// CompactAfter is the entries kept before a snapshot.
+	// CompactAfter is the number of log entries after which a snapshot replaces them.
 	CompactAfter int
-	// AcceptTimeout is how long an operator waits for an acceptance.
+	// AcceptTimeout is how long a change of an operator may wait for acceptance.
 	AcceptTimeout Duration
-	// Rpc is where the voter listens; its founder's address if empty.
+	// Rpc is the listen address of the voter; if empty, its address in Founders.
 	Rpc string
 }
 
-// Settings are the whole file.
+// Settings holds the content of a settings file.
 type Settings struct {
 	Role          string
 	Name          string
@@ -130,7 +130,7 @@
 	Control       Control
 }
 
-// MalformedError says where a file cannot be read.
+// MalformedError reports where a file cannot be decoded.
 type MalformedError struct {
 	File   string
 	Detail string
@@ -138,13 +138,13 @@
 
 func (e *MalformedError) Error() string { return fmt.Sprintf("%s: %s", e.File, e.Detail) }
 
-// Decode reads settings and refuses keys that it does not know.
+// Decode decodes settings and rejects unknown keys.
 func Decode(file string, b []byte) (Settings, error) {
 	var s Settings
 	return s, DecodeInto(file, b, &s)
 }
 
-// DecodeInto reads any TOML value and refuses keys that it does not know.
+// DecodeInto decodes TOML into v and rejects unknown keys.
 func DecodeInto(file string, b []byte, v any) error {
 	d := toml.NewDecoder(bytes.NewReader(b)).DisallowUnknownFields()
 	err := d.Decode(v)
@@ -162,7 +162,7 @@
 	return &MalformedError{File: file, Detail: err.Error()}
 }
 
-// Read reads settings from a file.
+// Read reads and decodes a settings file.
 func Read(file string) (Settings, error) {
 	b, err := os.ReadFile(file)
 	if err != nil {
--- a/internal/setting/settings/settings_test.go
+++ b/internal/setting/settings/settings_test.go
@@ -10,13 +10,13 @@
 	"wasabideal/internal/setting/settings"
 )
 
-const least = `Name = "b1"
+const minimal = `Name = "b1"
 Zone = "Adabiya"
 GroupToken = "group-token-000001"
 OperatorToken = "operator-token-0001"
 `
 
-func TestCheckNamesFileKeyValueAndWhatIsAllowed(t *testing.T) {
+func TestCheckReportsInvalidKeys(t *testing.T) {
 	for text, key := range map[string]string{
 		"":                                        "",
 		"Role = \"Chief\"":                        "Role",
@@ -30,7 +30,7 @@
 		"Role = \"Both\"\nDataFolder = \"/data\"": "Control.Founders",
 	} {
 		t.Run(text, func(t *testing.T) {
-			s, err := settings.Decode("x.toml", []byte(least+text))
+			s, err := settings.Decode("x.toml", []byte(minimal+text))
 			require.NoError(t, err)
 			err = check.New("x.toml").Check(defaults.Pass{}.Apply(s))
 			if key == "" {
@@ -47,7 +47,7 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	f.Add([]byte(least))
+	f.Add([]byte(minimal))
 	f.Fuzz(func(_ *testing.T, b []byte) {
 		if s, err := settings.Decode("x.toml", b); err == nil {
 			_ = check.New("x.toml").Check(defaults.Pass{}.Apply(s))
