--- a/internal/setting/defaults/doc.go
+++ b/internal/setting/defaults/doc.go
@@ -1,2 +1,2 @@
-// Package defaults fills in what a settings file leaves out, in one pass.
+// Package defaults sets the default values of settings that a file omits.
 package defaults
