--- a/internal/setting/check/check.go
+++ b/internal/setting/check/check.go
@@ -11,20 +11,20 @@
 	"wasabideal/internal/setting/settings"
 )
 
-// InvalidError names file, key, value and what is allowed.
+// InvalidError reports an invalid value with its file, key and the allowed values.
 type InvalidError struct{ File, Key, Value, Allowed string }
 
 func (e *InvalidError) Error() string {
 	return fmt.Sprintf("%s: %s is %q; allowed: %s", e.File, e.Key, e.Value, e.Allowed)
 }
 
-// Checker checks the settings of one file.
+// Checker validates the settings of one file.
 type Checker struct{ file string }
 
-// New returns a checker whose errors name the file.
+// New returns a checker that reports errors with the file name.
 func New(file string) Checker { return Checker{file: file} }
 
-// Check returns an InvalidError for the first key that cannot work.
+// Check returns an InvalidError for the first invalid key.
 func (c Checker) Check(s settings.Settings) error {
 	for _, step := range []func(settings.Settings) error{c.general, c.listen, c.balancer, c.control} {
 		if err := step(s); err != nil {
@@ -44,22 +44,22 @@
 	case !slices.Contains(roles, s.Role):
 		return c.invalid("Role", s.Role, "Balancer, Control or Both")
 	case s.Name == "":
-		return c.invalid("Name", s.Name, "a name that no other process has")
+		return c.invalid("Name", s.Name, "a name that is unique among all processes")
 	case s.Zone == "":
 		return c.invalid("Zone", s.Zone, "the availability zone of this VM")
 	case hclog.LevelFromString(s.LogLevel) == hclog.NoLevel:
 		return c.invalid("LogLevel", s.LogLevel, "trace, debug, info, warn, error or off")
-	case len(s.GroupToken) < minimumToken:
+	case len(s.GroupToken) < minTokenLength:
 		return c.invalid("GroupToken", "(hidden)", "a secret of 16 characters or more, the same for all processes")
-	case len(s.OperatorToken) < minimumToken:
+	case len(s.OperatorToken) < minTokenLength:
 		return c.invalid("OperatorToken", "(hidden)", "a secret of 16 characters or more, for operators only")
 	case s.GroupToken == s.OperatorToken:
-		return c.invalid("OperatorToken", "(hidden)", "another secret than GroupToken")
+		return c.invalid("OperatorToken", "(hidden)", "a secret different from GroupToken")
 	}
 	return nil
 }
 
-const minimumToken = 16
+const minTokenLength = 16
 
 func (c Checker) listen(s settings.Settings) error {
 	addresses := []struct{ key, value string }{
@@ -116,14 +116,14 @@
 		return nil
 	}
 	k := s.Control
-	named := slices.ContainsFunc(k.Founders, func(f settings.Founder) bool { return f.Name == s.Name })
+	listed := slices.ContainsFunc(k.Founders, func(f settings.Founder) bool { return f.Name == s.Name })
 	switch {
 	case s.DataFolder == "":
-		return c.invalid("DataFolder", "", "a folder on a disk, for a voter")
+		return c.invalid("DataFolder", "", "a folder on a disk; required for a voter")
 	case len(k.Founders)%2 == 0 || len(k.Founders) > 5:
 		return c.invalid("Control.Founders", len(k.Founders), "1, 3 or 5 voters")
-	case !named && k.Rpc == "":
-		return c.invalid("Control.Rpc", "", "an address, where Founders does not list this process")
+	case !listed && k.Rpc == "":
+		return c.invalid("Control.Rpc", "", "an address; required if Founders does not list this process")
 	case k.Election < 3*k.Heartbeat:
 		return c.invalid("Control.Election", k.Election.Value(), "at least three times Heartbeat")
 	case k.CompactAfter < 16:
--- a/internal/setting/check/doc.go
+++ b/internal/setting/check/doc.go
@@ -1,2 +1,2 @@
-// Package check refuses settings that cannot work, with the key to mend.
+// Package check validates settings and names the first invalid key.
 package check
