--- a/internal/setting/wiring/doc.go
+++ b/internal/setting/wiring/doc.go
@@ -1,2 +1,2 @@
-// Package wiring turns checked settings into those of the processes' parts.
+// Package wiring converts validated settings to the settings of each component.
 package wiring
--- a/internal/setting/wiring/wiring.go
+++ b/internal/setting/wiring/wiring.go
@@ -21,25 +21,25 @@
 )
 
 const (
-	// repairShare is the part of the control budget that copies of flows may use;
-	// the rest is for probes and their riders.
+	// repairShare is the share of ControlBytes for replicating flows; the rest is for
+	// membership probes and the updates that they carry.
 	repairShare = 0.25
 	sourceHold  = 5 * time.Second
 	sourceGrace = 2 * time.Second
 	sourceRetry = 500 * time.Millisecond
 	fetchEvery  = 200 * time.Millisecond
 	busyKeep    = 10 * time.Second
-	// keyWindow is how long a request key is remembered; all processes agree on it.
-	keyWindow    = 10 * time.Minute
-	rosterGather = time.Second
-	rosterSilent = 5 * time.Second
-	ticksPerUnit = float64(time.Second)
+	// keyWindow is how long a request key is stored; it must be equal in all processes.
+	keyWindow            = 10 * time.Minute
+	rosterGather         = time.Second
+	rosterSilent         = 5 * time.Second
+	nanosecondsPerSecond = float64(time.Second)
 )
 
-// Wiring is the clock that all parts of a process share.
+// Wiring converts settings; Clock is shared by all components of a process.
 type Wiring struct{ Clock func() time.Time }
 
-// Balancer returns the settings of the entry VM's process.
+// Balancer returns the settings of a balancer.
 func (w Wiring) Balancer(s settings.Settings) (balancer.Settings, error) {
 	seeds, err := addresses(s.Balancer.Seeds)
 	if err != nil {
@@ -61,7 +61,7 @@
 				Self: s.Name, Zone: s.Zone, MaxFlows: b.MaxFlows, Settle: b.Settle.Value(),
 				OpeningTimeout: b.OpeningTimeout.Value(), IdleTimeout: b.IdleTimeout.Value(),
 				ClosingTimeout: b.ClosingTimeout.Value(), Lost: router.LostPolicy(b.Lost),
-				RepairBytes: int(repair * float64(b.Tick.Value()) / ticksPerUnit),
+				RepairBytes: int(repair * float64(b.Tick.Value()) / nanosecondsPerSecond),
 			},
 			Swim: swim.Settings{
 				Self:  swim.Member{Name: s.Name, Zone: s.Zone, Start: uint64(w.Clock().UnixNano())},
