--- a/internal/operator/document/doc.go
+++ b/internal/operator/document/doc.go
@@ -1,3 +1,3 @@
-// Package document reads the files that operators write: settings of a
-// process, or a configuration to apply.
+// Package document reads and validates files written by operators: settings of
+// a process, or a configuration to apply.
 package document
--- a/internal/operator/document/document.go
+++ b/internal/operator/document/document.go
@@ -12,13 +12,13 @@
 	"wasabideal/internal/setting/settings"
 )
 
-// Document is one checked file; exactly one field is set.
+// Document is the content of one file; exactly one field is set.
 type Document struct {
 	Settings      *settings.Settings
 	Configuration *configuration.Configuration
 }
 
-// InvalidError names the file of a wrong configuration.
+// InvalidError reports the file of an invalid configuration.
 type InvalidError struct {
 	File  string
 	Cause error
@@ -26,10 +26,10 @@
 
 func (e *InvalidError) Error() string { return e.File + ": " + e.Cause.Error() }
 
-// Unwrap returns what is wrong.
+// Unwrap returns the underlying error.
 func (e *InvalidError) Unwrap() error { return e.Cause }
 
-// Read reads and checks a file of either kind: a configuration has presets.
+// Read reads and validates a file. A file with the key Presets is a configuration, others are settings.
 func Read(file string) (Document, error) {
 	b, err := os.ReadFile(file)
 	if err != nil {
