--- a/internal/operator/exit/doc.go
+++ b/internal/operator/exit/doc.go
@@ -1,2 +1,2 @@
-// Package exit gives each kind of failure its exit status.
+// Package exit maps errors of commands to exit statuses.
 package exit
--- a/internal/operator/exit/exit.go
+++ b/internal/operator/exit/exit.go
@@ -10,10 +10,10 @@
 	"wasabideal/internal/setting/settings"
 )
 
-// Status is what a command returns to the shell.
+// Status is the exit status of a command.
 type Status int
 
-// The exit statuses; each tells a script what to do next.
+// Exit statuses, for scripts that choose the next step by them.
 const (
 	Done     Status = 0
 	Failed   Status = 1
@@ -22,15 +22,15 @@
 	Unknown  Status = 4
 )
 
-// Of returns the status of a command's error.
+// Of returns the exit status for the error of a command.
 func Of(err error) Status {
 	var (
-		conflict  *ledger.ConflictError
-		refused   *ledger.InvalidError
-		noLeader  *client.NoLeaderError
-		invalid   *check.InvalidError
-		wrong     *configuration.InvalidError
-		malformed *settings.MalformedError
+		conflict             *ledger.ConflictError
+		rejected             *ledger.InvalidError
+		noLeader             *client.NoLeaderError
+		invalidSettings      *check.InvalidError
+		invalidConfiguration *configuration.InvalidError
+		malformed            *settings.MalformedError
 	)
 	switch {
 	case err == nil:
@@ -39,7 +39,7 @@
 		return Conflict
 	case errors.As(err, &noLeader):
 		return Unknown
-	case errors.As(err, &refused), errors.As(err, &invalid), errors.As(err, &wrong), errors.As(err, &malformed):
+	case errors.As(err, &rejected), errors.As(err, &invalidSettings), errors.As(err, &invalidConfiguration), errors.As(err, &malformed):
 		return Usage
 	default:
 		return Failed
