--- a/internal/operator/client/client.go
+++ b/internal/operator/client/client.go
@@ -22,28 +22,28 @@
 
 type empty struct{}
 
-// Client asks any of several control voters.
+// Client calls a list of control voters in turn.
 type Client struct {
 	addresses []string
 	token     string
 }
 
-// New returns a client of the voters at these addresses.
+// New returns a client of the voters at the given addresses.
 func New(addresses []string, token string) *Client {
 	return &Client{addresses: addresses, token: token}
 }
 
-// NoLeaderError says that no voter could take a change in time.
+// NoLeaderError reports that no voter confirmed a change in time; the outcome is unknown.
 type NoLeaderError struct{ Last error }
 
 func (e *NoLeaderError) Error() string {
-	return fmt.Sprintf("no voter took the change in time, it may have been accepted all the same: send it again with the same change key; last answer: %v", e.Last)
+	return fmt.Sprintf("no voter confirmed the change in time, but it may have been accepted: send it again with the same change key; last response: %v", e.Last)
 }
 
-// Unwrap returns the last voter's error.
+// Unwrap returns the last error of a voter.
 func (e *NoLeaderError) Unwrap() error { return e.Last }
 
-// Change sends a change until a voter answers it; the change key makes that safe.
+// Change sends a change until a voter responds; the change key makes the retries idempotent.
 func (c *Client) Change(ctx context.Context, change ledger.Change) (ledger.Answer, error) {
 	var last error
 	for ctx.Err() == nil {
@@ -52,7 +52,7 @@
 			if err == nil {
 				return a, a.Err()
 			}
-			if final(err) {
+			if isFinal(err) {
 				return a, err
 			}
 			last = err
@@ -65,8 +65,8 @@
 	return ledger.Answer{}, &NoLeaderError{Last: last}
 }
 
-// final says whether asking another voter is of no use.
-func final(err error) bool {
+// isFinal reports whether other voters would return the same error.
+func isFinal(err error) bool {
 	var remote *rpc.RemoteError
 	if !errors.As(err, &remote) {
 		return false
@@ -74,7 +74,8 @@
 	return remote.Kind == "rpc.DeniedError" || remote.Kind == "voter.MissingKeyError"
 }
 
-// Current returns the configuration that the leader knows to be the newest.
+// Current returns the configuration that a voter confirms as the newest, or else the one with the
+// highest revision.
 func (c *Client) Current(ctx context.Context) (voter.Shown, error) {
 	var shown voter.Shown
 	var last error
@@ -97,7 +98,7 @@
 	return shown, last
 }
 
-// Evacuations returns the newest orders for availability zones that any voter knows.
+// Evacuations returns the evacuated availability zones at the highest revision of all voters.
 func (c *Client) Evacuations(ctx context.Context) (evacuation.Evacuations, error) {
 	var newest evacuation.Evacuations
 	var last error
@@ -119,7 +120,7 @@
 	return newest, last
 }
 
-// Audit returns the longest trail that a voter has.
+// Audit returns the longest audit trail of all voters.
 func (c *Client) Audit(ctx context.Context, last int) ([]audit.Line, error) {
 	var lines []audit.Line
 	var failed error
@@ -139,22 +140,22 @@
 	return lines, failed
 }
 
-// Voter returns one voter's report.
+// Voter returns the status of one voter.
 func (c *Client) Voter(ctx context.Context, address string) (voter.Report, error) {
 	return call[empty, voter.Report](ctx, address, c.token, voter.StatusMethod, empty{})
 }
 
-// RemoveVoter takes a voter out of the list for good.
+// RemoveVoter removes a voter from the voter list permanently.
 func (c *Client) RemoveVoter(ctx context.Context, name string) error {
-	return c.tellLeader(ctx, voter.RemoveMethod, name)
+	return c.callFirst(ctx, voter.RemoveMethod, name)
 }
 
-// Forget says that a balancer's last life is over, and its request keys with it.
+// Forget declares that the last incarnation of a balancer has ended and its request keys are lost.
 func (c *Client) Forget(ctx context.Context, name string) error {
-	return c.tellLeader(ctx, voter.ForgetMethod, name)
+	return c.callFirst(ctx, voter.ForgetMethod, name)
 }
 
-func (c *Client) tellLeader(ctx context.Context, method, name string) error {
+func (c *Client) callFirst(ctx context.Context, method, name string) error {
 	var last error
 	for _, address := range c.addresses {
 		if _, last = call[string, empty](ctx, address, c.token, method, name); last == nil {
@@ -164,12 +165,12 @@
 	return last
 }
 
-// Balancer returns one balancer's status.
+// Balancer returns the status of one balancer.
 func (c *Client) Balancer(ctx context.Context, address string) (reducer.Status, error) {
 	return call[empty, reducer.Status](ctx, address, c.token, balancer.StatusMethod, empty{})
 }
 
-// Drain begins a balancer's planned stop.
+// Drain starts the planned shutdown of a balancer.
 func (c *Client) Drain(ctx context.Context, address string) error {
 	_, err := call[empty, empty](ctx, address, c.token, balancer.DrainMethod, empty{})
 	return err
--- a/internal/operator/client/doc.go
+++ b/internal/operator/client/doc.go
@@ -1,2 +1,2 @@
-// Package client is how operators' commands reach control voters and balancers.
+// Package client calls control voters and balancers for the operators' commands.
 package client
