--- a/internal/start/stage/doc.go
+++ b/internal/start/stage/doc.go
@@ -1,2 +1,2 @@
-// Package stage is the interface of the steps that start a process.
+// Package stage defines and runs the stages of starting a process.
 package stage
--- a/internal/start/stage/stage.go
+++ b/internal/start/stage/stage.go
@@ -9,19 +9,19 @@
 	"github.com/samber/do/v2"
 )
 
-// Stage is one step of a start; it takes what earlier ones provided.
+// Stage is one step of starting a process; it uses the values that earlier stages provide.
 type Stage interface {
 	fmt.Stringer
 	Run(ctx context.Context, i do.Injector) error
 }
 
-// SkipError says that a stage has nothing to do here, and why.
+// SkipError reports that a stage does not apply to this process, and why.
 type SkipError struct{ Reason string }
 
 func (e *SkipError) Error() string { return e.Reason }
 
-// Run runs stages in order, passes over those that skip, and stops at the
-// first that fails.
+// Run runs stages in order, logs those that return a SkipError, and stops at the
+// first other error.
 func Run(ctx context.Context, i do.Injector, stages []Stage) error {
 	for _, s := range stages {
 		err := s.Run(ctx, i)
