--- a/internal/start/fill/doc.go
+++ b/internal/start/fill/doc.go
@@ -1,2 +1,2 @@
-// Package fill is the stage that fills in defaults.
+// Package fill implements the stage that sets the defaults of settings.
 package fill
--- a/internal/start/fill/fill.go
+++ b/internal/start/fill/fill.go
@@ -9,13 +9,13 @@
 	"wasabideal/internal/setting/settings"
 )
 
-// Stage applies the defaults' one pass.
+// Stage applies the defaults to the settings.
 type Stage struct{}
 
 // String names the stage.
 func (Stage) String() string { return "fill in defaults" }
 
-// Run replaces the settings by whole ones.
+// Run replaces the provided settings by those with defaults.
 func (Stage) Run(_ context.Context, i do.Injector) error {
 	s, err := do.Invoke[settings.Settings](i)
 	if err != nil {
