--- a/internal/start/logging/doc.go
+++ b/internal/start/logging/doc.go
@@ -1,2 +1,2 @@
-// Package logging is the stage that opens the log.
+// Package logging implements the stage that creates the logger.
 package logging
--- a/internal/start/logging/logging.go
+++ b/internal/start/logging/logging.go
@@ -10,7 +10,7 @@
 	"wasabideal/internal/setting/settings"
 )
 
-// Stage opens the log as JSON lines on standard error.
+// Stage creates a logger that writes JSON lines to standard error.
 type Stage struct{}
 
 // String names the stage.
