--- a/internal/start/read/doc.go
+++ b/internal/start/read/doc.go
@@ -1,2 +1,2 @@
-// Package read is the stage that reads the settings file.
+// Package read implements the stage that reads the settings file.
 package read
