--- a/internal/start/verify/doc.go
+++ b/internal/start/verify/doc.go
@@ -1,2 +1,2 @@
-// Package verify is the stage that checks settings.
+// Package verify implements the stage that validates the settings.
 package verify
--- a/internal/start/verify/verify.go
+++ b/internal/start/verify/verify.go
@@ -9,13 +9,13 @@
 	"wasabideal/internal/setting/settings"
 )
 
-// Stage checks the settings of one file.
+// Stage validates the settings of one file.
 type Stage struct{ File string }
 
 // String names the stage.
 func (Stage) String() string { return "check settings" }
 
-// Run returns the first key that cannot work.
+// Run returns an error for the first invalid key.
 func (s Stage) Run(_ context.Context, i do.Injector) error {
 	x, err := do.Invoke[settings.Settings](i)
 	if err != nil {
