--- a/internal/start/vote/vote.go
+++ b/internal/start/vote/vote.go
@@ -13,13 +13,13 @@
 	"wasabideal/internal/start/stage"
 )
 
-// Stage starts the voter where the role has one.
+// Stage starts the voter if the role includes one.
 type Stage struct{}
 
 // String names the stage.
 func (Stage) String() string { return "start voter" }
 
-// Run provides the running voter.
+// Run starts and provides the voter.
 func (Stage) Run(ctx context.Context, i do.Injector) error {
 	s := do.MustInvoke[settings.Settings](i)
 	log := do.MustInvoke[hclog.Logger](i)
@@ -32,6 +32,6 @@
 	}
 	c.Start(ctx)
 	do.ProvideValue(i, c)
-	log.Info("voter serves", "Rpc", c.Address())
+	log.Info("voter listening", "Rpc", c.Address())
 	return nil
 }
