--- a/internal/start/route/doc.go
+++ b/internal/start/route/doc.go
@@ -1,2 +1,2 @@
-// Package route is the stage that starts a balancer.
+// Package route implements the stage that starts a balancer.
 package route
--- a/internal/start/route/flusher.go
+++ b/internal/start/route/flusher.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// flusher lets a trace be written from one goroutine and flushed from another.
+// flusher is a buffered writer that one goroutine writes to and another one flushes.
 type flusher struct {
 	mu     sync.Mutex
 	buffer *bufio.Writer
@@ -22,7 +22,7 @@
 }
 
 func (f *flusher) run(ctx context.Context, file *os.File) {
-	t := time.NewTicker(traceFlush)
+	t := time.NewTicker(traceFlushInterval)
 	defer t.Stop()
 	for ctx.Err() == nil {
 		select {
--- a/internal/start/route/route.go
+++ b/internal/start/route/route.go
@@ -25,19 +25,19 @@
 )
 
 const (
-	storedFile = "configuration.json"
-	subfolder  = "balancer"
-	fileMode   = 0o640
-	traceFlush = time.Second
+	configurationFile  = "configuration.json"
+	subfolder          = "balancer"
+	fileMode           = 0o640
+	traceFlushInterval = time.Second
 )
 
-// Stage starts the balancer where the role has one.
+// Stage starts the balancer if the role includes one.
 type Stage struct{}
 
 // String names the stage.
 func (Stage) String() string { return "start balancer" }
 
-// Run provides the running balancer.
+// Run starts and provides the balancer.
 func (Stage) Run(ctx context.Context, i do.Injector) error {
 	s := do.MustInvoke[settings.Settings](i)
 	log := do.MustInvoke[hclog.Logger](i)
@@ -48,10 +48,10 @@
 	if err != nil {
 		return err
 	}
-	if err := keep(&x, s.DataFolder); err != nil {
+	if err := enableStore(&x, s.DataFolder); err != nil {
 		return err
 	}
-	if err := record(ctx, &x, s.Balancer.TraceFile); err != nil {
+	if err := enableTrace(ctx, &x, s.Balancer.TraceFile); err != nil {
 		return err
 	}
 	b, err := balancer.Listen(x, log.Named("balancer"))
@@ -61,21 +61,21 @@
 	b.Start(ctx)
 	do.ProvideValue(i, b)
 	a := b.Addresses()
-	log.Info("balancer serves", "Fabric", a.Fabric, "Peer", a.Peer, "Rpc", a.Rpc, "Admin", a.Admin)
+	log.Info("balancer listening", "Fabric", a.Fabric, "Peer", a.Peer, "Rpc", a.Rpc, "Admin", a.Admin)
 	return nil
 }
 
-// keep makes the balancer start with the last configuration, where it has a disk.
-func keep(x *balancer.Settings, path string) error {
+// enableStore makes the balancer start with the last stored configuration, if it has a data folder.
+func enableStore(x *balancer.Settings, path string) error {
 	if path == "" {
 		return nil
 	}
-	// A voter in the same process has the data folder itself.
+	// A voter in the same process locks the data folder itself.
 	f, err := local.Open(filepath.Join(path, subfolder))
 	if err != nil {
 		return err
 	}
-	b, err := f.ReadFile(storedFile)
+	b, err := f.ReadFile(configurationFile)
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return fmt.Errorf("read stored configuration: %w", err)
 	}
@@ -88,13 +88,13 @@
 		if err != nil {
 			return fmt.Errorf("encode configuration: %w", err)
 		}
-		return folder.Replace(f, storedFile, b)
+		return folder.Replace(f, configurationFile, b)
 	}
 	return nil
 }
 
-// record opens the trace file, flushed once a second and at the end.
-func record(ctx context.Context, x *balancer.Settings, file string) error {
+// enableTrace opens the trace file, which is flushed every second and at the end.
+func enableTrace(ctx context.Context, x *balancer.Settings, file string) error {
 	if file == "" {
 		return nil
 	}
