--- a/internal/start/wait/doc.go
+++ b/internal/start/wait/doc.go
@@ -1,2 +1,2 @@
-// Package wait is the stage that serves until a planned stop is asked for.
+// Package wait implements the stage that blocks until the planned shutdown and performs it.
 package wait
--- a/internal/start/wait/wait.go
+++ b/internal/start/wait/wait.go
@@ -13,14 +13,14 @@
 	"wasabideal/internal/daemon/control"
 )
 
-// Stage serves until SIGTERM or an operator asks for a planned stop; a second
-// SIGTERM ends it at once.
+// Stage blocks until SIGTERM, SIGINT or a request of an operator starts the planned
+// shutdown; a second signal aborts that of the balancer.
 type Stage struct{}
 
 // String names the stage.
 func (Stage) String() string { return "serve" }
 
-// Run returns when the process may end.
+// Run returns when the process may exit.
 func (Stage) Run(_ context.Context, i do.Injector) error {
 	log := do.MustInvoke[hclog.Logger](i)
 	signals := make(chan os.Signal, 2)
@@ -28,14 +28,14 @@
 	defer signal.Stop(signals)
 	b, noBalancer := do.Invoke[*balancer.Balancer](i)
 	c, noControl := do.Invoke[*control.Control](i)
-	var asked <-chan struct{}
+	var stopRequested <-chan struct{}
 	if noBalancer == nil {
-		asked = b.StopAsked()
+		stopRequested = b.StopAsked()
 	}
 	select {
 	case s := <-signals:
 		log.Info("planned stop begins", "Signal", s.String())
-	case <-asked:
+	case <-stopRequested:
 		log.Info("planned stop begins", "Signal", "operator")
 	}
 	var err error
