--- a/internal/disk/fault/fault.go
+++ b/internal/disk/fault/fault.go
@@ -53,8 +53,8 @@
 	return nil
 }
 
-// Crash discards unsynced names and data, except a random prefix of the data that each
-// file was given since its last sync, and disables failures.
+// Crash discards unsynced names and data, except a random prefix of the data written to
+// each file since its last sync, and disables failures.
 func (f *Folder) Crash() {
 	f.FailAt = 0
 	f.files = maps.Clone(f.durable)
