--- a/internal/cookie/follower/doc.go
+++ b/internal/cookie/follower/doc.go
@@ -1,3 +1,3 @@
-// Package follower keeps one long-lived question open at each voter that is
-// known, and hands what they answer to a balancer.
+// Package follower keeps a long poll open to every known voter, or to a parent balancer, and passes
+// the answers to a listener.
 package follower
--- a/internal/cookie/follower/fetcher.go
+++ b/internal/cookie/follower/fetcher.go
@@ -16,53 +16,53 @@
 )
 
 const (
-	// fetchTimeout bounds one fetch: a link of 2 Mbit/s that is busy otherwise
-	// takes about a second for a configuration of 2,000 routes.
+	// fetchTimeout bounds one fetch from a voter. A configuration of 2,000 routes takes about a
+	// second on a busy link of 2 Mbit/s.
 	fetchTimeout = 2 * time.Second
-	// passedOnTimeout bounds one from a balancer, which gives 3 kB at the most: 12 ms on a
-	// link of 2 Mbit/s, and more where it is busy. One that lost power never answers.
-	passedOnTimeout = 400 * time.Millisecond
-	// fetchPause is the pause before a source is asked again that failed, doubled up to
-	// fetchPauseMost while all go on failing.
-	fetchPause     = 50 * time.Millisecond
-	fetchPauseMost = time.Second
-	// missingAfter is how long a balancer goes without a configuration that it has heard of until
-	// its followers are told to fetch that elsewhere. Until then they would only ask the voters
-	// for what this one is about to have.
-	missingAfter = time.Second
+	// balancerFetchTimeout bounds one fetch from a balancer, which sends at most 3 kB: 12 ms on an
+	// idle link of 2 Mbit/s. A balancer that lost power never answers.
+	balancerFetchTimeout = 400 * time.Millisecond
+	// fetchBackoff is the pause before a failed source is retried. It doubles up to maxFetchBackoff
+	// while every source fails.
+	fetchBackoff    = 50 * time.Millisecond
+	maxFetchBackoff = time.Second
+	// unavailableAfter is how long a balancer may fail to get an announced configuration before it
+	// tells its followers to fetch it elsewhere. Earlier, the followers would ask the voters for a
+	// configuration that this balancer is about to receive.
+	unavailableAfter = time.Second
 )
 
-// fetcher gets configurations from one voter at a time.
+// fetcher fetches configurations from one source at a time.
 type fetcher struct {
 	token    string
 	listener Listener
 	log      hclog.Logger
 	mu       sync.Mutex
-	// voters are asked where a balancer that is followed does not give what it spoke of.
+	// voters returns the fallback sources for when a parent does not deliver the revision it
+	// announced.
 	voters func() []string
-	// told is the newest revision that each source spoke of; tried counts the fetches
-	// from it since one succeeded anywhere. A newer revision makes no source that failed
-	// better: while changes came in quick succession a balancer asked the one that it
-	// followed again for each of them, which never gave any, and held a configuration that
-	// had been replaced 5.5 s before.
-	told  map[string]uint64
-	tried map[string]int
-	wake  chan struct{}
-	// behind is since when a newer revision than lastHeld was known here, zero where none is.
-	behind   time.Time
-	lastHeld uint64
+	// available is the newest revision that each source announced; attempts counts the fetches from
+	// a source since the last successful fetch from any. A newer revision does not reset the count:
+	// during a series of quick changes a balancer kept retrying a parent that never delivered, and
+	// held a configuration replaced 5.5 s earlier.
+	available map[string]uint64
+	attempts  map[string]int
+	wake      chan struct{}
+	// behindSince is when a revision newer than lastHeld became known, zero if there is none.
+	behindSince time.Time
+	lastHeld    uint64
 }
 
 func newFetcher(token string, l Listener, voters func() []string, log hclog.Logger) *fetcher {
 	return &fetcher{
-		voters: voters, token: token, listener: l, log: log, told: map[string]uint64{}, tried: map[string]int{}, wake: make(chan struct{}, 1),
+		voters: voters, token: token, listener: l, log: log, available: map[string]uint64{}, attempts: map[string]int{}, wake: make(chan struct{}, 1),
 	}
 }
 
-// tell notes that a voter has a revision.
-func (f *fetcher) tell(address string, revision uint64) {
+// noteRevision records the revision that a source announced.
+func (f *fetcher) noteRevision(address string, revision uint64) {
 	f.mu.Lock()
-	f.told[address] = max(f.told[address], revision)
+	f.available[address] = max(f.available[address], revision)
 	f.mu.Unlock()
 	select {
 	case f.wake <- struct{}{}:
@@ -70,62 +70,63 @@
 	}
 }
 
-// revision returns the newest revision that a source spoke of.
+// revision returns the newest revision that a source announced.
 func (f *fetcher) revision(address string) uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.told[address]
+	return f.available[address]
 }
 
-// missing returns the newest revision heard of, if this balancer has got no newer one than it
-// holds for some time: it is cut off from those who have it. 0 otherwise.
-func (f *fetcher) missing(now time.Time, held uint64) uint64 {
+// unavailableRevision returns the newest announced revision if this balancer has made no progress
+// towards it for unavailableAfter, that is, if it is cut off from the sources that have it. It
+// returns 0 otherwise.
+func (f *fetcher) unavailableRevision(now time.Time, held uint64) uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	newest := uint64(0)
-	for _, revision := range f.told {
+	for _, revision := range f.available {
 		newest = max(newest, revision)
 	}
 	switch {
 	case newest <= held:
-		f.behind = time.Time{}
+		f.behindSince = time.Time{}
 		return 0
-	case f.behind.IsZero() || held > f.lastHeld:
-		f.behind, f.lastHeld = now, held
+	case f.behindSince.IsZero() || held > f.lastHeld:
+		f.behindSince, f.lastHeld = now, held
 	}
-	if now.Sub(f.behind) < missingAfter {
+	if now.Sub(f.behindSince) < unavailableAfter {
 		return 0
 	}
 	return newest
 }
 
-// next returns a source that has more than what is held, least tried first, and of those
-// the one with the newest, and whether it was tried before.
-func (f *fetcher) next(held uint64) (string, bool) {
+// nextSource returns a source with a revision newer than held, and whether it was tried before. It
+// prefers the fewest attempts, then the newest revision.
+func (f *fetcher) nextSource(held uint64) (string, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	best := ""
-	for address, revision := range f.told {
+	for address, revision := range f.available {
 		if revision <= held {
 			continue
 		}
-		fewer := f.tried[address] < f.tried[best]
-		if best == "" || fewer || f.tried[address] == f.tried[best] && revision > f.told[best] {
+		fewer := f.attempts[address] < f.attempts[best]
+		if best == "" || fewer || f.attempts[address] == f.attempts[best] && revision > f.available[best] {
 			best = address
 		}
 	}
 	if best == "" {
 		return "", false
 	}
-	f.tried[best]++
-	return best, f.tried[best] > 1
+	f.attempts[best]++
+	return best, f.attempts[best] > 1
 }
 
-// succeeded notes that a source gave what it spoke of.
-func (f *fetcher) succeeded() {
+// resetAttempts clears the attempt counts after a successful fetch.
+func (f *fetcher) resetAttempts() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	clear(f.tried)
+	clear(f.attempts)
 }
 
 func (f *fetcher) run(ctx context.Context) {
@@ -139,12 +140,12 @@
 	}
 }
 
-// fetchAll fetches until nobody has more than what is held.
+// fetchAll fetches until no source has a newer configuration.
 func (f *fetcher) fetchAll(ctx context.Context) {
-	pause := fetchPause
+	pause := fetchBackoff
 	for {
 		held := f.listener.Held().Revision
-		address, again := f.next(held)
+		address, again := f.nextSource(held)
 		if address == "" {
 			return
 		}
@@ -154,56 +155,57 @@
 				return
 			case <-time.After(pause):
 			}
-			pause = min(2*pause, fetchPauseMost)
+			pause = min(2*pause, maxFetchBackoff)
 		}
 		if err := f.fetch(ctx, address); err != nil {
-			f.askVoters(address)
-			f.log.Warn("configuration not fetched", "Address", address, "Error", err)
+			f.fallBackToVoters(address)
+			f.log.Warn("failed to fetch configuration", "Address", address, "Error", err)
 			continue
 		}
 		if f.listener.Held().Revision == held {
-			// It counts as tried: asked again at once, and for ever, it would keep both busy.
-			f.askVoters(address)
+			// The source counts as tried; an immediate retry would loop and keep both sides busy.
+			f.fallBackToVoters(address)
 			continue
 		}
-		f.succeeded()
-		pause = fetchPause
+		f.resetAttempts()
+		pause = fetchBackoff
 	}
 }
 
-// askVoters lets the voters be asked for what a source spoke of and did not give. A
-// balancer gives only what is small: several followers would take a large configuration
-// over its narrow link.
-func (f *fetcher) askVoters(address string) {
+// fallBackToVoters makes the voters candidates for a revision that a source announced and did not
+// deliver. Balancers serve small configurations only: a large one for several followers would fill
+// a balancer's narrow link.
+func (f *fetcher) fallBackToVoters(address string) {
 	revision := f.revision(address)
 	for _, v := range f.voters() {
 		if v != address {
-			f.tell(v, revision)
+			f.noteRevision(v, revision)
 		}
 	}
 }
 
-// timeout bounds a fetch from a source.
+// timeout returns the time limit of a fetch from a source.
 func (f *fetcher) timeout(address string) time.Duration {
 	if slices.Contains(f.voters(), address) {
 		return fetchTimeout
 	}
-	return passedOnTimeout
+	return balancerFetchTimeout
 }
 
-// fetch gets what leads from the held configuration to the voter's newest.
+// fetch gets the newest configuration of a source, as the difference to the held one where
+// possible.
 func (f *fetcher) fetch(ctx context.Context, address string) error {
 	ctx, cancel := context.WithTimeout(ctx, f.timeout(address))
 	defer cancel()
 	client := rpc.NewClient(address, f.token)
 	defer client.Close()
 	held := f.listener.Held()
-	c, err := ask(ctx, client, held, held.Revision)
+	c, err := requestConfiguration(ctx, client, held, held.Revision)
 	var gap *history.GapError
 	var digest *history.DigestError
 	if errors.As(err, &gap) || errors.As(err, &digest) {
-		f.log.Warn("configuration cannot be followed", "Address", address, "Error", err)
-		c, err = ask(ctx, client, held, 0)
+		f.log.Warn("cannot apply configuration difference, fetching the whole", "Address", address, "Error", err)
+		c, err = requestConfiguration(ctx, client, held, 0)
 	}
 	if err != nil {
 		return err
@@ -212,7 +214,7 @@
 	return nil
 }
 
-func ask(ctx context.Context, client *rpc.Client, held configuration.Configuration, revision uint64) (configuration.Configuration, error) {
+func requestConfiguration(ctx context.Context, client *rpc.Client, held configuration.Configuration, revision uint64) (configuration.Configuration, error) {
 	a, err := rpc.Call[uint64, history.Answer](ctx, client, feed.ConfigurationMethod, revision)
 	if err != nil {
 		return held, err
--- a/internal/cookie/follower/fetcher_test.go
+++ b/internal/cookie/follower/fetcher_test.go
@@ -8,53 +8,51 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Symptom: a balancer placed a flow by a configuration that had been replaced 5.5 s before,
-// where 5 are allowed.
-// Events: changes come in quick succession. The balancer's parent loses power just after it
-// spoke of the first one; the next parent has just started and passes on no configuration,
-// and speaks of each further change.
-// Cause: the fetch from the first took 2 s; each further change made the second one count as
-// not tried yet, and after each of its refusals came a pause that doubled up to a second.
-func TestSourceThatFailedIsAskedAfterAllOthers(t *testing.T) {
+// Guards against a balancer that places flows by a configuration replaced 5.5 s earlier, where 5 s
+// are allowed. During a series of quick changes its parent lost power after it announced the first
+// one, and the fetch took 2 s to time out. The next parent had just started and served no
+// configuration. Each further change reset its attempt count, and each refusal doubled the pause,
+// up to a second.
+func TestFailedSourceIsRetriedLast(t *testing.T) {
 	f := newFetcher("", nil, func() []string { return []string{"voter"} }, hclog.NewNullLogger())
-	f.tell("dead", 8)
-	address, again := f.next(4)
+	f.noteRevision("dead", 8)
+	address, again := f.nextSource(4)
 	require.Equal(t, "dead", address)
 	require.False(t, again)
-	f.askVoters("dead")
-	f.tell("oversize", 8)
+	f.fallBackToVoters("dead")
+	f.noteRevision("oversize", 8)
 	seen := map[string]bool{}
 	for revision := uint64(11); revision < 13; revision++ {
-		f.tell("oversize", revision)
-		address, again = f.next(4)
-		require.False(t, again, "no pause while one was not tried")
+		f.noteRevision("oversize", revision)
+		address, again = f.nextSource(4)
+		require.False(t, again, "no pause while an untried source remains")
 		seen[address] = true
 	}
 	require.Equal(t, map[string]bool{"oversize": true, "voter": true}, seen)
-	_, again = f.next(4)
-	require.True(t, again, "a pause comes before any is asked again")
-	f.succeeded()
-	_, again = f.next(4)
+	_, again = f.nextSource(4)
+	require.True(t, again, "a retry is preceded by a pause")
+	f.resetAttempts()
+	_, again = f.nextSource(4)
 	require.False(t, again)
 	require.Less(t, f.timeout("dead"), f.timeout("voter")/2)
 }
 
-// Guards against a balancer that is cut off from the voters, and hides from its followers that
-// there is a configuration which it cannot get and they can.
-func TestRevisionThatCannotBeGotIsToldToFollowers(t *testing.T) {
+// Guards against a balancer that is cut off from the voters and does not tell its followers about a
+// configuration that it cannot get and they can.
+func TestUnavailableRevisionIsReported(t *testing.T) {
 	f := newFetcher("", nil, func() []string { return nil }, hclog.NewNullLogger())
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	at := func(ms int) time.Time { return now.Add(time.Duration(ms) * time.Millisecond) }
-	f.tell("parent", 4)
-	require.Zero(t, f.missing(at(0), 4))
-	f.tell("parent", 10)
-	require.Zero(t, f.missing(at(100), 4), "it is about to get it")
-	f.tell("parent", 12)
-	require.Zero(t, f.missing(at(1000), 4))
-	require.Equal(t, uint64(12), f.missing(at(1100), 4))
-	require.Zero(t, f.missing(at(1200), 10), "it gets some")
-	require.Equal(t, uint64(12), f.missing(at(2200), 10))
-	require.Zero(t, f.missing(at(2300), 12))
-	f.tell("parent", 13)
-	require.Zero(t, f.missing(at(3400), 12))
+	f.noteRevision("parent", 4)
+	require.Zero(t, f.unavailableRevision(at(0), 4))
+	f.noteRevision("parent", 10)
+	require.Zero(t, f.unavailableRevision(at(100), 4), "the fetch may still succeed")
+	f.noteRevision("parent", 12)
+	require.Zero(t, f.unavailableRevision(at(1000), 4))
+	require.Equal(t, uint64(12), f.unavailableRevision(at(1100), 4))
+	require.Zero(t, f.unavailableRevision(at(1200), 10), "progress restarts the timer")
+	require.Equal(t, uint64(12), f.unavailableRevision(at(2200), 10))
+	require.Zero(t, f.unavailableRevision(at(2300), 12))
+	f.noteRevision("parent", 13)
+	require.Zero(t, f.unavailableRevision(at(3400), 12))
 }
--- a/internal/cookie/follower/follower.go
+++ b/internal/cookie/follower/follower.go
@@ -27,104 +27,105 @@
 )
 
 const (
-	// hold is how long a voter may keep a question without news. It is the time
-	// in which a connection that went silent is noticed, together with grace.
-	hold = 800 * time.Millisecond
-	// grace is the time beyond hold after which an answer is given up: several
-	// round trips to the farthest zone, and a slow voter's turn.
-	grace = 700 * time.Millisecond
-	// forgetAfter is how long a voter that no other names any more is asked in vain.
-	forgetAfter = 30 * time.Second
-	// nearMost is how many voters of the own zone suffice beside those of the settings.
-	nearMost = 2
-	// steerEvery is the pace at which whom to follow is looked at without an event.
-	steerEvery = 100 * time.Millisecond
+	// voterHold is how long a voter may hold a long poll when nothing has changed. Together with
+	// voterGrace it is the time to detect a dead connection.
+	voterHold = 800 * time.Millisecond
+	// voterGrace is the time beyond voterHold after which a poll times out. It covers several round
+	// trips to the farthest zone and the scheduling delay of a slow voter.
+	voterGrace = 700 * time.Millisecond
+	// voterExpiry is how long a failing voter is still polled after the last source listed it.
+	voterExpiry = 30 * time.Second
+	// maxLocalVoters is how many voters of the own zone are polled in addition to the seeds while a
+	// subset of the voters is enough.
+	maxLocalVoters = 2
+	// reconcileInterval is the interval at which the sources are re-evaluated without an event.
+	reconcileInterval = 100 * time.Millisecond
 )
 
-// ContactLease is how long a voter's word on who is alive holds: two questions that
-// got no answer.
-const ContactLease = 2 * (hold + grace)
+// ContactLease is how long a voter's report of which upstreams are alive remains valid: the time of
+// two polls without an answer.
+const ContactLease = 2 * (voterHold + voterGrace)
 
-// Listener takes what voters say; calls come one at a time, those of configurations from
-// several goroutines.
+// Listener receives the answers of the sources. Its methods are called one at a time, except those
+// for configurations, which several goroutines call.
 type Listener interface {
 	// Held returns the configuration in force.
 	Held() configuration.Configuration
-	// Informed says that upstreams are known already.
+	// Informed reports whether any upstreams are known.
 	Informed() bool
-	// Offered takes a configuration of the voter or balancer at an address.
+	// Offered receives a configuration from the voter or balancer at an address.
 	Offered(address string, c configuration.Configuration)
-	// Answered takes what a voter said.
+	// Answered receives the state that a voter sent.
 	Answered(now time.Time, x origins.Origin)
-	// Evacuations returns the orders for availability zones in force, and Evacuated takes
-	// those that the voter or balancer at an address holds. They are offered before all else
-	// in the same answer, so that no flow is placed by it without them.
+	// Evacuations returns the evacuation orders in force, and Evacuated receives those of the voter
+	// or balancer at an address. Evacuated is called before the rest of the same answer is applied,
+	// so that no flow is placed by that answer without them.
 	Evacuations() evacuation.Evacuations
 	Evacuated(address string, e evacuation.Evacuations)
 }
 
-// Settings of a follower.
+// Settings configures a follower.
 type Settings struct {
 	Token string
-	// From names the balancer to voters, and is empty for a voter.
+	// From identifies the balancer to voters; it is empty if the follower runs in a voter.
 	From  string
 	Clock func() time.Time
-	// Self is the balancer as others may follow it; it follows voters only where that is
-	// not set.
+	// Self describes this balancer to its followers. Without an address, only voters are followed.
 	Self member.Member
-	// Shape is that of the tree of a zone's balancers.
+	// Shape is the shape of the zone's fan-out tree.
 	Shape tree.Shape
-	// StaleAfter is how old what a parent passes on of most voters may become.
+	// StaleAfter is the maximum age of a voter's state, relayed by a parent, that still counts as
+	// fresh.
 	StaleAfter time.Duration
 }
 
-// Follower asks voters, or a balancer that asks them.
+// Follower polls the voters, or a parent balancer that relays their state.
 type Follower struct {
 	settings Settings
 	log      hclog.Logger
 	listener Listener
-	// taking orders what comes from several sources.
-	taking sync.Mutex
-	mu     sync.Mutex
-	ctx    context.Context
-	// watches are the sources that are asked, by their addresses.
+	// applying serializes the answers of several sources.
+	applying sync.Mutex
+	mu       sync.Mutex
+	ctx      context.Context
+	// watches holds the polled sources by address.
 	watches map[string]*watch
-	// named are the voters, with when they were last named as such; seeds are those of the
-	// settings.
-	named   map[string]time.Time
-	seeds   map[string]bool
-	origins *origins.Origins
-	// turn is which voter is asked after the start.
-	turn turn.Turn
-	// selection is nil where only voters are followed.
+	// voterSeen maps each known voter to the time when a source last listed it; seeds are the
+	// voters from the settings.
+	voterSeen map[string]time.Time
+	seeds     map[string]bool
+	origins   *origins.Origins
+	// bootstrap decides which voter is polled first after the start.
+	bootstrap turn.Sequencer
+	// selection is nil if only voters are followed.
 	selection *selection.Selection
 	census    *census.Census
-	// followers are the balancers that follow this one, directly or not.
+	// followers are the direct and indirect followers of this balancer.
 	followers *members.Members
 	fetcher   *fetcher
 	pool      *pool.Pool
 	running   sync.WaitGroup
 }
 
-// watch is one source that is asked.
+// watch is one polled source.
 type watch struct {
-	// voter says that it is a voter, and not a balancer.
+	// voter is false if the source is a balancer.
 	voter bool
-	end   context.CancelFunc
-	// answers says that it answered the last question.
+	stop  context.CancelFunc
+	// answers is whether the last poll was answered.
 	answers bool
-	// balancers is how many balancers of all zones it knows.
+	// balancers is the number of balancers in all zones that the source knows.
 	balancers int
 	uplink    *uplink
 }
 
-// New returns a follower that begins with Start.
+// New returns a follower; Start starts it.
 func New(s Settings, l Listener, log hclog.Logger) *Follower {
 	f := &Follower{
-		settings: s, log: log, listener: l, watches: map[string]*watch{}, named: map[string]time.Time{},
+		settings: s, log: log, listener: l, watches: map[string]*watch{}, voterSeen: map[string]time.Time{},
 		origins: origins.New(), census: census.New(), followers: members.New(), pool: pool.New(s.Token),
 	}
-	f.fetcher = newFetcher(s.Token, l, f.voters, log)
+	f.fetcher = newFetcher(s.Token, l, f.knownVoters, log)
 	if s.Self.Address != "" {
 		f.selection = selection.New(selection.Settings{
 			Self: s.Self.Address, Shape: s.Shape, StaleAfter: s.StaleAfter, Jitter: jitter(s.Self.Address),
@@ -133,7 +134,7 @@
 	return f
 }
 
-// Start begins to ask; it ends with the context.
+// Start starts polling and runs until ctx is done.
 func (f *Follower) Start(ctx context.Context, voters []string) {
 	f.ctx = ctx
 	f.running.Add(2)
@@ -143,38 +144,38 @@
 	}()
 	go func() {
 		defer f.running.Done()
-		f.keepTime()
+		f.runReconciler()
 	}()
 	f.Name(voters)
 }
 
-// Wait returns when all asking has ended.
+// Wait blocks until all goroutines have ended.
 func (f *Follower) Wait() {
 	f.running.Wait()
 	f.pool.Close()
 }
 
-// Name takes the voters' addresses that the settings name.
+// Name sets the voter addresses from the settings (the seeds).
 func (f *Follower) Name(voters []string) {
 	f.mu.Lock()
 	f.seeds = lo.SliceToMap(voters, func(a string) (string, bool) { return a, true })
 	f.mu.Unlock()
-	f.hearOf(voters)
+	f.addVoters(voters)
 }
 
-// hearOf notes voters' addresses that others tell.
-func (f *Follower) hearOf(voters []string) {
+// addVoters records voter addresses that a source listed.
+func (f *Follower) addVoters(voters []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.settings.Clock()
 	for _, a := range voters {
-		f.named[a] = now
+		f.voterSeen[a] = now
 	}
-	f.steer(now)
+	f.reconcile(now)
 }
 
-func (f *Follower) keepTime() {
-	t := time.NewTicker(steerEvery)
+func (f *Follower) runReconciler() {
+	t := time.NewTicker(reconcileInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -186,42 +187,43 @@
 		now := f.settings.Clock()
 		f.followers.Tick(now)
 		if f.census.Tick(now) {
-			f.selection.Fleet(now, f.census.Addresses())
+			f.selection.UpdateZone(now, f.census.Addresses())
 		}
-		f.steer(now)
+		f.reconcile(now)
 		f.mu.Unlock()
 	}
 }
 
-// steer asks whom the selection names, and ends the other questions; the lock is held.
-func (f *Follower) steer(now time.Time) {
+// reconcile starts watches for newly selected sources and stops those for the others. The caller
+// holds the lock.
+func (f *Follower) reconcile(now time.Time) {
 	if f.ctx == nil || f.ctx.Err() != nil {
 		return
 	}
-	sources := f.sources(now)
-	wanted := f.wanted(sources)
-	for a := range f.named {
+	sources := f.selectSources(now)
+	wanted := f.wantedSources(sources)
+	for a := range f.voterSeen {
 		if !wanted[a] {
-			f.forget(now, a)
+			f.expireVoter(now, a)
 		}
 	}
 	for a, w := range f.watches {
 		if !wanted[a] {
-			w.end()
+			w.stop()
 			delete(f.watches, a)
 			f.census.Drop(now, a)
 		}
 	}
 	for a := range wanted {
 		if f.watches[a] == nil {
-			_, voter := f.named[a]
-			f.begin(a, voter)
+			_, voter := f.voterSeen[a]
+			f.startWatch(a, voter)
 		}
 	}
 }
 
-// wanted returns the addresses of the sources.
-func (f *Follower) wanted(s selection.Sources) map[string]bool {
+// wantedSources returns the addresses to poll.
+func (f *Follower) wantedSources(s selection.Sources) map[string]bool {
 	out := map[string]bool{}
 	for _, a := range s.Parents {
 		out[a] = true
@@ -229,96 +231,96 @@
 	if !s.Voters {
 		return out
 	}
-	if first := f.firstSeed(); s.One && first != "" {
+	if first := f.startupSeed(); s.SingleVoter && first != "" {
 		out[first] = true
 		return out
 	}
-	few := f.few()
-	for a := range f.named {
-		if !s.Few || few[a] || len(few) == 0 {
+	subset := f.voterSubset()
+	for a := range f.voterSeen {
+		if !s.VoterSubset || subset[a] || len(subset) == 0 {
 			out[a] = true
 		}
 	}
 	return out
 }
 
-// few returns the voters that suffice for a while: those of the settings, and some of the own
-// zone, which are in reach where the zone is cut off.
-func (f *Follower) few() map[string]bool {
+// voterSubset returns the voters that are enough for a limited time: the seeds, and some voters of
+// the own zone, which stay reachable if the zone is cut off.
+func (f *Follower) voterSubset() map[string]bool {
 	out := map[string]bool{}
 	maps.Copy(out, f.seeds)
-	near := lo.Filter(lo.Keys(f.named), func(a string, _ int) bool {
+	local := lo.Filter(lo.Keys(f.voterSeen), func(a string, _ int) bool {
 		return !f.seeds[a] && f.origins.Zone(a) == f.settings.Self.Zone
 	})
-	slices.SortFunc(near, func(a, b string) int {
+	slices.SortFunc(local, func(a, b string) int {
 		return cmp.Compare(hash(a+f.settings.From), hash(b+f.settings.From))
 	})
-	for _, a := range near[:min(len(near), nearMost)] {
+	for _, a := range local[:min(len(local), maxLocalVoters)] {
 		out[a] = true
 	}
 	return out
 }
 
-// firstSeed returns the voter of the settings that suffices for a start, empty where none
-// has told all that it takes yet. Each balancer has its own: a fleet that restarts would
-// otherwise hold connections to all voters for each of its balancers.
-func (f *Follower) firstSeed() string {
-	first := ""
-	if !f.turn.Over() {
-		return first
+// startupSeed returns the one seed to poll during startup, or "" until a voter has sent a complete
+// state. The choice is hashed per balancer; without it, every balancer of a restarting fleet would
+// hold connections to all voters.
+func (f *Follower) startupSeed() string {
+	chosen := ""
+	if !f.bootstrap.Done() {
+		return chosen
 	}
 	for a := range f.seeds {
 		if w := f.watches[a]; w == nil || !w.answers {
 			continue
 		}
-		if first == "" || hash(a+f.settings.From) < hash(first+f.settings.From) {
-			first = a
+		if chosen == "" || hash(a+f.settings.From) < hash(chosen+f.settings.From) {
+			chosen = a
 		}
 	}
-	return first
+	return chosen
 }
 
-// sources returns whom to ask, and logs what changed.
-func (f *Follower) sources(now time.Time) selection.Sources {
+// selectSources returns the sources to poll and logs a change of parent.
+func (f *Follower) selectSources(now time.Time) selection.Sources {
 	if f.selection == nil {
 		return selection.Sources{Voters: true}
 	}
-	f.selection.Voters(now, f.answering(), len(f.named))
-	f.selection.Probed(now)
-	if c, changed := f.selection.Changed(); changed {
+	f.selection.UpdateVoters(now, f.countAnsweringVoters(), len(f.voterSeen))
+	f.selection.EvaluateProbe(now)
+	if c, changed := f.selection.TakeChange(); changed {
 		f.log.Info("follows", "Parent", c.Parent, "Reason", string(c.Reason), "Level", f.selection.Level(),
 			"Balancers", len(f.census.Members()), "FreshVoters", f.origins.Fresh(now, f.settings.StaleAfter))
 	}
 	return f.selection.Decide(now)
 }
 
-// answering counts the voters that answer here.
-func (f *Follower) answering() int {
+// countAnsweringVoters returns how many voters answered their last poll.
+func (f *Follower) countAnsweringVoters() int {
 	return lo.CountBy(lo.Values(f.watches), func(w *watch) bool { return w.voter && w.answers })
 }
 
-// voters returns the addresses of all voters known.
-func (f *Follower) voters() []string {
+// knownVoters returns the addresses of all known voters.
+func (f *Follower) knownVoters() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return lo.Keys(f.named)
+	return lo.Keys(f.voterSeen)
 }
 
-// forget drops a voter that is not named any more.
-func (f *Follower) forget(now time.Time, voter string) {
-	if now.Sub(f.named[voter]) >= forgetAfter {
-		delete(f.named, voter)
+// expireVoter removes a voter that no source has listed for voterExpiry.
+func (f *Follower) expireVoter(now time.Time, voter string) {
+	if now.Sub(f.voterSeen[voter]) >= voterExpiry {
+		delete(f.voterSeen, voter)
 		f.origins.Forget(voter)
 	}
 }
 
-// begin asks a source from now on; the lock is held.
-func (f *Follower) begin(address string, voter bool) {
+// startWatch starts polling a source. The caller holds the lock.
+func (f *Follower) startWatch(address string, voter bool) {
 	ctx, cancel := context.WithCancel(f.ctx)
-	w := &watch{voter: voter, end: cancel}
+	w := &watch{voter: voter, stop: cancel}
 	w.uplink = &uplink{
 		token: f.settings.Token, to: address, clock: f.settings.Clock, log: f.log, wake: make(chan struct{}, 1),
-		attendance: func() []members.Attendance { return f.attendance(address) },
+		followerReport: func() []members.Attendance { return f.followerReport(address) },
 	}
 	f.watches[address] = w
 	f.running.Add(2)
@@ -330,16 +332,16 @@
 		defer f.running.Done()
 		defer cancel()
 		if voter {
-			f.askVoter(ctx, address, w)
+			f.pollVoter(ctx, address, w)
 		} else {
-			f.askParent(ctx, address)
+			f.pollParent(ctx, address)
 		}
 	}()
 }
 
-// upward are the sources that are told what this balancer knows: its parent, or the voters
-// that answer; the lock is held.
-func (f *Follower) upward() []string {
+// reportTargets returns the addresses that receive reports from this balancer: its parent, or the
+// voters that answer. The caller holds the lock.
+func (f *Follower) reportTargets() []string {
 	if f.selection != nil && f.selection.Parent() != "" {
 		return []string{f.selection.Parent()}
 	}
@@ -352,36 +354,35 @@
 	return out
 }
 
-// Report reports upstreams that do not answer, or do again.
+// Report reports upstreams that stopped or resumed answering.
 func (f *Follower) Report(events []word.Event) {
 	f.Pass(word.Report{From: f.settings.From, Events: events})
 }
 
-// Pass tells what a balancer saw that follows this one. Voters are told of the upstreams whose
-// evidence they weigh.
+// Pass forwards a follower's report. Each voter receives only the upstreams whose evidence it
+// evaluates.
 func (f *Follower) Pass(r word.Report) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	up := f.upward()
-	shares := witness.Share(up, r.Events)
-	for _, a := range up {
+	targets := f.reportTargets()
+	shares := witness.Share(targets, r.Events)
+	for _, a := range targets {
 		if w := f.watches[a]; w != nil && len(shares[a]) > 0 {
-			w.uplink.tell(r.From, shares[a])
+			w.uplink.enqueue(r.From, shares[a])
 		}
 	}
 }
 
-// Peers returns the addresses of the balancers of this one's zone, itself among them once it
-// is known there.
+// Peers returns the addresses of the balancers in the own zone, including this one once the sources
+// list it.
 func (f *Follower) Peers() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.census.Addresses()
 }
 
-// Balancers is how many balancers of all zones are known, 0 where that is not known.
-// Sources that restarted hear of the fleet again within some seconds: the one that knows
-// most counts.
+// Balancers returns the number of balancers in all zones, 0 if unknown. A restarted source needs
+// some seconds to relearn the fleet, so the largest count of any source is used.
 func (f *Follower) Balancers() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -396,8 +397,8 @@
 	return most
 }
 
-// sized notes how many balancers a source knows.
-func (f *Follower) sized(address string, balancers int) {
+// setFleetSize records how many balancers a source knows.
+func (f *Follower) setFleetSize(address string, balancers int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if w := f.watches[address]; w != nil {
@@ -407,5 +408,5 @@
 
 func hash(s string) uint64 { return xxhash.Sum64String(s) }
 
-// jitter returns a number between 0 and 1 that differs between balancers.
+// jitter returns a value in [0, 1) derived from the balancer's address.
 func jitter(address string) float64 { return float64(hash(address)%1000) / 1000 }
--- a/internal/cookie/follower/follower_test.go
+++ b/internal/cookie/follower/follower_test.go
@@ -26,16 +26,16 @@
 	"wasabideal/internal/wire/rpc"
 )
 
-// voter answers a follower's questions as a real one does.
+// voter answers polls as a real voter does.
 type voter struct {
 	address string
 	feed    *feed.Feed
 	history history.History
 	mu      sync.Mutex
 	fetched int
-	// begun counts the questions of balancers that had heard nothing.
-	begun int
-	// stuck voters never answer with a configuration.
+	// begun counts the polls of balancers without any state from this voter.
+	initialPolls int
+	// stuck makes the voter hang on every configuration fetch.
 	stuck bool
 }
 
@@ -50,7 +50,7 @@
 	rpc.Handle(s, feed.SinceMethod, "group", func(ctx context.Context, q feed.Question) (feed.Answer, error) {
 		v.mu.Lock()
 		if q.Life == 0 {
-			v.begun++
+			v.initialPolls++
 		}
 		v.mu.Unlock()
 		return v.feed.Since(ctx, q), nil
@@ -80,14 +80,14 @@
 	return v.fetched
 }
 
-// listener keeps what it was told.
+// listener records what it receives.
 type listener struct {
 	mu      sync.Mutex
 	held    configuration.Configuration
 	notices map[string]int
-	// informed is set with the first upstream, where notes is.
-	informed, notes bool
-	evacuations     evacuation.Evacuations
+	// informed is set on the first upstream, if notes is set.
+	informed, marksInformed bool
+	evacuations             evacuation.Evacuations
 }
 
 func (l *listener) Evacuations() evacuation.Evacuations {
@@ -124,19 +124,21 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.notices[x.Voter] += len(x.Notices)
-	l.informed = l.informed || l.notes && len(x.Notices) > 0
+	l.informed = l.informed || l.marksInformed && len(x.Notices) > 0
 }
 
-func (l *listener) heard(address string) int {
+func (l *listener) noticesFrom(address string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.notices[address]
 }
 
-func follow(t *testing.T, addresses ...string) *listener { return followFrom(t, 1, addresses...) }
+func startFollower(t *testing.T, addresses ...string) *listener {
+	return startFollowerHolding(t, 1, addresses...)
+}
 
-// followFrom follows with a configuration that is held already, none for revision 0.
-func followFrom(t *testing.T, revision uint64, addresses ...string) *listener {
+// followFrom starts a follower that already holds a revision of the configuration, none for 0.
+func startFollowerHolding(t *testing.T, revision uint64, addresses ...string) *listener {
 	l := &listener{notices: map[string]int{}, held: configuration.Configuration{Revision: revision}}
 	f := follower.New(follower.Settings{Token: "group", From: "balancer", Clock: time.Now}, l, hclog.NewNullLogger())
 	ctx, cancel := context.WithCancel(context.Background())
@@ -152,27 +154,25 @@
 	require.Eventually(t, f, 20*time.Second, 5*time.Millisecond)
 }
 
-// Symptom: after a change of 1,400 routes balancers heard of no departure for
-// more than a second.
-// Events: each voter's answer carried the change, over a link that takes half a
-// second for one of them.
-// Cause: the configuration came from all voters at once, and before the news.
-func TestConfigurationComesFromOneVoter(t *testing.T) {
+// Guards against balancers that learn of departures more than a second late after a change of 1,400
+// routes. Every voter's answer carried the change ahead of the notices, over a link on which one
+// copy takes half a second.
+func TestConfigurationIsFetchedFromOneVoter(t *testing.T) {
 	a, b, c := startVoter(t, 1), startVoter(t, 2), startVoter(t, 3)
-	l := follow(t, a.address, b.address, c.address)
+	l := startFollower(t, a.address, b.address, c.address)
 	for revision := uint64(2); revision <= 4; revision++ {
 		for _, v := range []*voter{a, b, c} {
 			v.publish(revision)
 		}
 		eventually(t, func() bool { return l.Held().Revision == revision })
 	}
-	require.LessOrEqual(t, a.fetches()+b.fetches()+c.fetches(), 6, "not nine: one for each change, or two in a race")
+	require.LessOrEqual(t, a.fetches()+b.fetches()+c.fetches(), 6, "one fetch per change or two in a race, not nine")
 }
 
-func TestStuckVoterDoesNotKeepTheConfigurationAway(t *testing.T) {
+func TestStuckVoterDoesNotBlockConfiguration(t *testing.T) {
 	a, b := startVoter(t, 1), startVoter(t, 2)
 	a.stuck = true
-	l := follow(t, a.address)
+	l := startFollower(t, a.address)
 	a.publish(7)
 	eventually(t, func() bool { return a.fetches() > 0 })
 	a.feed.SetMembers([]string{a.address, b.address})
@@ -180,32 +180,32 @@
 	eventually(t, func() bool { return l.Held().Revision == 7 })
 }
 
-func TestNewsDoNotWaitForTheConfiguration(t *testing.T) {
+func TestNoticesDoNotWaitForConfiguration(t *testing.T) {
 	a := startVoter(t, 1)
 	a.stuck = true
-	l := follow(t, a.address)
+	l := startFollower(t, a.address)
 	a.publish(7)
 	eventually(t, func() bool { return a.fetches() > 0 })
 	a.feed.Announce(time.Now(), upstream.Upstream{Identity: upstream.Identity{Incarnation: 5}, Sequence: 1}, 0)
-	eventually(t, func() bool { return l.heard(a.address) == 1 })
+	eventually(t, func() bool { return l.noticesFrom(a.address) == 1 })
 	require.Equal(t, uint64(1), l.Held().Revision)
 }
 
-// Symptom: balancers were ready 90 ms after the first voter of 81 balancers answered.
-// Events: all VMs lose power; balancers start without a configuration.
-// Cause: each asked for the news first, and for the configuration that they named then.
-func TestFirstConfigurationComesWithTheNews(t *testing.T) {
+// Guards against a slow start without a configuration: balancers became ready 90 ms after the first
+// voter of 81 balancers answered, because they polled for notices first and only then fetched the
+// configuration that these announced.
+func TestFirstConfigurationArrivesWithNotices(t *testing.T) {
 	a := startVoter(t, 1)
 	a.stuck = true
 	a.publish(7)
 	a.feed.Announce(time.Now(), upstream.Upstream{Identity: upstream.Identity{Incarnation: 5}, Sequence: 1}, 0)
-	l := followFrom(t, 0, a.address)
-	eventually(t, func() bool { return l.heard(a.address) == 1 })
-	require.Equal(t, uint64(7), l.Held().Revision, "it is told before the news")
+	l := startFollowerHolding(t, 0, a.address)
+	eventually(t, func() bool { return l.noticesFrom(a.address) == 1 })
+	require.Equal(t, uint64(7), l.Held().Revision, "the configuration is applied before the notices")
 }
 
-// A large configuration is asked for separately: several voters' answers would fill a
-// narrow link.
+// A large configuration is fetched separately: the answers of several voters would fill a narrow
+// link.
 func TestLargeFirstConfigurationIsFetched(t *testing.T) {
 	a := startVoter(t, 1)
 	large := configuration.Configuration{Revision: 7}
@@ -216,16 +216,16 @@
 	}
 	a.history = a.history.With(large)
 	a.feed.Publish(a.history)
-	l := followFrom(t, 0, a.address)
+	l := startFollowerHolding(t, 0, a.address)
 	eventually(t, func() bool { return l.Held().Revision == 7 })
 	require.NotZero(t, a.fetches())
 }
 
-// shapeBelow is the tree's of the zone that below returns.
-var shapeBelow = tree.Shape{Roots: 4, Fanout: 8}
+// shapeBelow is the tree shape of the zone that below returns.
+var nonRootShape = tree.Shape{Roots: 4, Fanout: 8}
 
-// below returns the address of a balancer that is not at the top of a zone, and the zone.
-func below() (string, []members.Attendance) {
+// below returns the address of a balancer below the roots of its zone, and the zone.
+func nonRootBalancer() (string, []members.Attendance) {
 	var addresses []string
 	var zone []members.Attendance
 	for n := range 20 {
@@ -234,18 +234,18 @@
 		zone = append(zone, members.Attendance{Member: member.Member{Zone: "a", Address: a}})
 	}
 	for _, a := range addresses {
-		if shapeBelow.Of(a, addresses).Level > 0 {
+		if nonRootShape.Of(a, addresses).Level > 0 {
 			return a, zone
 		}
 	}
 	return "", nil
 }
 
-// startBelow starts to follow as a balancer below the top of its zone.
-func startBelow(t *testing.T, clock func() time.Time, self string, voters []string) (*follower.Follower, *listener) {
-	l := &listener{notices: map[string]int{}, notes: true}
+// startBelow starts a follower for a balancer below the roots of its zone.
+func startNonRoot(t *testing.T, clock func() time.Time, self string, voters []string) (*follower.Follower, *listener) {
+	l := &listener{notices: map[string]int{}, marksInformed: true}
 	f := follower.New(follower.Settings{
-		Token: "group", From: "balancer", Clock: clock, Self: member.Member{Zone: "a", Address: self}, Shape: shapeBelow, StaleAfter: time.Second,
+		Token: "group", From: "balancer", Clock: clock, Self: member.Member{Zone: "a", Address: self}, Shape: nonRootShape, StaleAfter: time.Second,
 	}, l, hclog.NewNullLogger())
 	ctx, cancel := context.WithCancel(context.Background())
 	f.Start(ctx, voters)
@@ -256,29 +256,27 @@
 	return f, l
 }
 
-// Symptom: balancers were not ready for seconds, though voters answered.
-// Events: all VMs lose power; a voter comes back with an empty disk and answers first.
-// Cause: one voter that had answered sufficed, whatever it told.
-func TestVoterWithAnEmptyDiskDoesNotSuffice(t *testing.T) {
-	self, zone := below()
-	empty, whole := startVoter(t, 1), startVoter(t, 2)
-	for _, v := range []*voter{empty, whole} {
+// Guards against balancers that stay unready for seconds although voters answer. After all VMs lost
+// power, a voter with an empty disk answered first, and any one answer ended the startup phase.
+func TestVoterWithEmptyDiskDoesNotEndStartup(t *testing.T) {
+	self, zone := nonRootBalancer()
+	empty, complete := startVoter(t, 1), startVoter(t, 2)
+	for _, v := range []*voter{empty, complete} {
 		v.feed.Attend(time.Now(), zone)
 	}
-	whole.feed.Announce(time.Now(), upstream.Upstream{Identity: upstream.Identity{Incarnation: 5}, Sequence: 1}, 0)
-	whole.publish(7)
-	// On a clock that stands still the time never comes when all voters are asked anyway.
-	still := time.Now()
-	_, l := startBelow(t, func() time.Time { return still }, self, []string{empty.address, whole.address})
+	complete.feed.Announce(time.Now(), upstream.Upstream{Identity: upstream.Identity{Incarnation: 5}, Sequence: 1}, 0)
+	complete.publish(7)
+	// The clock stands still, so the period after which all voters are polled never ends.
+	frozen := time.Now()
+	_, l := startNonRoot(t, func() time.Time { return frozen }, self, []string{empty.address, complete.address})
 	eventually(t, func() bool { return l.Held().Revision == 7 && l.Informed() })
 }
 
-// Symptom: after a loss of power everywhere balancers were ready 265 ms after the first
-// voter, 97 ms the first of them.
-// Events: all balancers of a large fleet start and reach all voters of their settings.
-// Cause: each asked all of them for all upstreams.
-func TestOneVoterSufficesForAStart(t *testing.T) {
-	self, zone := below()
+// Guards against slow starts of a large fleet. After all VMs lost power, balancers became ready 265
+// ms after the first voter, the first of them after 97 ms, because each requested all upstreams
+// from every seed.
+func TestStartupPollsOneVoter(t *testing.T) {
+	self, zone := nonRootBalancer()
 	var voters []*voter
 	var addresses []string
 	for life := range uint64(3) {
@@ -289,27 +287,27 @@
 		voters = append(voters, v)
 		addresses = append(addresses, v.address)
 	}
-	f, l := startBelow(t, time.Now, self, addresses)
+	f, l := startNonRoot(t, time.Now, self, addresses)
 	eventually(t, func() bool { return l.Held().Revision == 7 })
 	time.Sleep(100 * time.Millisecond)
-	begun := 0
+	polls := 0
 	for _, v := range voters {
 		v.mu.Lock()
-		begun += v.begun
+		polls += v.initialPolls
 		v.mu.Unlock()
 	}
-	// Another one may be asked where the first is slow, on a slow machine.
-	require.LessOrEqual(t, begun, 2)
+	// A slow first voter, on a slow machine, causes a poll of a second one.
+	require.LessOrEqual(t, polls, 2)
 	require.Equal(t, 1, f.Level())
 }
 
-func TestOrdersForZonesAreHeardAtOnce(t *testing.T) {
+func TestEvacuationsAreReceivedImmediately(t *testing.T) {
 	v := startVoter(t, 1)
-	l := follow(t, v.address)
+	l := startFollower(t, v.address)
 	eventually(t, func() bool {
 		v.mu.Lock()
 		defer v.mu.Unlock()
-		return v.begun > 0
+		return v.initialPolls > 0
 	})
 	v.feed.PublishEvacuations(evacuation.Evacuations{}.With(evacuation.Zone{Name: "a", Evacuated: true}))
 	eventually(t, func() bool { return l.Evacuations().Evacuated("a") })
--- a/internal/cookie/follower/handover.go
+++ b/internal/cookie/follower/handover.go
@@ -13,30 +13,29 @@
 	"wasabideal/internal/wire/pool"
 )
 
-// NobodyError says that neither a parent nor a voter answers.
+// NobodyError is returned if neither a parent nor a voter is reachable.
 type NobodyError struct{}
 
 func (*NobodyError) Error() string {
 	return "no voter can be reached from this balancer; announce the upstream elsewhere"
 }
 
-// HandOver hands announcements to the parent, or each to the voter that hears the
-// upstream.
+// HandOver forwards announcements to the parent, or each to the home voter of its upstream.
 func (f *Follower) HandOver(ctx context.Context, all []handover.Announcement) error {
 	f.mu.Lock()
 	parent := ""
 	if f.selection != nil {
 		parent = f.selection.Parent()
 	}
-	voters := f.voterZones()
+	voters := f.reachableVoters()
 	f.mu.Unlock()
 	if parent != "" {
 		return f.handOverTo(ctx, parent, all)
 	}
 	byHome := lo.GroupBy(all, func(a handover.Announcement) string { return home.Of(a.Upstream, voters) })
 	results := make(chan error, len(byHome))
-	for to, some := range byHome {
-		go func() { results <- f.handOverTo(ctx, to, some) }()
+	for to, announcements := range byHome {
+		go func() { results <- f.handOverTo(ctx, to, announcements) }()
 	}
 	var failed error
 	for range byHome {
@@ -53,13 +52,13 @@
 	return err
 }
 
-// voterZones returns the voters that answer here, and those that are not asked and were in
-// touch lately; the lock is held. An upstream that announces itself to another voter than
-// before is news to all balancers.
-func (f *Follower) voterZones() []home.Voter {
+// reachableVoters returns the polled voters that answer, and the unpolled ones whose state is at
+// most ContactLease old. Unpolled voters count because an upstream that moves to another voter is
+// announced to the whole fleet again. The caller holds the lock.
+func (f *Follower) reachableVoters() []home.Voter {
 	now := f.settings.Clock()
 	var out []home.Voter
-	for a := range f.named {
+	for a := range f.voterSeen {
 		w, asked := f.watches[a]
 		if asked && w.answers || !asked && f.origins.Of(now, a).Age <= ContactLease {
 			out = append(out, home.Voter{Address: a, Zone: f.origins.Zone(a)})
@@ -68,11 +67,11 @@
 	return out
 }
 
-// Voters returns the voters that answer.
+// Voters returns the reachable voters.
 func (f *Follower) Voters() []home.Voter {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.voterZones()
+	return f.reachableVoters()
 }
 
 // Others returns the other balancers of the zone.
--- a/internal/cookie/follower/retry.go
+++ b/internal/cookie/follower/retry.go
@@ -7,32 +7,31 @@
 )
 
 const (
-	// retryAfter is the pause after a failed call and retryMost its longest, while
-	// another voter answers.
-	retryAfter = 25 * time.Millisecond
-	retryMost  = 200 * time.Millisecond
-	// retryAlone is the pause and dialAlone the time for a connection while no voter answers at all: after a loss
-	// of power everywhere each ms until the first answer costs the requests of one.
-	// Voters are back at an unknown moment, and a connection that is asked for before
-	// hangs until its time is over. Balancers were ready 67 ms after the first voter's
-	// start, 20 ms with these (mean of 20 starts).
-	retryAlone = 10 * time.Millisecond
-	dialAlone  = 30 * time.Millisecond
-	// dialEach is the time between two connections to some voter while none answers, whatever
-	// their number: the first one that is back is found as soon.
-	dialEach = 8 * time.Millisecond
+	// minRetryPause and maxRetryPause bound the pause after a failed call while another voter
+	// answers.
+	minRetryPause = 25 * time.Millisecond
+	maxRetryPause = 200 * time.Millisecond
+	// isolatedRetryPause and isolatedDialTimeout apply while no voter answers. After a full power
+	// loss every millisecond until the first answer costs a millisecond's worth of requests, and a
+	// connection attempt made before the voter is up hangs until its timeout. With these values
+	// balancers are ready 20 ms after the first voter starts instead of 67 ms (mean of 20 starts).
+	isolatedRetryPause  = 10 * time.Millisecond
+	isolatedDialTimeout = 30 * time.Millisecond
+	// isolatedDialInterval is the time between two connection attempts while no voter answers,
+	// whatever the number of voters. The first voter that recovers is found equally fast.
+	isolatedDialInterval = 8 * time.Millisecond
 )
 
-// retry is the calls to one voter that failed in a row.
-type retry struct{ last time.Duration }
+// backoff is the retry state of one voter.
+type backoff struct{ last time.Duration }
 
-// next returns the pause before the next call and the time for its connection, for one of so many
-// voters that are asked.
-func (r *retry) next(alone bool, voters int) (pause, dial time.Duration) {
-	if alone {
+// next returns the pause before the next call and its dial timeout, given the number of polled
+// voters.
+func (r *backoff) next(isolated bool, voters int) (pause, dial time.Duration) {
+	if isolated {
 		r.last = 0
-		return max(retryAlone, time.Duration(voters)*dialEach-dialAlone), dialAlone
+		return max(isolatedRetryPause, time.Duration(voters)*isolatedDialInterval-isolatedDialTimeout), isolatedDialTimeout
 	}
-	r.last = min(max(2*r.last, retryAfter), retryMost)
+	r.last = min(max(2*r.last, minRetryPause), maxRetryPause)
 	return r.last, rpc.DialTimeout
 }
--- a/internal/cookie/follower/retry_test.go
+++ b/internal/cookie/follower/retry_test.go
@@ -9,16 +9,15 @@
 	"wasabideal/internal/wire/rpc"
 )
 
-// Symptom: balancers were ready up to 0.2 s after the first voter answered others.
-// Events: all VMs lose power; balancers start a third of a second before the voters.
-// Cause: pauses grew although no voter had answered yet, and a connection that was asked
-// for too early was waited for.
+// Guards against balancers that become ready up to 0.2 s after the first voter answers. After all
+// VMs lost power, the balancers started a third of a second before the voters: their pauses had
+// grown meanwhile, and connection attempts made too early were waited for.
 func TestPausesGrowOnlyWhileAnotherVoterAnswers(t *testing.T) {
-	var r retry
+	var r backoff
 	for range 50 {
 		pause, dial := r.next(true, 5)
-		require.Equal(t, retryAlone, pause)
-		require.Equal(t, dialAlone, dial)
+		require.Equal(t, isolatedRetryPause, pause)
+		require.Equal(t, isolatedDialTimeout, dial)
 	}
 	var pauses []time.Duration
 	for range 5 {
@@ -26,16 +25,16 @@
 		require.Equal(t, rpc.DialTimeout, dial)
 		pauses = append(pauses, pause)
 	}
-	require.Equal(t, []time.Duration{retryAfter, 2 * retryAfter, 4 * retryAfter, retryMost, retryMost}, pauses)
+	require.Equal(t, []time.Duration{minRetryPause, 2 * minRetryPause, 4 * minRetryPause, maxRetryPause, maxRetryPause}, pauses)
 }
 
-// Guards against connections that multiply by the voters: each of 177 balancers that were cut off
-// dialled each of 25 voters 25 times a second.
-func TestOneThatIsAloneDialsAsOftenWhateverTheVoters(t *testing.T) {
+// Guards against connection attempts that multiply by the number of voters: each of 177 isolated
+// balancers dialed each of 25 voters 25 times a second.
+func TestIsolatedDialRateIsIndependentOfVoterCount(t *testing.T) {
 	for _, voters := range []int{5, 6, 25, 50} {
-		var r retry
+		var r backoff
 		pause, dial := r.next(true, voters)
-		require.Equal(t, dialAlone, dial)
+		require.Equal(t, isolatedDialTimeout, dial)
 		require.LessOrEqual(t, time.Duration(voters)*time.Second/(pause+dial), 125*time.Second, "%d voters", voters)
 	}
 }
--- a/internal/cookie/follower/serving.go
+++ b/internal/cookie/follower/serving.go
@@ -9,14 +9,15 @@
 	"wasabideal/internal/fanout/relay"
 )
 
-// News answers a balancer that follows this one, but for the revision and the notices.
+// News answers a follower's poll, except for the configuration revision and the notices. It reports
+// whether the answer contains anything new.
 func (f *Follower) News(now time.Time, q relay.Question) (relay.Answer, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	origins, news := f.origins.After(now, q.Known)
 	a := relay.Answer{
 		Origins: origins, FleetVersion: f.census.Version(), Balancers: f.fleetSize(),
-		Voters: lo.Filter(lo.Keys(f.named), func(v string, _ int) bool { return now.Sub(f.named[v]) < forgetAfter }),
+		Voters: lo.Filter(lo.Keys(f.voterSeen), func(v string, _ int) bool { return now.Sub(f.voterSeen[v]) < voterExpiry }),
 	}
 	if q.Fleet != a.FleetVersion {
 		a.Fleet = f.census.Members()
@@ -24,11 +25,13 @@
 	return a, news
 }
 
-// Missing returns the newest revision that this balancer has heard of and cannot get for some
-// time, beyond the one that it holds; 0 where there is none.
-func (f *Follower) Missing(now time.Time, held uint64) uint64 { return f.fetcher.missing(now, held) }
+// Missing returns the newest announced revision that this balancer has failed to get for some time,
+// 0 if there is none.
+func (f *Follower) Missing(now time.Time, held uint64) uint64 {
+	return f.fetcher.unavailableRevision(now, held)
+}
 
-// Attend notes the balancers that follow this one.
+// Attend records the balancers that follow this one.
 func (f *Follower) Attend(now time.Time, all []members.Attendance) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -37,16 +40,17 @@
 	}
 }
 
-// attendance returns whom to report to a source: nobody where it is not the way up.
-func (f *Follower) attendance(address string) []members.Attendance {
+// followerReport returns the followers to report to a source, none unless reports go to that
+// source.
+func (f *Follower) followerReport(address string) []members.Attendance {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.selection == nil || !lo.Contains(f.upward(), address) {
+	if f.selection == nil || !lo.Contains(f.reportTargets(), address) {
 		return nil
 	}
 	all := f.followers.Attendances(f.settings.Clock())
 	if w := f.watches[address]; w != nil && !w.voter {
-		// A voter hears of the balancer itself by its questions.
+		// A voter learns of this balancer from its polls.
 		all = append(all, members.Attendance{Member: f.settings.Self})
 	}
 	return all
--- a/internal/cookie/follower/standing.go
+++ b/internal/cookie/follower/standing.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// Standing is whom the balancer follows and how old its knowledge is.
+// Standing is the position of a balancer in the fan-out tree and the age of its state.
 type Standing struct {
-	// Parent is empty where the voters are followed.
+	// Parent is empty if the voters are followed.
 	Parent string
 	Level  int
-	// Fresh is how many voters were in touch lately, directly or not.
+	// Fresh is the number of voters with recent contact, direct or relayed.
 	Fresh int
-	// Balancers is how many of the zone are known, Followers how many follow this one,
-	// directly or not.
+	// Balancers is the number of known balancers in the zone, Followers the number of direct and
+	// indirect followers.
 	Balancers, Followers int
-	// Age is the time since the voter was in touch that was heard of last.
+	// Age is the time since the most recent contact with any voter.
 	Age time.Duration
 }
 
-// Level is the balancer's level in the tree of its zone.
+// Level returns the balancer's level in the tree of its zone.
 func (f *Follower) Level() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -26,7 +26,7 @@
 	return f.selection.Level()
 }
 
-// Standing returns whom the balancer follows.
+// Standing returns the balancer's position and the age of its state.
 func (f *Follower) Standing(now time.Time) Standing {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/fanout/portion/portion.go
+++ b/internal/fanout/portion/portion.go
@@ -9,7 +9,7 @@
 
 // most is the number of notices from which an answer takes no further voter's: 500 are 20 kB
 // compressed, which ten followers get within a second from a link of 2 Mbit/s.
-const most = 500
+const maxNotices = 500
 
 // Portion is the size and order of answers to the balancers of an availability zone.
 type Portion struct{ zone string }
@@ -26,7 +26,7 @@
 		x := &all[i]
 		switch {
 		case x.Life == 0:
-		case filled >= most:
+		case filled >= maxNotices:
 			*x = x.ContactOnly()
 		default:
 			x.Notices = notices(*x)
--- a/internal/fanout/relay/relay.go
+++ b/internal/fanout/relay/relay.go
@@ -17,18 +17,18 @@
 
 const (
 	// followerFor is how long a balancer counts as a follower after its last question.
-	followerFor = 2 * time.Second
+	followerExpiry = 2 * time.Second
 	// gatherNotices is the least time between two answers with news of upstreams, as at
 	// a voter: five voters would wake all followers up to fifty times a second. With three
 	// levels below the voters a departure is known everywhere within a second.
-	gatherNotices = 250 * time.Millisecond
+	noticeInterval = 250 * time.Millisecond
 	// gatherDoubts is how long an answer with doubts waits for those of other voters,
 	// which hear the same reports within some milliseconds.
-	gatherDoubts = 10 * time.Millisecond
+	suspicionDelay = 10 * time.Millisecond
 	// answerPause is the least time between two answers with news to a follower, but for those
 	// of configurations and evacuations: while hundreds of upstreams fall silent together each
 	// answer would be followed by the next question and the next answer at once.
-	answerPause = 50 * time.Millisecond
+	answerInterval = 50 * time.Millisecond
 )
 
 // Question is what a balancer asks another one.
@@ -91,22 +91,22 @@
 
 // Relay lets followers wait for news; it is safe for concurrent use.
 type Relay struct {
-	content       Content
-	clock         func() time.Time
-	followersMost int
-	mu            sync.Mutex
-	changed       chan struct{}
+	content      Content
+	clock        func() time.Time
+	maxFollowers int
+	mu           sync.Mutex
+	changed      chan struct{}
 	// woken is when followers were last woken, due when they will be next.
-	woken, due time.Time
+	lastWake, nextWake time.Time
 	// asked is when each follower last asked, answered when it was last given news.
-	asked, answered map[string]time.Time
+	lastRequest, lastUpdate map[string]time.Time
 }
 
 // New returns a relay that takes so many followers at the most.
-func New(c Content, clock func() time.Time, followersMost int) *Relay {
+func New(c Content, clock func() time.Time, maxFollowers int) *Relay {
 	return &Relay{
-		content: c, clock: clock, followersMost: followersMost, changed: make(chan struct{}), asked: map[string]time.Time{},
-		answered: map[string]time.Time{},
+		content: c, clock: clock, maxFollowers: maxFollowers, changed: make(chan struct{}), lastRequest: map[string]time.Time{},
+		lastUpdate: map[string]time.Time{},
 	}
 }
 
@@ -124,11 +124,11 @@
 	hold := time.NewTimer(q.Hold)
 	defer hold.Stop()
 	for {
-		changed := r.wait()
+		changed := r.changes()
 		now := r.clock()
 		a, news := r.content.News(now, q)
 		a.Held = now.Sub(begun)
-		pause := r.pause(now, q, a, news)
+		pause := r.answerDelay(now, q, a, news)
 		if news && pause <= 0 {
 			return a, nil
 		}
@@ -136,7 +136,7 @@
 			return Answer{}, &LeavingError{}
 		}
 		select {
-		case <-after(pause):
+		case <-timerAfter(pause):
 		case <-changed:
 		case <-hold.C:
 			now = r.clock()
@@ -150,23 +150,23 @@
 }
 
 // pause is how long an answer waits, 0 where it is given now or has no news.
-func (r *Relay) pause(now time.Time, q Question, a Answer, news bool) time.Duration {
+func (r *Relay) answerDelay(now time.Time, q Question, a Answer, news bool) time.Duration {
 	if !news {
 		return 0
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if a.Revision <= q.Revision && a.Evacuations == nil {
-		if pause := r.answered[q.From].Add(answerPause).Sub(now); pause > 0 {
+		if pause := r.lastUpdate[q.From].Add(answerInterval).Sub(now); pause > 0 {
 			return pause
 		}
 	}
-	r.answered[q.From] = now
+	r.lastUpdate[q.From] = now
 	return 0
 }
 
 // after returns what is ready after a pause, never without one.
-func after(pause time.Duration) <-chan time.Time {
+func timerAfter(pause time.Duration) <-chan time.Time {
 	if pause <= 0 {
 		return nil
 	}
@@ -177,31 +177,31 @@
 func (r *Relay) admit(now time.Time, from string) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if _, follows := r.asked[from]; !follows && r.followers(now) >= r.followersMost {
-		return &FullError{Followers: len(r.asked)}
+	if _, follows := r.lastRequest[from]; !follows && r.countFollowers(now) >= r.maxFollowers {
+		return &FullError{Followers: len(r.lastRequest)}
 	}
-	r.asked[from] = now
+	r.lastRequest[from] = now
 	return nil
 }
 
-func (r *Relay) followers(now time.Time) int {
-	for name, asked := range r.asked {
-		if now.Sub(asked) > followerFor {
-			delete(r.asked, name)
-			delete(r.answered, name)
+func (r *Relay) countFollowers(now time.Time) int {
+	for name, asked := range r.lastRequest {
+		if now.Sub(asked) > followerExpiry {
+			delete(r.lastRequest, name)
+			delete(r.lastUpdate, name)
 		}
 	}
-	return len(r.asked)
+	return len(r.lastRequest)
 }
 
 // Followers counts the balancers that follow this one.
 func (r *Relay) Followers() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.followers(r.clock())
+	return r.countFollowers(r.clock())
 }
 
-func (r *Relay) wait() chan struct{} {
+func (r *Relay) changes() chan struct{} {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.changed
@@ -211,14 +211,14 @@
 func (r *Relay) NewNotices() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.wakeAt(r.woken.Add(gatherNotices))
+	r.wakeAt(r.lastWake.Add(noticeInterval))
 }
 
 // NewDoubts lets them know of other doubts.
 func (r *Relay) NewDoubts() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.wakeAt(r.clock().Add(gatherDoubts))
+	r.wakeAt(r.clock().Add(suspicionDelay))
 }
 
 // Wake lets them know at once.
@@ -235,21 +235,21 @@
 		r.wake(now)
 		return
 	}
-	if r.due.After(now) && !r.due.After(at) {
+	if r.nextWake.After(now) && !r.nextWake.After(at) {
 		return
 	}
-	r.due = at
+	r.nextWake = at
 	time.AfterFunc(at.Sub(now), func() {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		if r.due.Equal(at) {
+		if r.nextWake.Equal(at) {
 			r.wake(r.clock())
 		}
 	})
 }
 
 func (r *Relay) wake(now time.Time) {
-	r.woken, r.due = now, time.Time{}
+	r.lastWake, r.nextWake = now, time.Time{}
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
--- a/internal/fanout/selection/fleet_test.go
+++ b/internal/fanout/selection/fleet_test.go
@@ -223,7 +223,7 @@
 func (m *model) tick(p *process) {
 	p.followers.Tick(m.Now)
 	if p.census.Tick(m.Now) {
-		p.selection.Fleet(m.Now, p.census.Addresses())
+		p.selection.UpdateZone(m.Now, p.census.Addresses())
 	}
 	m.steer(p)
 }
@@ -235,13 +235,13 @@
 			answering++
 		}
 	}
-	p.selection.Voters(m.Now, answering, len(m.voters))
-	p.selection.Probed(m.Now)
+	p.selection.UpdateVoters(m.Now, answering, len(m.voters))
+	p.selection.EvaluateProbe(m.Now)
 	s := p.selection.Decide(m.Now)
 	var wanted []string
 	if s.Voters {
 		for i, v := range m.voters {
-			if !s.Few || i < seeds || v.zone == p.zone {
+			if !s.VoterSubset || i < seeds || v.zone == p.zone {
 				wanted = append(wanted, v.name)
 			}
 		}
@@ -379,10 +379,10 @@
 	if len(l.Members) > 0 {
 		p.census.Take(m.Now, w.target.name, l)
 		addresses := p.census.Addresses()
-		p.selection.Fleet(m.Now, addresses)
+		p.selection.UpdateZone(m.Now, addresses)
 	}
 	if !w.target.voter {
-		p.selection.Answered(m.Now, w.target.name, fresh)
+		p.selection.RecordAnswer(m.Now, w.target.name, fresh)
 	}
 	if news {
 		m.wake(p)
@@ -414,7 +414,7 @@
 	w.over = true
 	delete(p.watches, w.target.name)
 	p.census.Drop(m.Now, w.target.name)
-	p.selection.Failed(m.Now, w.target.name)
+	p.selection.RecordFailure(m.Now, w.target.name)
 	m.steer(p)
 }
 
--- a/internal/fanout/selection/selection.go
+++ b/internal/fanout/selection/selection.go
@@ -12,30 +12,30 @@
 	// they tell it all it needs, and voters that started with it have heard of most
 	// balancers by then. With 2 s the balancers of a fleet that restarted in turn, which
 	// were told each change meanwhile, were most of the voters' work.
-	settleFor = 500 * time.Millisecond
+	startupPeriod = 500 * time.Millisecond
 	// fewFor is how long one voter suffices after a start, and some after the parent failed:
 	// what one says of upstreams that others hear holds for four seconds. All followers of a
 	// balancer that stops would otherwise connect to all voters at once.
-	fewFor = 2500 * time.Millisecond
+	voterSubsetPeriod = 2500 * time.Millisecond
 	// avoidFor is how long a balancer that failed is not asked again.
-	avoidFor = 5 * time.Second
+	avoidPeriod = 5 * time.Second
 	// raceFor is how long candidates have before the voters are asked instead of a parent
 	// that failed: a connection and an answer take some ms.
-	raceFor = 300 * time.Millisecond
+	candidateTimeout = 300 * time.Millisecond
 	// poorShare is the part of StaleAfter for which a parent may hear few voters before
 	// others are asked. What it passes on is StaleAfter old then already, half of the bound
 	// on configurations and departures; waiting as long again, a balancer whose parent was
 	// cut off from the voters placed a flow 6.2 s after a change, where 5 are allowed. A
 	// voter that restarts is back within it.
-	poorShare = 0.2
+	degradedFraction = 0.2
 	// firstProbeShare is the part of StaleAfter over which the first looks at the voters are
 	// spread, so that a zone does not ask them all at once.
-	firstProbeShare = 0.4
+	firstProbeFraction = 0.4
 	// probeEvery is the time between two looks at other sources while a parent hears few
 	// voters, and probeFor how long the voters are asked each time. Each balancer adds up
 	// to as much again by its address, so that they do not all ask voters that are back.
-	probeEvery = 3 * time.Second
-	probeFor   = 1200 * time.Millisecond
+	probeInterval = 3 * time.Second
+	probeDuration = 1200 * time.Millisecond
 )
 
 // Settings of a selection.
@@ -53,7 +53,7 @@
 type Sources struct {
 	// Voters says that voters are asked, Few that some of them suffice, since the balancer is
 	// about to follow another one, and One that one of those does, since it has just started.
-	Voters, Few, One bool
+	Voters, VoterSubset, SingleVoter bool
 	// Parents are the balancers that are asked, the one that is followed first.
 	Parents []string
 }
@@ -86,28 +86,28 @@
 	parent string
 	// lost is when the last parent failed, zero before the first one; fewUntil is until when
 	// some voters suffice in its place.
-	lost, fewUntil time.Time
+	parentFailedAt, voterSubsetUntil time.Time
 	// heard is how many voters each source hears, that of the voters under "".
-	heard map[string]int
+	freshVoters map[string]int
 	// poor is since when too few voters were heard, zero while enough are.
-	poor time.Time
+	degradedSince time.Time
 	// avoided is until when a balancer is not asked.
-	avoided map[string]time.Time
+	avoidedUntil map[string]time.Time
 	// enough is a majority of the voters.
-	enough int
+	quorum int
 	change *Change
 }
 
 // New returns a selection that begins with the voters.
 func New(s Settings, now time.Time) *Selection {
-	return &Selection{settings: s, started: now, fewUntil: now.Add(fewFor), heard: map[string]int{}, avoided: map[string]time.Time{}, enough: 1}
+	return &Selection{settings: s, started: now, voterSubsetUntil: now.Add(voterSubsetPeriod), freshVoters: map[string]int{}, avoidedUntil: map[string]time.Time{}, quorum: 1}
 }
 
 // Fleet takes the call addresses of the zone's balancers.
-func (s *Selection) Fleet(now time.Time, zone []string) {
+func (s *Selection) UpdateZone(now time.Time, zone []string) {
 	s.place, s.placed = s.settings.Shape.Of(s.settings.Self, zone), true
 	if s.place.Level == 0 && s.parent != "" {
-		s.follow(now, "", Root)
+		s.setParent(now, "", Root)
 	}
 }
 
@@ -118,7 +118,7 @@
 func (s *Selection) Parent() string { return s.parent }
 
 // Changed returns the last change once.
-func (s *Selection) Changed() (Change, bool) {
+func (s *Selection) TakeChange() (Change, bool) {
 	c := s.change
 	s.change = nil
 	if c == nil {
@@ -128,59 +128,61 @@
 }
 
 // Voters notes how many of how many voters answer here.
-func (s *Selection) Voters(now time.Time, answering, all int) {
-	s.enough = all/2 + 1
-	s.heard[""] = answering
+func (s *Selection) UpdateVoters(now time.Time, answering, all int) {
+	s.quorum = all/2 + 1
+	s.freshVoters[""] = answering
 	if s.parent == "" {
-		s.measure(now, answering)
+		s.trackDegradation(now, answering)
 	}
 }
 
 // measure notes since when the source that is followed hears few voters.
-func (s *Selection) measure(now time.Time, heard int) {
-	if heard >= s.enough {
-		s.poor = time.Time{}
-	} else if s.poor.IsZero() {
-		s.poor = now
+func (s *Selection) trackDegradation(now time.Time, heard int) {
+	if heard >= s.quorum {
+		s.degradedSince = time.Time{}
+	} else if s.degradedSince.IsZero() {
+		s.degradedSince = now
 	}
 }
 
 // Answered notes an answer of another balancer, with how many voters it has heard lately.
-func (s *Selection) Answered(now time.Time, from string, heard int) {
-	s.heard[from] = heard
+func (s *Selection) RecordAnswer(now time.Time, from string, heard int) {
+	s.freshVoters[from] = heard
 	switch {
 	case from == s.parent:
-		s.measure(now, heard)
+		s.trackDegradation(now, heard)
 	case s.place.Level == 0 || !slices.Contains(s.place.Candidates, from):
-	case s.parent == "" && (heard >= s.enough || heard > 0 && heard >= s.heard[""]):
-		s.follow(now, from, Joined)
+	case s.parent == "" && (heard >= s.quorum || heard > 0 && heard >= s.freshVoters[""]):
+		s.setParent(now, from, Joined)
 	case s.parent == "":
 		s.avoid(now, from)
-	case s.misplaced() && heard >= min(s.heard[s.parent], s.enough):
-		s.follow(now, from, Moved)
-	case heard > s.heard[s.parent]:
-		s.follow(now, from, Stale)
+	case s.misplaced() && heard >= min(s.freshVoters[s.parent], s.quorum):
+		s.setParent(now, from, Moved)
+	case heard > s.freshVoters[s.parent]:
+		s.setParent(now, from, Stale)
 	default:
 		s.avoid(now, from)
 	}
 }
 
 // Failed notes that a balancer did not answer, or refused.
-func (s *Selection) Failed(now time.Time, from string) {
-	delete(s.heard, from)
+func (s *Selection) RecordFailure(now time.Time, from string) {
+	delete(s.freshVoters, from)
 	s.avoid(now, from)
 	if from == s.parent {
-		s.lost, s.fewUntil = now, now.Add(fewFor)
-		s.follow(now, "", Failed)
+		s.parentFailedAt, s.voterSubsetUntil = now, now.Add(voterSubsetPeriod)
+		s.setParent(now, "", Failed)
 	}
 }
 
-func (s *Selection) avoid(now time.Time, address string) { s.avoided[address] = now.Add(avoidFor) }
+func (s *Selection) avoid(now time.Time, address string) {
+	s.avoidedUntil[address] = now.Add(avoidPeriod)
+}
 
-func (s *Selection) follow(now time.Time, parent string, why Reason) {
-	s.parent, s.poor = parent, time.Time{}
+func (s *Selection) setParent(now time.Time, parent string, why Reason) {
+	s.parent, s.degradedSince = parent, time.Time{}
 	s.change = &Change{Parent: parent, Reason: why}
-	s.measure(now, s.heard[parent])
+	s.trackDegradation(now, s.freshVoters[parent])
 }
 
 // misplaced says that the parent is none of the candidates any more.
@@ -188,49 +190,49 @@
 	return s.parent != "" && !slices.Contains(s.place.Candidates, s.parent)
 }
 
-func (s *Selection) stale(now time.Time) bool {
-	return !s.poor.IsZero() && now.Sub(s.poor) > s.part(poorShare)
+func (s *Selection) isStale(now time.Time) bool {
+	return !s.degradedSince.IsZero() && now.Sub(s.degradedSince) > s.fractionOfStaleAfter(degradedFraction)
 }
 
 // part returns a part of StaleAfter.
-func (s *Selection) part(share float64) time.Duration {
+func (s *Selection) fractionOfStaleAfter(share float64) time.Duration {
 	return time.Duration(share * float64(s.settings.StaleAfter))
 }
 
 // Decide returns whom to ask now.
 func (s *Selection) Decide(now time.Time) Sources {
-	s.forget(now)
+	s.expireAvoided(now)
 	switch {
-	case !s.placed || now.Sub(s.started) < settleFor:
+	case !s.placed || now.Sub(s.started) < startupPeriod:
 		few := !s.placed || s.place.Level > 0
-		return Sources{Voters: true, Few: few, One: few}
+		return Sources{Voters: true, VoterSubset: few, SingleVoter: few}
 	case s.place.Level == 0:
-		return s.root(now)
+		return s.rootSources(now)
 	case s.parent == "":
-		return s.orphan(now)
+		return s.orphanSources(now)
 	case s.misplaced():
 		return Sources{Parents: append([]string{s.parent}, s.candidates(now, 1)...)}
-	case s.stale(now):
-		return Sources{Voters: s.probes(now), Parents: append([]string{s.parent}, s.candidates(now, 1)...)}
+	case s.isStale(now):
+		return Sources{Voters: s.probeDue(now), Parents: append([]string{s.parent}, s.candidates(now, 1)...)}
 	default:
 		return Sources{Parents: []string{s.parent}}
 	}
 }
 
 // root asks the voters, and another root beside where most of them do not answer here.
-func (s *Selection) root(now time.Time) Sources {
+func (s *Selection) rootSources(now time.Time) Sources {
 	out := Sources{Voters: true}
-	if s.stale(now) {
+	if s.isStale(now) {
 		out.Parents = s.candidates(now, 1)
 	}
 	return out
 }
 
 // orphan looks for a parent.
-func (s *Selection) orphan(now time.Time) Sources {
-	if s.lost.IsZero() || now.Sub(s.lost) >= raceFor {
-		few := now.Before(s.fewUntil)
-		return Sources{Voters: true, Few: few, One: few && s.lost.IsZero(), Parents: s.candidates(now, 1)}
+func (s *Selection) orphanSources(now time.Time) Sources {
+	if s.parentFailedAt.IsZero() || now.Sub(s.parentFailedAt) >= candidateTimeout {
+		few := now.Before(s.voterSubsetUntil)
+		return Sources{Voters: true, VoterSubset: few, SingleVoter: few && s.parentFailedAt.IsZero(), Parents: s.candidates(now, 1)}
 	}
 	out := Sources{Parents: s.candidates(now, 2)}
 	out.Voters = len(out.Parents) == 0
@@ -239,35 +241,35 @@
 
 // probes says that the voters are asked for a moment, to see whether more of them answer
 // here than the parent hears. Where they do, the parent is left.
-func (s *Selection) probes(now time.Time) bool {
-	since := now.Sub(s.poor) - s.part(poorShare) - s.part(firstProbeShare*s.settings.Jitter)
-	every := probeEvery + time.Duration(s.settings.Jitter*float64(probeEvery))
-	return since >= 0 && since%every < probeFor
+func (s *Selection) probeDue(now time.Time) bool {
+	since := now.Sub(s.degradedSince) - s.fractionOfStaleAfter(degradedFraction) - s.fractionOfStaleAfter(firstProbeFraction*s.settings.Jitter)
+	every := probeInterval + time.Duration(s.settings.Jitter*float64(probeInterval))
+	return since >= 0 && since%every < probeDuration
 }
 
 // Probed compares the voters that answer here with what the parent hears.
-func (s *Selection) Probed(now time.Time) {
-	if s.parent != "" && s.stale(now) && s.heard[""] > s.heard[s.parent] {
+func (s *Selection) EvaluateProbe(now time.Time) {
+	if s.parent != "" && s.isStale(now) && s.freshVoters[""] > s.freshVoters[s.parent] {
 		s.avoid(now, s.parent)
-		s.lost, s.fewUntil = now.Add(-raceFor), time.Time{}
-		s.follow(now, "", Stale)
+		s.parentFailedAt, s.voterSubsetUntil = now.Add(-candidateTimeout), time.Time{}
+		s.setParent(now, "", Stale)
 	}
 }
 
 func (s *Selection) candidates(now time.Time, most int) []string {
 	var out []string
 	for _, c := range s.place.Candidates {
-		if c != s.parent && len(out) < most && !now.Before(s.avoided[c]) {
+		if c != s.parent && len(out) < most && !now.Before(s.avoidedUntil[c]) {
 			out = append(out, c)
 		}
 	}
 	return out
 }
 
-func (s *Selection) forget(now time.Time) {
-	for a, until := range s.avoided {
+func (s *Selection) expireAvoided(now time.Time) {
+	for a, until := range s.avoidedUntil {
 		if !now.Before(until) {
-			delete(s.avoided, a)
+			delete(s.avoidedUntil, a)
 		}
 	}
 }
--- a/internal/fanout/selection/selection_test.go
+++ b/internal/fanout/selection/selection_test.go
@@ -48,28 +48,28 @@
 	all := zone(20)
 	self := belowTop(t, all)
 	s := selection.New(selection.Settings{Self: self, Shape: shape, StaleAfter: staleAfter}, epoch.Add(-time.Minute))
-	s.Voters(epoch, voters, voters)
-	s.Fleet(epoch, all)
+	s.UpdateVoters(epoch, voters, voters)
+	s.UpdateZone(epoch, all)
 	return s, shape.Of(self, all).Candidates
 }
 
 // newFollowing returns one that follows its first candidate.
 func newFollowing(t *testing.T) (*selection.Selection, []string) {
 	s, c := newChild(t)
-	s.Answered(epoch, c[0], voters)
+	s.RecordAnswer(epoch, c[0], voters)
 	require.Equal(t, selection.Sources{Parents: c[:1]}, s.Decide(epoch))
-	s.Voters(epoch, 0, voters)
+	s.UpdateVoters(epoch, 0, voters)
 	return s, c
 }
 
 func TestVotersAreFollowedUntilAParentAnswers(t *testing.T) {
 	s, c := newChild(t)
 	require.Equal(t, selection.Sources{Voters: true, Parents: c[:1]}, s.Decide(epoch))
-	s.Answered(epoch, c[0], 0)
+	s.RecordAnswer(epoch, c[0], 0)
 	require.Equal(t, c[1:2], s.Decide(epoch).Parents, "one that has heard no voter is no parent")
-	s.Answered(epoch, c[1], voters)
+	s.RecordAnswer(epoch, c[1], voters)
 	require.Equal(t, selection.Sources{Parents: c[1:2]}, s.Decide(epoch))
-	change, changed := s.Changed()
+	change, changed := s.TakeChange()
 	require.True(t, changed)
 	require.Equal(t, selection.Change{Parent: c[1], Reason: selection.Joined}, change)
 }
@@ -77,10 +77,10 @@
 func TestVotersAreFollowedJustAfterAStart(t *testing.T) {
 	all := zone(20)
 	s := selection.New(selection.Settings{Self: belowTop(t, all), Shape: shape, StaleAfter: staleAfter}, epoch)
-	s.Fleet(epoch, all)
-	require.Equal(t, selection.Sources{Voters: true, Few: true, One: true}, s.Decide(at(300*time.Millisecond)))
+	s.UpdateZone(epoch, all)
+	require.Equal(t, selection.Sources{Voters: true, VoterSubset: true, SingleVoter: true}, s.Decide(at(300*time.Millisecond)))
 	require.NotEmpty(t, s.Decide(at(time.Second)).Parents)
-	require.True(t, s.Decide(at(time.Second)).Few)
+	require.True(t, s.Decide(at(time.Second)).VoterSubset)
 }
 
 // Symptom: four seconds after its start a balancer knew a fifth of the upstreams.
@@ -89,16 +89,16 @@
 func TestAllVotersAreAskedWhereNoParentIsFound(t *testing.T) {
 	all := zone(20)
 	s := selection.New(selection.Settings{Self: belowTop(t, all), Shape: shape, StaleAfter: staleAfter}, epoch)
-	s.Fleet(epoch, all)
-	require.False(t, s.Decide(at(3*time.Second)).Few)
+	s.UpdateZone(epoch, all)
+	require.False(t, s.Decide(at(3*time.Second)).VoterSubset)
 }
 
 func TestSmallZonesFollowVotersOnly(t *testing.T) {
 	all := zone(4)
 	for _, self := range all {
 		s := selection.New(selection.Settings{Self: self, Shape: shape, StaleAfter: staleAfter}, epoch.Add(-time.Minute))
-		s.Voters(epoch, voters, voters)
-		s.Fleet(epoch, all)
+		s.UpdateVoters(epoch, voters, voters)
+		s.UpdateZone(epoch, all)
 		require.Equal(t, selection.Sources{Voters: true}, s.Decide(epoch))
 	}
 }
@@ -108,11 +108,11 @@
 // Cause: candidates were asked one after the other, each for its whole timeout.
 func TestTwoCandidatesAtOnceThenTheVoters(t *testing.T) {
 	s, c := newFollowing(t)
-	s.Failed(epoch, c[0])
+	s.RecordFailure(epoch, c[0])
 	require.Equal(t, selection.Sources{Parents: c[1:3]}, s.Decide(epoch))
 	later := at(400 * time.Millisecond)
-	require.Equal(t, selection.Sources{Voters: true, Few: true, Parents: c[1:2]}, s.Decide(later))
-	s.Answered(later, c[1], voters)
+	require.Equal(t, selection.Sources{Voters: true, VoterSubset: true, Parents: c[1:2]}, s.Decide(later))
+	s.RecordAnswer(later, c[1], voters)
 	require.Equal(t, selection.Sources{Parents: c[1:2]}, s.Decide(later))
 }
 
@@ -120,19 +120,19 @@
 // to all voters.
 func TestOrphanAsksSomeVotersFirst(t *testing.T) {
 	s, c := newFollowing(t)
-	s.Failed(epoch, c[0])
-	s.Failed(at(400*time.Millisecond), c[1])
+	s.RecordFailure(epoch, c[0])
+	s.RecordFailure(at(400*time.Millisecond), c[1])
 	require.True(t, s.Decide(at(500*time.Millisecond)).Voters)
-	require.True(t, s.Decide(at(500*time.Millisecond)).Few)
-	require.False(t, s.Decide(at(500*time.Millisecond)).One, "one alone may be cut off from the others")
-	require.True(t, s.Decide(at(2*time.Second)).Few)
+	require.True(t, s.Decide(at(500*time.Millisecond)).VoterSubset)
+	require.False(t, s.Decide(at(500*time.Millisecond)).SingleVoter, "one alone may be cut off from the others")
+	require.True(t, s.Decide(at(2*time.Second)).VoterSubset)
 	require.Equal(t, selection.Sources{Voters: true, Parents: c[2:3]}, s.Decide(at(3*time.Second)), "no parent answers")
 }
 
 func TestAllOfTheLevelAboveGone(t *testing.T) {
 	s, c := newFollowing(t)
 	for _, x := range c {
-		s.Failed(epoch, x)
+		s.RecordFailure(epoch, x)
 	}
 	require.Equal(t, selection.Sources{Voters: true}, s.Decide(epoch), "at once where nobody is left to ask")
 	require.Equal(t, c[:1], s.Decide(at(6*time.Second)).Parents, "they are tried again")
@@ -143,12 +143,12 @@
 // Cause: a parent was left only once it did not answer.
 func TestStaleParentIsLeftForOneThatHearsMore(t *testing.T) {
 	s, c := newFollowing(t)
-	s.Answered(epoch, c[0], 1)
+	s.RecordAnswer(epoch, c[0], 1)
 	require.Equal(t, c[:1], s.Decide(at(staleAfter/5)).Parents)
 	later := at(staleAfter/5 + 10*time.Millisecond)
-	s.Answered(later, c[0], 1)
+	s.RecordAnswer(later, c[0], 1)
 	require.Equal(t, c[:2], s.Decide(later).Parents, "the parent is asked until another is better")
-	s.Answered(later, c[1], voters)
+	s.RecordAnswer(later, c[1], voters)
 	require.Equal(t, selection.Sources{Parents: c[1:2]}, s.Decide(later))
 }
 
@@ -160,12 +160,12 @@
 	s, c := newFollowing(t)
 	asked := 0
 	for d := time.Duration(0); d < time.Minute; d += 100 * time.Millisecond {
-		s.Voters(at(d), 0, voters)
-		s.Probed(at(d))
+		s.UpdateVoters(at(d), 0, voters)
+		s.EvaluateProbe(at(d))
 		sources := s.Decide(at(d))
 		require.Equal(t, c[0], sources.Parents[0])
 		for _, p := range sources.Parents {
-			s.Answered(at(d), p, 1)
+			s.RecordAnswer(at(d), p, 1)
 		}
 		if sources.Voters {
 			asked++
@@ -181,14 +181,14 @@
 	for d := time.Duration(0); s.Parent() != "" && d < 20*time.Second; d += 100 * time.Millisecond {
 		sources := s.Decide(at(d))
 		for _, p := range sources.Parents {
-			s.Answered(at(d), p, 1)
+			s.RecordAnswer(at(d), p, 1)
 		}
 		answering := 0
 		if sources.Voters {
 			answering = voters
 		}
-		s.Voters(at(d), answering, voters)
-		s.Probed(at(d))
+		s.UpdateVoters(at(d), answering, voters)
+		s.EvaluateProbe(at(d))
 	}
 	require.Empty(t, s.Parent())
 	require.True(t, s.Decide(at(20*time.Second)).Voters)
@@ -208,23 +208,23 @@
 		}
 	}
 	s := selection.New(selection.Settings{Self: self, Shape: shape, StaleAfter: staleAfter}, epoch.Add(-time.Minute))
-	s.Voters(epoch, voters, voters)
-	s.Fleet(epoch, all)
+	s.UpdateVoters(epoch, voters, voters)
+	s.UpdateZone(epoch, all)
 	require.Equal(t, selection.Sources{Voters: true}, s.Decide(epoch))
-	s.Voters(epoch, 0, voters)
+	s.UpdateVoters(epoch, 0, voters)
 	sources := s.Decide(at(staleAfter + time.Millisecond))
 	require.True(t, sources.Voters)
 	require.Len(t, sources.Parents, 1)
-	s.Answered(at(staleAfter+time.Millisecond), sources.Parents[0], voters)
+	s.RecordAnswer(at(staleAfter+time.Millisecond), sources.Parents[0], voters)
 	require.Empty(t, s.Parent(), "it stays at the top")
 	require.Equal(t, sources, s.Decide(at(staleAfter+2*time.Millisecond)), "and goes on asking")
 }
 
 func TestBalancerThatRisesToTheTopFollowsVoters(t *testing.T) {
 	s, _ := newFollowing(t)
-	s.Fleet(epoch, nil)
+	s.UpdateZone(epoch, nil)
 	require.Equal(t, selection.Sources{Voters: true}, s.Decide(epoch))
-	change, _ := s.Changed()
+	change, _ := s.TakeChange()
 	require.Equal(t, selection.Root, change.Reason)
 }
 
@@ -236,11 +236,11 @@
 			without = append(without, a)
 		}
 	}
-	s.Fleet(epoch, without)
+	s.UpdateZone(epoch, without)
 	sources := s.Decide(epoch)
 	require.Len(t, sources.Parents, 2)
 	require.Equal(t, c[0], sources.Parents[0])
-	s.Answered(epoch, sources.Parents[1], voters)
+	s.RecordAnswer(epoch, sources.Parents[1], voters)
 	require.Equal(t, sources.Parents[1], s.Parent())
 }
 
@@ -256,21 +256,21 @@
 		all := zone(20)
 		self := belowTop(t, all)
 		s := selection.New(selection.Settings{Self: self, Shape: shape, StaleAfter: staleAfter, Jitter: jitter}, epoch.Add(-time.Minute))
-		s.Voters(epoch, 0, voters)
-		s.Fleet(epoch, all)
+		s.UpdateVoters(epoch, 0, voters)
+		s.UpdateZone(epoch, all)
 		candidates := shape.Of(self, all).Candidates
-		s.Answered(epoch, candidates[0], voters)
+		s.RecordAnswer(epoch, candidates[0], voters)
 		left := time.Duration(0)
 		for now := staleAfter; left == 0 && now < 10*bound; now += 10 * time.Millisecond {
 			// Its parent's last contact with the voters is older than StaleAfter.
-			s.Answered(at(now), candidates[0], 0)
+			s.RecordAnswer(at(now), candidates[0], 0)
 			sources := s.Decide(at(now))
 			for _, c := range sources.Parents[1:] {
-				s.Failed(at(now), c)
+				s.RecordFailure(at(now), c)
 			}
 			if sources.Voters {
-				s.Voters(at(now), voters, voters)
-				s.Probed(at(now))
+				s.UpdateVoters(at(now), voters, voters)
+				s.EvaluateProbe(at(now))
 			}
 			if s.Parent() != candidates[0] {
 				left = now
--- a/internal/fanout/tree/tree.go
+++ b/internal/fanout/tree/tree.go
@@ -19,7 +19,7 @@
 
 // candidatesMost bounds the balancers that one may follow. Each that fails costs some
 // tenths of a second, after which the voters are nearer.
-const candidatesMost = 8
+const maxCandidates = 8
 
 // Place is a balancer's place.
 type Place struct {
@@ -34,7 +34,7 @@
 	hash    uint64
 }
 
-func order(a, b node) int {
+func compareNodes(a, b node) int {
 	return cmp.Or(cmp.Compare(a.hash, b.hash), cmp.Compare(a.address, b.address))
 }
 
@@ -43,11 +43,11 @@
 	me := node{address: self, hash: xxhash.Sum64String(self)}
 	var before []node
 	for _, a := range zone {
-		if n := (node{address: a, hash: xxhash.Sum64String(a)}); a != self && order(n, me) < 0 {
+		if n := (node{address: a, hash: xxhash.Sum64String(a)}); a != self && compareNodes(n, me) < 0 {
 			before = append(before, n)
 		}
 	}
-	slices.SortFunc(before, order)
+	slices.SortFunc(before, compareNodes)
 	level, from, until := s.level(len(before))
 	if level == 0 || !s.Grows(zone) {
 		return Place{Candidates: candidates(self, before)}
@@ -90,8 +90,8 @@
 		for _, n := range g {
 			ranked = append(ranked, node{address: n.address, hash: xxhash.Sum64String(self + " " + n.address)})
 		}
-		slices.SortFunc(ranked, order)
-		for _, n := range ranked[:min(len(ranked), candidatesMost-len(out))] {
+		slices.SortFunc(ranked, compareNodes)
+		for _, n := range ranked[:min(len(ranked), maxCandidates-len(out))] {
 			out = append(out, n.address)
 		}
 	}
@@ -104,7 +104,7 @@
 	for i, a := range zone {
 		nodes[i] = node{address: a, hash: xxhash.Sum64String(a)}
 	}
-	slices.SortFunc(nodes, order)
+	slices.SortFunc(nodes, compareNodes)
 	if s.Grows(zone) {
 		nodes = nodes[:max(s.Roots, 1)]
 	}
