--- a/internal/fanout/selection/doc.go
+++ b/internal/fanout/selection/doc.go
@@ -1,12 +1,13 @@
-// Package selection decides whom a balancer follows: the voters, or another balancer of
-// its zone, its parent.
+// Package selection decides whom a balancer follows: the voters, or a parent, which is another
+// balancer of its zone.
 //
-// A parent is left for the age of what it passes on, never for its connection alone: one
-// that stands still, is cut off in one direction, or is alive and hears nothing would keep
-// a connection open and its followers in the past. A parent that fails is replaced by two
-// candidates at once, and by the voters where neither answers soon. A parent that hears
-// few voters is compared with others first: where a zone is cut off, or all voters are
-// down, none hears more, and nobody leaves.
+// A parent is replaced for the age of the state that it relays, not for its connection alone: one
+// that is paused, partitioned in one direction, or alive without updates would keep the connection
+// open and leave its followers with outdated state. A failed parent is replaced by the first of two
+// candidates polled in parallel, or by the voters if neither answers soon.
 //
-// It has no I/O and no clock; one goroutine owns it.
+// A parent with few fresh voters is compared with other candidates before it is replaced. If a zone
+// is cut off or all voters are down, no candidate has more, and every balancer keeps its parent.
+//
+// The package has no I/O and no clock. A Selection is not safe for concurrent use.
 package selection
--- a/internal/fanout/selection/fleet_test.go
+++ b/internal/fanout/selection/fleet_test.go
@@ -20,45 +20,48 @@
 	"wasabideal/internal/standin/virtual"
 )
 
-// The fleet of the model: what a process asks, and how long it waits, is as in the product.
+// Timing of the simulated fleet; the poll timeouts match those of the product.
 const (
 	voterHold, voterGrace   = 800 * time.Millisecond, 700 * time.Millisecond
 	parentHold, parentGrace = 600 * time.Millisecond, 400 * time.Millisecond
-	// gather and relayGather are the least times between two answers with news of a voter and
-	// of a balancer, newsMost a voter's answers with news in a second.
-	gather, relayGather  = 100 * time.Millisecond, 250 * time.Millisecond
-	newsMost             = 100
-	tickEvery            = 100 * time.Millisecond
-	inZone, betweenZones = time.Millisecond, 3 * time.Millisecond
-	// knownWithin is the bound on departures of the fleets that balancers follow each other
-	// in: half of it is the age at which a parent counts as stale.
+	// voterUpdateInterval and relayUpdateInterval are the minimum times between two answers with
+	// updates from a voter and from a balancer. maxUpdatesPerSecond limits a voter's answers with
+	// updates per second.
+	voterUpdateInterval, relayUpdateInterval = 100 * time.Millisecond, 250 * time.Millisecond
+	maxUpdatesPerSecond                      = 100
+	tickEvery                                = 100 * time.Millisecond
+	inZone, betweenZones                     = time.Millisecond, 3 * time.Millisecond
+	// knownWithin is the bound on departures for fleets with a fan-out tree. A parent's state
+	// counts as stale at half of it.
 	knownWithin = 4 * time.Second
-	// calmFor is how long a balancer has run undisturbed before the bound holds for it.
-	calmFor = 4 * time.Second
-	// seeds is how many voters the settings name.
+	// undisturbedFor is how long a balancer must have run undisturbed before the bound applies to
+	// it.
+	undisturbedFor = 4 * time.Second
+	// seeds is the number of voters in the settings.
 	seeds = 3
-	// followersMost is how many followers a balancer takes, and followerFor how long one counts.
-	followersMost = 10
-	followerFor   = 2 * time.Second
-	// retryVoter is the pause after a voter that did not answer.
-	retryVoter = 200 * time.Millisecond
+	// maxFollowers is the maximum number of followers of a balancer, and followerExpiry the time
+	// after which an idle follower no longer counts.
+	maxFollowers   = 10
+	followerExpiry = 2 * time.Second
+	// voterRetryPause is the pause after a failed poll of a voter.
+	voterRetryPause = 200 * time.Millisecond
 )
 
-// process is a voter or a balancer of the model.
+// process is a simulated voter or balancer.
 type process struct {
 	name, zone string
 	voter      bool
-	// start tells lives apart; off is without power, cut without a way to anyone, deaf
-	// without answers from voters.
-	start          int
-	off, cut, deaf bool
-	pausedUntil    time.Time
-	disturbed      time.Time
-	queued         []func()
-	waiting        []func()
-	woken          time.Time
-	waking         bool
-	// version is what a voter says; origins what a balancer heard.
+	// starts counts the process starts. off is without power, partitioned is cut off from every
+	// process, votersPartitioned from the voters only.
+	starts                              int
+	off, partitioned, votersPartitioned bool
+	pausedUntil                         time.Time
+	disturbed                           time.Time
+	queued                              []func()
+	waiting                             []func()
+	woken                               time.Time
+	waking                              bool
+	// version is the latest version of a voter; origins is what a balancer has received.
 	version   uint64
 	fleet     *members.Members
 	origins   *origins.Origins
@@ -66,8 +69,8 @@
 	followers *members.Members
 	selection *selection.Selection
 	watches   map[string]*modelWatch
-	asked     map[string]time.Time
-	// sent counts messages and bytes of this process.
+	lastPoll  map[string]time.Time
+	// messages and bytes count what this process sent.
 	messages, bytes int
 }
 
@@ -77,7 +80,7 @@
 	over    bool
 }
 
-// model plays a fleet in virtual time.
+// model simulates a fleet in virtual time.
 type model struct {
 	virtual.Time
 	random    *rand.Rand
@@ -86,15 +89,15 @@
 	voters    []*process
 	balancers []*process
 	loss      float64
-	// changed is when the voters got each version.
-	changed []time.Time
-	late    []string
-	fullest int
+	// changed holds the time at which the voters received each version.
+	changed       []time.Time
+	late          []string
+	mostFollowers int
 }
 
 func newModel(seed uint64, zones, each int) *model { return newModelOf(seed, zones, each, voters) }
 
-// newModelOf is newModel with so many voters.
+// newModelOf returns a model with the given number of voters.
 func newModelOf(seed uint64, zones, each, voters int) *model {
 	m := &model{
 		Time: virtual.Time{Now: epoch}, random: rand.New(rand.NewPCG(seed, 3)), shape: tree.Shape{Small: 8, Roots: 4, Fanout: 8},
@@ -121,13 +124,13 @@
 	m.boot(p)
 }
 
-// boot starts a process, for the first time or again.
+// boot starts or restarts a process.
 func (m *model) boot(p *process) {
-	p.start++
+	p.starts++
 	p.off = false
 	p.waiting, p.queued = nil, nil
 	p.fleet = members.New()
-	p.asked = map[string]time.Time{}
+	p.lastPoll = map[string]time.Time{}
 	if p.voter {
 		return
 	}
@@ -137,16 +140,16 @@
 		Self: p.name, Shape: m.shape, StaleAfter: knownWithin / 2, Jitter: m.random.Float64(),
 	}, m.Now)
 	m.every(p, tickEvery, func() { m.tick(p) })
-	m.every(p, members.AttendEvery, func() { m.attend(p) })
-	m.After(200*time.Millisecond, m.alive(p, func() { m.attend(p) }))
+	m.every(p, members.AttendEvery, func() { m.reportFollowers(p) })
+	m.After(200*time.Millisecond, m.whileAlive(p, func() { m.reportFollowers(p) }))
 }
 
-// alive returns what does something only in the present life of a process, once it does
-// not stand still.
-func (m *model) alive(p *process, do func()) func() {
-	start := p.start
+// whileAlive wraps a callback so that it runs only in the current life of a process, and is
+// deferred while the process is paused.
+func (m *model) whileAlive(p *process, do func()) func() {
+	start := p.starts
 	return func() {
-		if p.off || p.start != start {
+		if p.off || p.starts != start {
 			return
 		}
 		if m.Now.Before(p.pausedUntil) {
@@ -158,7 +161,7 @@
 }
 
 func (m *model) every(p *process, pause time.Duration, do func()) {
-	m.After(pause, m.alive(p, func() {
+	m.After(pause, m.whileAlive(p, func() {
 		do()
 		m.every(p, pause, do)
 	}))
@@ -173,7 +176,7 @@
 		queued := p.queued
 		p.queued = nil
 		for _, do := range queued {
-			m.alive(p, do)()
+			m.whileAlive(p, do)()
 		}
 	})
 }
@@ -191,44 +194,44 @@
 	})
 }
 
-// deafTo says that nothing comes or goes between a balancer that is deaf and a voter.
-func (p *process) deafTo(o *process) bool { return p.deaf && o.voter }
+// partitionedFrom reports whether a partition separates a balancer from a voter.
+func (p *process) partitionedFrom(o *process) bool { return p.votersPartitioned && o.voter }
 
 func (m *model) reaches(a, b *process) bool {
-	return !a.cut && !b.cut && !a.deafTo(b) && !b.deafTo(a)
+	return !a.partitioned && !b.partitioned && !a.partitionedFrom(b) && !b.partitionedFrom(a)
 }
 
-// send carries a message, or not; one that is lost on the way is sent again later, and one
-// to a process that stands still waits there.
+// send delivers a message unless a partition or a restart prevents it. A lost message is
+// retransmitted later; a message to a paused process is queued.
 func (m *model) send(from, to *process, size int, do func()) {
 	from.messages++
 	from.bytes += size
-	way := inZone
+	latency := inZone
 	if from.zone != to.zone {
-		way = betweenZones
+		latency = betweenZones
 	}
 	if m.random.Float64() < m.loss {
-		way += 200 * time.Millisecond
+		latency += 200 * time.Millisecond
 	}
-	start := to.start
-	m.After(way, func() {
-		if !m.reaches(from, to) || to.off || to.start != start {
+	start := to.starts
+	m.After(latency, func() {
+		if !m.reaches(from, to) || to.off || to.starts != start {
 			return
 		}
-		m.alive(to, do)()
+		m.whileAlive(to, do)()
 	})
 }
 
-// tick lets a balancer ask whom it wants to.
+// tick updates a balancer's membership and its sources.
 func (m *model) tick(p *process) {
 	p.followers.Tick(m.Now)
 	if p.census.Tick(m.Now) {
 		p.selection.UpdateZone(m.Now, p.census.Addresses())
 	}
-	m.steer(p)
+	m.reconcile(p)
 }
 
-func (m *model) steer(p *process) {
+func (m *model) reconcile(p *process) {
 	answering := 0
 	for _, w := range p.watches {
 		if w.target.voter && w.answers {
@@ -258,13 +261,13 @@
 		if p.watches[name] == nil {
 			w := &modelWatch{target: m.processes[name]}
 			p.watches[name] = w
-			m.ask(p, w)
+			m.poll(p, w)
 		}
 	}
 }
 
-// ask asks a source once, and again after its answer.
-func (m *model) ask(p *process, w *modelWatch) {
+// poll polls a source; the answer triggers the next poll.
+func (m *model) poll(p *process, w *modelWatch) {
 	hold, grace := parentHold, parentGrace
 	if w.target.voter {
 		hold, grace = voterHold, voterGrace
@@ -275,7 +278,7 @@
 		known = []origins.Known{p.origins.Of(m.Now, w.target.name)}
 	}
 	fleet := p.census.Of(w.target.name).Version
-	m.After(hold+grace, m.alive(p, func() {
+	m.After(hold+grace, m.whileAlive(p, func() {
 		if !answered && !w.over {
 			answered = true
 			m.failed(p, w)
@@ -300,57 +303,57 @@
 	})
 }
 
-// admits says that a process takes a follower: balancers take some only.
+// admits reports whether a process accepts a follower. Balancers accept a limited number.
 func (m *model) admits(s, to *process) bool {
 	if s.voter {
 		return true
 	}
-	for name, at := range s.asked {
-		if m.Now.Sub(at) > followerFor {
-			delete(s.asked, name)
+	for name, at := range s.lastPoll {
+		if m.Now.Sub(at) > followerExpiry {
+			delete(s.lastPoll, name)
 		}
 	}
-	_, follows := s.asked[to.name]
-	return follows || len(s.asked) < followersMost
+	_, follows := s.lastPoll[to.name]
+	return follows || len(s.lastPoll) < maxFollowers
 }
 
-// reply answers at once with news, or after the hold.
-func (m *model) reply(s, to *process, known []origins.Known, fleet uint64, hold time.Duration, then func([]origins.Origin, census.List, time.Duration)) {
+// reply answers immediately if there are updates, else after the hold.
+func (m *model) reply(s, to *process, known []origins.Known, fleet uint64, hold time.Duration, deliver func([]origins.Origin, census.List, time.Duration)) {
 	begun := m.Now
-	s.asked[to.name] = m.Now
-	m.fullest = max(m.fullest, len(s.asked))
+	s.lastPoll[to.name] = m.Now
+	m.mostFollowers = max(m.mostFollowers, len(s.lastPoll))
 	if s.voter {
 		s.fleet.Hear(m.Now, members.Attendance{Member: member.Member{Zone: to.zone, Address: to.name}})
 	}
 	done := false
 	answer := func(must bool) {
-		x, news := m.news(s, known)
+		x, news := m.updates(s, known)
 		if done || !news && !must {
 			return
 		}
 		done = true
-		l := m.list(s, to, fleet)
+		l := m.fleetList(s, to, fleet)
 		held := m.Now.Sub(begun)
-		m.send(s, to, 60+size(x)+size(l), func() { then(x, l, held) })
+		m.send(s, to, 60+size(x)+size(l), func() { deliver(x, l, held) })
 	}
 	answer(false)
 	if !done {
 		s.waiting = append(s.waiting, func() { answer(false) })
-		m.After(hold, m.alive(s, func() { answer(true) }))
+		m.After(hold, m.whileAlive(s, func() { answer(true) }))
 	}
 }
 
-// news is what a process tells one that has heard so far.
-func (m *model) news(s *process, known []origins.Known) ([]origins.Origin, bool) {
+// updates returns the updates that a process has for a follower with the given state.
+func (m *model) updates(s *process, known []origins.Known) ([]origins.Origin, bool) {
 	if !s.voter {
 		return s.origins.After(m.Now, known)
 	}
-	x := origins.Origin{Known: origins.Known{Voter: s.name, Life: uint64(s.start), Version: s.version}}
+	x := origins.Origin{Known: origins.Known{Voter: s.name, Life: uint64(s.starts), Version: s.version}}
 	i := slices.IndexFunc(known, func(k origins.Known) bool { return k.Voter == s.name })
 	return []origins.Origin{x}, i < 0 || known[i].Life != x.Life || known[i].Version < x.Version
 }
 
-func (m *model) list(s, to *process, fleet uint64) census.List {
+func (m *model) fleetList(s, to *process, fleet uint64) census.List {
 	if !s.voter {
 		l := census.List{Version: s.census.Version()}
 		if fleet != l.Version {
@@ -358,19 +361,19 @@
 		}
 		return l
 	}
-	l := census.List{Life: uint64(s.start), Version: s.fleet.Version(to.zone)}
+	l := census.List{Life: uint64(s.starts), Version: s.fleet.Version(to.zone)}
 	if fleet != l.Version {
 		l.Members = s.fleet.Zone(to.zone)
 	}
 	return l
 }
 
-// answered takes an answer and asks again.
-func (m *model) answered(p *process, w *modelWatch, all []origins.Origin, l census.List, way time.Duration) {
+// answered applies an answer and polls again.
+func (m *model) answered(p *process, w *modelWatch, all []origins.Origin, l census.List, roundTrip time.Duration) {
 	w.answers = true
 	news, fresh := false, 0
 	for _, x := range all {
-		x.Age += way
+		x.Age += roundTrip
 		if x.Age <= knownWithin/2 {
 			fresh++
 		}
@@ -387,15 +390,15 @@
 	if news {
 		m.wake(p)
 	}
-	m.steer(p)
+	m.reconcile(p)
 	if !w.over {
 		pause := time.Duration(0)
 		if !news {
 			pause = 20 * time.Millisecond
 		}
-		m.After(pause, m.alive(p, func() {
+		m.After(pause, m.whileAlive(p, func() {
 			if !w.over {
-				m.ask(p, w)
+				m.poll(p, w)
 			}
 		}))
 	}
@@ -404,9 +407,9 @@
 func (m *model) failed(p *process, w *modelWatch) {
 	w.answers = false
 	if w.target.voter {
-		m.After(retryVoter, m.alive(p, func() {
+		m.After(voterRetryPause, m.whileAlive(p, func() {
 			if !w.over {
-				m.ask(p, w)
+				m.poll(p, w)
 			}
 		}))
 		return
@@ -415,16 +418,15 @@
 	delete(p.watches, w.target.name)
 	p.census.Drop(m.Now, w.target.name)
 	p.selection.RecordFailure(m.Now, w.target.name)
-	m.steer(p)
+	m.reconcile(p)
 }
 
-// wake answers those who wait, at most every tenth of a second.
-// gather is the least time between two answers of a process with news.
-func (m *model) gather(p *process) time.Duration {
+// updateInterval returns the minimum time between two answers of a process with updates.
+func (m *model) updateInterval(p *process) time.Duration {
 	if !p.voter {
-		return relayGather
+		return relayUpdateInterval
 	}
-	return max(gather, time.Duration(m.followed(p))*time.Second/newsMost)
+	return max(voterUpdateInterval, time.Duration(m.countFollowers(p))*time.Second/maxUpdatesPerSecond)
 }
 
 func (m *model) wake(p *process) {
@@ -432,7 +434,7 @@
 		return
 	}
 	p.waking = true
-	m.After(max(m.gather(p)-m.Now.Sub(p.woken), 0), func() {
+	m.After(max(m.updateInterval(p)-m.Now.Sub(p.woken), 0), func() {
 		p.waking = false
 		if p.off {
 			return
@@ -446,8 +448,8 @@
 	})
 }
 
-// attend tells those above who follows this balancer.
-func (m *model) attend(p *process) {
+// reportFollowers reports a balancer's followers to its parent or the voters.
+func (m *model) reportFollowers(p *process) {
 	all := p.followers.Attendances(m.Now)
 	var up []*process
 	if parent := p.selection.Parent(); parent != "" {
@@ -476,8 +478,8 @@
 	}
 }
 
-// change lets all voters know something new, and checks who knows it in time.
-func (m *model) change() {
+// publishChange publishes a new version at all voters and schedules the check for late balancers.
+func (m *model) publishChange() {
 	m.changed = append(m.changed, m.Now)
 	version := uint64(len(m.changed) - 1)
 	for _, v := range m.voters {
@@ -488,10 +490,10 @@
 	m.After(knownWithin, func() { m.check(version, told) })
 }
 
-// check notes the balancers that ran undisturbed and do not know a change in time.
+// check records the undisturbed balancers that do not have a version in time.
 func (m *model) check(version uint64, told time.Time) {
 	for _, b := range m.balancers {
-		if b.off || b.cut || b.deaf || told.Sub(b.disturbed) < calmFor {
+		if b.off || b.partitioned || b.votersPartitioned || told.Sub(b.disturbed) < undisturbedFor {
 			continue
 		}
 		best := uint64(0)
@@ -505,24 +507,24 @@
 	}
 }
 
-// ringless holds that no balancer follows itself through others.
-func (m *model) ringless(t require.TestingT) {
+// requireNoCycles fails if a balancer follows itself through others.
+func (m *model) requireNoCycles(t require.TestingT) {
 	for _, b := range m.balancers {
 		steps := 0
 		for at := b.selection.Parent(); at != ""; at = m.processes[at].selection.Parent() {
 			steps++
-			require.LessOrEqual(t, steps, 2*len(m.shapeLevels()), "a ring through %s", b.name)
+			require.LessOrEqual(t, steps, 2*len(m.shapeLevels()), "a cycle through %s", b.name)
 		}
 	}
 }
 
-// shapeLevels are the levels that the largest zone needs, generously.
+// shapeLevels returns an upper bound on the levels of the largest zone.
 func (m *model) shapeLevels() []int { return make([]int, 8) }
 
-// followed counts the balancers that asked a process in the last second.
-func (m *model) followed(p *process) int {
+// countFollowers returns how many balancers polled a process in the last second.
+func (m *model) countFollowers(p *process) int {
 	n := 0
-	for _, at := range p.asked {
+	for _, at := range p.lastPoll {
 		if m.Now.Sub(at) <= time.Second {
 			n++
 		}
@@ -530,28 +532,28 @@
 	return n
 }
 
-// calm brings a fleet up and to rest.
-func (m *model) calm() {
+// settle runs the fleet until its startup is over, and resets the traffic counters.
+func (m *model) settle() {
 	m.run(15 * time.Second)
 	for _, p := range m.processes {
 		p.messages, p.bytes = 0, 0
 	}
 }
 
-// A fleet of 1,000 balancers at rest and with ten changes a second: what each process
-// sends is bounded, whatever the size of the fleet.
-func TestEachProcessSpeaksToFew(t *testing.T) {
+// In a fleet of 1,000 balancers with ten changes a second, the traffic of each process is bounded
+// independently of the fleet's size.
+func TestTrafficPerProcessIsBounded(t *testing.T) {
 	for _, each := range []int{6, 40, 200} {
 		t.Run(fmt.Sprint(5*each), func(t *testing.T) {
 			m := newModel(1, 5, each)
 			m.tenChangesASecond(t)
-			m.ringless(t)
+			m.requireNoCycles(t)
 			for _, v := range m.voters {
-				require.LessOrEqual(t, m.followed(v), 8*5, "30 balancers are a small fleet")
+				require.LessOrEqual(t, m.countFollowers(v), 8*5, "30 balancers are a small fleet, without a tree")
 			}
 			busiest, most := 0, 0
 			for _, b := range m.balancers {
-				require.LessOrEqual(t, m.followed(b), followersMost)
+				require.LessOrEqual(t, m.countFollowers(b), maxFollowers)
 				busiest, most = max(busiest, b.messages), max(most, b.bytes)
 			}
 			t.Logf("%d balancers: the busiest sends %d messages and %d bytes a second; the first voter %d and %d",
@@ -561,17 +563,18 @@
 	}
 }
 
-// tenChangesASecond plays them for ten of fifteen seconds.
+// tenChangesASecond publishes changes for ten of fifteen seconds.
 func (m *model) tenChangesASecond(t *testing.T) {
-	m.calm()
+	m.settle()
 	for n := range 100 {
-		m.After(time.Duration(n)*100*time.Millisecond, m.change)
+		m.After(time.Duration(n)*100*time.Millisecond, m.publishChange)
 	}
 	m.run(30 * time.Second)
 	require.Empty(t, m.late)
 }
 
-// Guards against control traffic that grows faster than the voters, whom all balancers hear.
+// Guards against control traffic that grows faster than the number of voters, whose state reaches
+// all balancers.
 func TestBytesGrowNoFasterThanVoters(t *testing.T) {
 	const many = 25
 	most := map[int]int{}
@@ -586,8 +589,8 @@
 	require.LessOrEqual(t, most[many], most[voters]*many/voters)
 }
 
-// disturb lets things fail at random for some seconds.
-func (m *model) disturb(r *rand.Rand) {
+// injectFaults injects random faults for some seconds.
+func (m *model) injectFaults(r *rand.Rand) {
 	for range 3 + r.IntN(6) {
 		at, lasts := time.Duration(r.IntN(8000))*time.Millisecond, time.Duration(300+r.IntN(3000))*time.Millisecond
 		share, kind, zone := 0.02+0.3*r.Float64(), r.IntN(6), fmt.Sprint("z", r.IntN(5))
@@ -620,44 +623,43 @@
 	case 2:
 		m.kill(b, true, lasts)
 	case 3:
-		b.cut = true
-		m.After(lasts, func() { b.cut = false })
+		b.partitioned = true
+		m.After(lasts, func() { b.partitioned = false })
 	case 4:
-		b.deaf = true
-		m.After(lasts, func() { b.deaf = false })
+		b.votersPartitioned = true
+		m.After(lasts, func() { b.votersPartitioned = false })
 	case 5:
 		b.disturbed = m.Now
 		m.kill(b, false, 0)
 	}
 }
 
-// Whatever fails of 1,000 balancers, those that run know each change in time: relays that
-// stand still, lose power, are cut off from everyone or from the voters, restart in
-// masses; all those at the top of a zone among them; messages that are lost; voters that
-// restart.
-func TestChangesAreKnownInTimeWhateverFails(t *testing.T) {
+// Undisturbed balancers receive each change in time, whatever fails among 1,000: relays that pause,
+// lose power, are partitioned from every process or from the voters, or restart in bulk, including
+// all roots of a zone; lost messages; and voters that restart.
+func TestChangesArriveInTimeDespiteFailures(t *testing.T) {
 	for seed := range uint64(*runs) {
-		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) { playFailures(t, seed) })
+		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) { runWithFaults(t, seed) })
 	}
 }
 
 var runs = flag.Int("seeds", 2, "random runs of a fleet of 1,000 balancers that fail")
 
-func playFailures(t *testing.T, seed uint64) {
+func runWithFaults(t *testing.T, seed uint64) {
 	r := rand.New(rand.NewPCG(seed, 4))
 	m := newModel(seed, 5, 200)
-	m.calm()
+	m.settle()
 	m.loss = []float64{0, 0.01, 0.03}[r.IntN(3)]
-	m.disturb(r)
+	m.injectFaults(r)
 	for n := range 30 {
-		m.After(time.Duration(n)*400*time.Millisecond, m.change)
+		m.After(time.Duration(n)*400*time.Millisecond, m.publishChange)
 	}
 	m.run(32 * time.Second)
-	m.ringless(t)
+	m.requireNoCycles(t)
 	require.Empty(t, m.late[:min(len(m.late), 1)], "%d too late", len(m.late))
 }
 
-// size is what a message takes beside the overhead of its call.
+// size returns the encoded size of a message without the RPC overhead.
 func size(x any) int {
 	b, err := cbor.Marshal(x)
 	if err != nil {
--- a/internal/fanout/selection/selection.go
+++ b/internal/fanout/selection/selection.go
@@ -8,60 +8,61 @@
 )
 
 const (
-	// settleFor is how long after its start a balancer follows the voters in any case:
-	// they tell it all it needs, and voters that started with it have heard of most
-	// balancers by then. With 2 s the balancers of a fleet that restarted in turn, which
-	// were told each change meanwhile, were most of the voters' work.
+	// startupPeriod is how long after its start a balancer always follows the voters. They send it
+	// the complete state, and voters that started with it know most balancers by then. With 2 s,
+	// most of the voters' load came from balancers in a rolling restart, which received each change
+	// directly from them.
 	startupPeriod = 500 * time.Millisecond
-	// fewFor is how long one voter suffices after a start, and some after the parent failed:
-	// what one says of upstreams that others hear holds for four seconds. All followers of a
-	// balancer that stops would otherwise connect to all voters at once.
+	// voterSubsetPeriod is how long one voter is enough after a start, and some voters after a
+	// parent failed. A voter's relayed report of upstreams that other voters monitor remains valid
+	// for four seconds. Without this limit, all followers of a stopping balancer would connect to
+	// all voters at once.
 	voterSubsetPeriod = 2500 * time.Millisecond
-	// avoidFor is how long a balancer that failed is not asked again.
+	// avoidPeriod is how long a failed balancer is not polled again.
 	avoidPeriod = 5 * time.Second
-	// raceFor is how long candidates have before the voters are asked instead of a parent
-	// that failed: a connection and an answer take some ms.
+	// candidateTimeout is how long candidates have to replace a failed parent before the voters are
+	// polled as well. A connection and an answer take some ms.
 	candidateTimeout = 300 * time.Millisecond
-	// poorShare is the part of StaleAfter for which a parent may hear few voters before
-	// others are asked. What it passes on is StaleAfter old then already, half of the bound
-	// on configurations and departures; waiting as long again, a balancer whose parent was
-	// cut off from the voters placed a flow 6.2 s after a change, where 5 are allowed. A
-	// voter that restarts is back within it.
+	// degradedFraction is the fraction of StaleAfter for which a parent may have too few fresh
+	// voters before others are polled. Its state is StaleAfter old by then, half of the bound on
+	// configurations and departures. With a fraction of 1, a balancer whose parent was cut off
+	// placed a flow 6.2 s after a change, where 5 are allowed. A voter that restarts is back in
+	// time.
 	degradedFraction = 0.2
-	// firstProbeShare is the part of StaleAfter over which the first looks at the voters are
-	// spread, so that a zone does not ask them all at once.
+	// firstProbeFraction is the fraction of StaleAfter over which the first probes of the voters
+	// are spread, so that the balancers of a zone do not poll them all at once.
 	firstProbeFraction = 0.4
-	// probeEvery is the time between two looks at other sources while a parent hears few
-	// voters, and probeFor how long the voters are asked each time. Each balancer adds up
-	// to as much again by its address, so that they do not all ask voters that are back.
+	// probeInterval is the time between two probes of the voters while the parent is degraded, and
+	// probeDuration the length of each probe. Each balancer adds up to one more interval of jitter,
+	// so that not all of them poll recovered voters at once.
 	probeInterval = 3 * time.Second
 	probeDuration = 1200 * time.Millisecond
 )
 
-// Settings of a selection.
+// Settings configures a selection.
 type Settings struct {
-	// Self is the call address of the balancer.
+	// Self is the RPC address of the balancer.
 	Self  string
 	Shape tree.Shape
-	// StaleAfter is how old what is heard of most voters may become.
+	// StaleAfter is the maximum age of a voter's state that still counts as fresh.
 	StaleAfter time.Duration
-	// Jitter between 0 and 1 differs between balancers.
+	// Jitter is a value between 0 and 1 that differs between balancers.
 	Jitter float64
 }
 
-// Sources are whom a balancer is to ask.
+// Sources are the processes that a balancer polls.
 type Sources struct {
-	// Voters says that voters are asked, Few that some of them suffice, since the balancer is
-	// about to follow another one, and One that one of those does, since it has just started.
+	// Voters selects the voters, VoterSubset limits them to some because a parent is expected soon,
+	// and SingleVoter to one because the balancer has just started.
 	Voters, VoterSubset, SingleVoter bool
-	// Parents are the balancers that are asked, the one that is followed first.
+	// Parents are the polled balancers, the current parent first.
 	Parents []string
 }
 
-// Reason says why a balancer changed whom it follows.
+// Reason is why a balancer changed its parent.
 type Reason string
 
-// The reasons.
+// Reasons as they appear in the log.
 const (
 	Joined Reason = "candidate answers"
 	Failed Reason = "parent does not answer"
@@ -70,40 +71,42 @@
 	Root   Reason = "place at the top of the zone"
 )
 
-// Change is a change of whom a balancer follows; no parent means the voters.
+// Change is a change of parent; an empty parent stands for the voters.
 type Change struct {
 	Parent string
 	Reason Reason
 }
 
-// Selection is the state of one balancer's choice.
+// Selection is the parent selection of one balancer.
 type Selection struct {
 	settings Settings
 	started  time.Time
 	place    tree.Place
 	placed   bool
-	// parent is who is followed, empty while the voters are.
+	// parent is empty while the voters are followed.
 	parent string
-	// lost is when the last parent failed, zero before the first one; fewUntil is until when
-	// some voters suffice in its place.
+	// parentFailedAt is when the last parent failed, zero if none has; until voterSubsetUntil some
+	// voters are enough in its place.
 	parentFailedAt, voterSubsetUntil time.Time
-	// heard is how many voters each source hears, that of the voters under "".
+	// freshVoters is the number of fresh voters per source; the key "" holds how many voters answer
+	// this balancer directly.
 	freshVoters map[string]int
-	// poor is since when too few voters were heard, zero while enough are.
+	// degradedSince is when the followed source fell below the quorum of fresh voters, zero while
+	// it has one.
 	degradedSince time.Time
-	// avoided is until when a balancer is not asked.
+	// avoidedUntil holds when each avoided balancer may be polled again.
 	avoidedUntil map[string]time.Time
-	// enough is a majority of the voters.
+	// quorum is a majority of the voters.
 	quorum int
 	change *Change
 }
 
-// New returns a selection that begins with the voters.
+// New returns a selection that follows the voters at first.
 func New(s Settings, now time.Time) *Selection {
 	return &Selection{settings: s, started: now, voterSubsetUntil: now.Add(voterSubsetPeriod), freshVoters: map[string]int{}, avoidedUntil: map[string]time.Time{}, quorum: 1}
 }
 
-// Fleet takes the call addresses of the zone's balancers.
+// UpdateZone sets the RPC addresses of the zone's balancers.
 func (s *Selection) UpdateZone(now time.Time, zone []string) {
 	s.place, s.placed = s.settings.Shape.Of(s.settings.Self, zone), true
 	if s.place.Level == 0 && s.parent != "" {
@@ -111,13 +114,13 @@
 	}
 }
 
-// Level is the balancer's level in the tree.
+// Level returns the balancer's level in the tree.
 func (s *Selection) Level() int { return s.place.Level }
 
-// Parent is who is followed, empty for the voters.
+// Parent returns the current parent, empty while the voters are followed.
 func (s *Selection) Parent() string { return s.parent }
 
-// Changed returns the last change once.
+// TakeChange returns and clears the last change.
 func (s *Selection) TakeChange() (Change, bool) {
 	c := s.change
 	s.change = nil
@@ -127,7 +130,7 @@
 	return *c, true
 }
 
-// Voters notes how many of how many voters answer here.
+// UpdateVoters records how many voters answer this balancer, and how many there are.
 func (s *Selection) UpdateVoters(now time.Time, answering, all int) {
 	s.quorum = all/2 + 1
 	s.freshVoters[""] = answering
@@ -136,36 +139,36 @@
 	}
 }
 
-// measure notes since when the source that is followed hears few voters.
-func (s *Selection) trackDegradation(now time.Time, heard int) {
-	if heard >= s.quorum {
+// trackDegradation records since when the followed source has too few fresh voters.
+func (s *Selection) trackDegradation(now time.Time, fresh int) {
+	if fresh >= s.quorum {
 		s.degradedSince = time.Time{}
 	} else if s.degradedSince.IsZero() {
 		s.degradedSince = now
 	}
 }
 
-// Answered notes an answer of another balancer, with how many voters it has heard lately.
-func (s *Selection) RecordAnswer(now time.Time, from string, heard int) {
-	s.freshVoters[from] = heard
+// RecordAnswer records an answer of another balancer and its number of fresh voters.
+func (s *Selection) RecordAnswer(now time.Time, from string, fresh int) {
+	s.freshVoters[from] = fresh
 	switch {
 	case from == s.parent:
-		s.trackDegradation(now, heard)
+		s.trackDegradation(now, fresh)
 	case s.place.Level == 0 || !slices.Contains(s.place.Candidates, from):
-	case s.parent == "" && (heard >= s.quorum || heard > 0 && heard >= s.freshVoters[""]):
+	case s.parent == "" && (fresh >= s.quorum || fresh > 0 && fresh >= s.freshVoters[""]):
 		s.setParent(now, from, Joined)
 	case s.parent == "":
 		s.avoid(now, from)
-	case s.misplaced() && heard >= min(s.freshVoters[s.parent], s.quorum):
+	case s.misplaced() && fresh >= min(s.freshVoters[s.parent], s.quorum):
 		s.setParent(now, from, Moved)
-	case heard > s.freshVoters[s.parent]:
+	case fresh > s.freshVoters[s.parent]:
 		s.setParent(now, from, Stale)
 	default:
 		s.avoid(now, from)
 	}
 }
 
-// Failed notes that a balancer did not answer, or refused.
+// RecordFailure records that a balancer did not answer or refused.
 func (s *Selection) RecordFailure(now time.Time, from string) {
 	delete(s.freshVoters, from)
 	s.avoid(now, from)
@@ -179,13 +182,13 @@
 	s.avoidedUntil[address] = now.Add(avoidPeriod)
 }
 
-func (s *Selection) setParent(now time.Time, parent string, why Reason) {
+func (s *Selection) setParent(now time.Time, parent string, reason Reason) {
 	s.parent, s.degradedSince = parent, time.Time{}
-	s.change = &Change{Parent: parent, Reason: why}
+	s.change = &Change{Parent: parent, Reason: reason}
 	s.trackDegradation(now, s.freshVoters[parent])
 }
 
-// misplaced says that the parent is none of the candidates any more.
+// misplaced reports whether the parent is no longer a candidate.
 func (s *Selection) misplaced() bool {
 	return s.parent != "" && !slices.Contains(s.place.Candidates, s.parent)
 }
@@ -194,12 +197,12 @@
 	return !s.degradedSince.IsZero() && now.Sub(s.degradedSince) > s.fractionOfStaleAfter(degradedFraction)
 }
 
-// part returns a part of StaleAfter.
+// fractionOfStaleAfter returns a fraction of StaleAfter.
 func (s *Selection) fractionOfStaleAfter(share float64) time.Duration {
 	return time.Duration(share * float64(s.settings.StaleAfter))
 }
 
-// Decide returns whom to ask now.
+// Decide returns the sources to poll now.
 func (s *Selection) Decide(now time.Time) Sources {
 	s.expireAvoided(now)
 	switch {
@@ -219,7 +222,8 @@
 	}
 }
 
-// root asks the voters, and another root beside where most of them do not answer here.
+// rootSources returns the sources of a root: the voters, and another root if most voters do not
+// answer directly.
 func (s *Selection) rootSources(now time.Time) Sources {
 	out := Sources{Voters: true}
 	if s.isStale(now) {
@@ -228,7 +232,7 @@
 	return out
 }
 
-// orphan looks for a parent.
+// orphanSources returns the sources of a balancer without a parent.
 func (s *Selection) orphanSources(now time.Time) Sources {
 	if s.parentFailedAt.IsZero() || now.Sub(s.parentFailedAt) >= candidateTimeout {
 		few := now.Before(s.voterSubsetUntil)
@@ -239,15 +243,15 @@
 	return out
 }
 
-// probes says that the voters are asked for a moment, to see whether more of them answer
-// here than the parent hears. Where they do, the parent is left.
+// probeDue reports whether the voters are to be polled in parallel to a degraded parent, to see
+// whether more of them answer directly.
 func (s *Selection) probeDue(now time.Time) bool {
 	since := now.Sub(s.degradedSince) - s.fractionOfStaleAfter(degradedFraction) - s.fractionOfStaleAfter(firstProbeFraction*s.settings.Jitter)
 	every := probeInterval + time.Duration(s.settings.Jitter*float64(probeInterval))
 	return since >= 0 && since%every < probeDuration
 }
 
-// Probed compares the voters that answer here with what the parent hears.
+// EvaluateProbe replaces a degraded parent by the voters if more of them answer directly.
 func (s *Selection) EvaluateProbe(now time.Time) {
 	if s.parent != "" && s.isStale(now) && s.freshVoters[""] > s.freshVoters[s.parent] {
 		s.avoid(now, s.parent)
--- a/internal/fanout/selection/selection_test.go
+++ b/internal/fanout/selection/selection_test.go
@@ -31,8 +31,8 @@
 	return out
 }
 
-// belowTop returns a balancer of a zone on the level below the top of the tree.
-func belowTop(t *testing.T, all []string) string {
+// firstLevelBalancer returns a balancer of a zone on level 1 of the tree.
+func firstLevelBalancer(t *testing.T, all []string) string {
 	for _, a := range all {
 		if shape.Of(a, all).Level == 1 {
 			return a
@@ -42,18 +42,18 @@
 	return ""
 }
 
-// newChild returns the selection of a balancer below the top that has started some time
-// ago, and its candidates.
+// newChild returns the selection of a level 1 balancer whose startup period is over, and its
+// candidates.
 func newChild(t *testing.T) (*selection.Selection, []string) {
 	all := zone(20)
-	self := belowTop(t, all)
+	self := firstLevelBalancer(t, all)
 	s := selection.New(selection.Settings{Self: self, Shape: shape, StaleAfter: staleAfter}, epoch.Add(-time.Minute))
 	s.UpdateVoters(epoch, voters, voters)
 	s.UpdateZone(epoch, all)
 	return s, shape.Of(self, all).Candidates
 }
 
-// newFollowing returns one that follows its first candidate.
+// newFollowing returns a selection that follows its first candidate.
 func newFollowing(t *testing.T) (*selection.Selection, []string) {
 	s, c := newChild(t)
 	s.RecordAnswer(epoch, c[0], voters)
@@ -62,11 +62,11 @@
 	return s, c
 }
 
-func TestVotersAreFollowedUntilAParentAnswers(t *testing.T) {
+func TestVotersAreFollowedUntilParentAnswers(t *testing.T) {
 	s, c := newChild(t)
 	require.Equal(t, selection.Sources{Voters: true, Parents: c[:1]}, s.Decide(epoch))
 	s.RecordAnswer(epoch, c[0], 0)
-	require.Equal(t, c[1:2], s.Decide(epoch).Parents, "one that has heard no voter is no parent")
+	require.Equal(t, c[1:2], s.Decide(epoch).Parents, "a balancer without a fresh voter is no parent")
 	s.RecordAnswer(epoch, c[1], voters)
 	require.Equal(t, selection.Sources{Parents: c[1:2]}, s.Decide(epoch))
 	change, changed := s.TakeChange()
@@ -74,21 +74,21 @@
 	require.Equal(t, selection.Change{Parent: c[1], Reason: selection.Joined}, change)
 }
 
-func TestVotersAreFollowedJustAfterAStart(t *testing.T) {
+func TestVotersAreFollowedDuringStartup(t *testing.T) {
 	all := zone(20)
-	s := selection.New(selection.Settings{Self: belowTop(t, all), Shape: shape, StaleAfter: staleAfter}, epoch)
+	s := selection.New(selection.Settings{Self: firstLevelBalancer(t, all), Shape: shape, StaleAfter: staleAfter}, epoch)
 	s.UpdateZone(epoch, all)
 	require.Equal(t, selection.Sources{Voters: true, VoterSubset: true, SingleVoter: true}, s.Decide(at(300*time.Millisecond)))
 	require.NotEmpty(t, s.Decide(at(time.Second)).Parents)
 	require.True(t, s.Decide(at(time.Second)).VoterSubset)
 }
 
-// Symptom: four seconds after its start a balancer knew a fifth of the upstreams.
-// Events: it finds no parent; the voter that it asked hears the upstreams of one zone.
-// Cause: one voter sufficed until a parent was found.
-func TestAllVotersAreAskedWhereNoParentIsFound(t *testing.T) {
+// Guards against a balancer that knows a fifth of the upstreams four seconds after its start. It
+// found no parent, one voter was enough until it did, and that voter monitored the upstreams of one
+// zone.
+func TestAllVotersArePolledWithoutParent(t *testing.T) {
 	all := zone(20)
-	s := selection.New(selection.Settings{Self: belowTop(t, all), Shape: shape, StaleAfter: staleAfter}, epoch)
+	s := selection.New(selection.Settings{Self: firstLevelBalancer(t, all), Shape: shape, StaleAfter: staleAfter}, epoch)
 	s.UpdateZone(epoch, all)
 	require.False(t, s.Decide(at(3*time.Second)).VoterSubset)
 }
@@ -103,10 +103,10 @@
 	}
 }
 
-// Symptom: balancers below one that lost power heard of no change for seconds.
-// Events: the parent fails, and the next candidate is without power, too.
-// Cause: candidates were asked one after the other, each for its whole timeout.
-func TestTwoCandidatesAtOnceThenTheVoters(t *testing.T) {
+// Guards against followers of a balancer that lost power and receive no change for seconds. The
+// next candidate had lost power too, and candidates were polled one after the other, each for its
+// full timeout.
+func TestFailedParentIsReplacedByCandidatesThenVoters(t *testing.T) {
 	s, c := newFollowing(t)
 	s.RecordFailure(epoch, c[0])
 	require.Equal(t, selection.Sources{Parents: c[1:3]}, s.Decide(epoch))
@@ -116,47 +116,45 @@
 	require.Equal(t, selection.Sources{Parents: c[1:2]}, s.Decide(later))
 }
 
-// Guards against a storm of connections where a balancer stops: each of its followers connected
-// to all voters.
-func TestOrphanAsksSomeVotersFirst(t *testing.T) {
+// Guards against a burst of connections when a balancer stops: each of its followers connected to
+// all voters.
+func TestOrphanPollsVoterSubsetFirst(t *testing.T) {
 	s, c := newFollowing(t)
 	s.RecordFailure(epoch, c[0])
 	s.RecordFailure(at(400*time.Millisecond), c[1])
 	require.True(t, s.Decide(at(500*time.Millisecond)).Voters)
 	require.True(t, s.Decide(at(500*time.Millisecond)).VoterSubset)
-	require.False(t, s.Decide(at(500*time.Millisecond)).SingleVoter, "one alone may be cut off from the others")
+	require.False(t, s.Decide(at(500*time.Millisecond)).SingleVoter, "a single voter may be cut off from the others")
 	require.True(t, s.Decide(at(2*time.Second)).VoterSubset)
 	require.Equal(t, selection.Sources{Voters: true, Parents: c[2:3]}, s.Decide(at(3*time.Second)), "no parent answers")
 }
 
-func TestAllOfTheLevelAboveGone(t *testing.T) {
+func TestAllCandidatesFailed(t *testing.T) {
 	s, c := newFollowing(t)
 	for _, x := range c {
 		s.RecordFailure(epoch, x)
 	}
-	require.Equal(t, selection.Sources{Voters: true}, s.Decide(epoch), "at once where nobody is left to ask")
-	require.Equal(t, c[:1], s.Decide(at(6*time.Second)).Parents, "they are tried again")
+	require.Equal(t, selection.Sources{Voters: true}, s.Decide(epoch), "immediately if no candidate is left")
+	require.Equal(t, c[:1], s.Decide(at(6*time.Second)).Parents, "failed candidates are retried")
 }
 
-// Symptom: balancers heard of departures too late although all their connections worked.
-// Events: the parent lives and answers, and is cut off from the voters.
-// Cause: a parent was left only once it did not answer.
-func TestStaleParentIsLeftForOneThatHearsMore(t *testing.T) {
+// Guards against late departures on working connections: the parent answers but is cut off from the
+// voters, and a parent was replaced only once it did not answer.
+func TestStaleParentIsReplacedByFresherOne(t *testing.T) {
 	s, c := newFollowing(t)
 	s.RecordAnswer(epoch, c[0], 1)
 	require.Equal(t, c[:1], s.Decide(at(staleAfter/5)).Parents)
 	later := at(staleAfter/5 + 10*time.Millisecond)
 	s.RecordAnswer(later, c[0], 1)
-	require.Equal(t, c[:2], s.Decide(later).Parents, "the parent is asked until another is better")
+	require.Equal(t, c[:2], s.Decide(later).Parents, "the parent is polled until another one is fresher")
 	s.RecordAnswer(later, c[1], voters)
 	require.Equal(t, selection.Sources{Parents: c[1:2]}, s.Decide(later))
 }
 
-// Symptom: all balancers of a zone asked voters that they could not reach, and met the
-// voters all at once when these were back.
-// Events: a zone is cut off, or all voters are down; every parent hears equally few.
-// Cause: a parent was left for being stale, whatever the others heard.
-func TestNobodyLeavesWhereNoneHearsMore(t *testing.T) {
+// Guards against all balancers of a zone polling unreachable voters, and reaching them all at once
+// on recovery. When a zone is cut off or all voters are down, every candidate has equally few fresh
+// voters, but a stale parent was replaced regardless.
+func TestStaleParentIsKeptWithoutFresherOne(t *testing.T) {
 	s, c := newFollowing(t)
 	asked := 0
 	for d := time.Duration(0); d < time.Minute; d += 100 * time.Millisecond {
@@ -172,11 +170,11 @@
 		}
 	}
 	require.Equal(t, c[0], s.Parent())
-	require.Less(t, asked, 300, "voters are asked less than half of the time")
+	require.Less(t, asked, 300, "voters are polled less than half of the time")
 	require.NotZero(t, asked)
 }
 
-func TestVotersThatAnswerHereAreFollowedWhereParentsHearFew(t *testing.T) {
+func TestReachableVotersReplaceStaleParents(t *testing.T) {
 	s, c := newFollowing(t)
 	for d := time.Duration(0); s.Parent() != "" && d < 20*time.Second; d += 100 * time.Millisecond {
 		sources := s.Decide(at(d))
@@ -195,11 +193,9 @@
 	require.NotContains(t, c, s.Parent())
 }
 
-// Symptom: balancers that were cut off from all voters sent flows to upstreams that had
-// left, though other balancers of their zone knew.
-// Events: one at the top of its zone is cut off from the voters, and from nobody else.
-// Cause: it asked nobody else.
-func TestRootThatIsCutOffAsksAnother(t *testing.T) {
+// Guards against a root that sends flows to departed upstreams although other balancers of its zone
+// know of the departures. It was cut off from the voters only, and polled nobody else.
+func TestIsolatedRootPollsAnotherRoot(t *testing.T) {
 	all := zone(20)
 	var self string
 	for _, a := range all {
@@ -216,11 +212,11 @@
 	require.True(t, sources.Voters)
 	require.Len(t, sources.Parents, 1)
 	s.RecordAnswer(at(staleAfter+time.Millisecond), sources.Parents[0], voters)
-	require.Empty(t, s.Parent(), "it stays at the top")
-	require.Equal(t, sources, s.Decide(at(staleAfter+2*time.Millisecond)), "and goes on asking")
+	require.Empty(t, s.Parent(), "the balancer remains a root")
+	require.Equal(t, sources, s.Decide(at(staleAfter+2*time.Millisecond)), "and keeps polling")
 }
 
-func TestBalancerThatRisesToTheTopFollowsVoters(t *testing.T) {
+func TestBalancerThatBecomesRootFollowsVoters(t *testing.T) {
 	s, _ := newFollowing(t)
 	s.UpdateZone(epoch, nil)
 	require.Equal(t, selection.Sources{Voters: true}, s.Decide(epoch))
@@ -228,7 +224,7 @@
 	require.Equal(t, selection.Root, change.Reason)
 }
 
-func TestParentThatIsNoCandidateAnyMoreIsReplacedByOne(t *testing.T) {
+func TestParentThatIsNoLongerCandidateIsReplaced(t *testing.T) {
 	s, c := newFollowing(t)
 	without := []string{}
 	for _, a := range zone(20) {
@@ -244,25 +240,23 @@
 	require.Equal(t, sources.Parents[1], s.Parent())
 }
 
-// Symptom: a balancer that all voters could reach placed a flow by a configuration that had
-// been replaced 6.2 s before, where 5 are allowed.
-// Events: its parent is cut off from the voters, and goes on to answer; all other candidates
-// have their followers already.
-// Cause: what the parent passes on had to be StaleAfter old, half of the bound, and to stay
-// so for as long again; voters were asked up to five seconds later.
-func TestParentThatIsCutOffIsLeftWithinTheBound(t *testing.T) {
+// Guards against a balancer that places a flow by a configuration replaced 6.2 s earlier, where 5
+// are allowed, although it can reach all voters. Its parent was cut off from the voters but
+// answered, and all other candidates were full. The parent's state had to be StaleAfter old, half
+// of the bound, for as long again, and the voters were polled up to five seconds after that.
+func TestIsolatedParentIsReplacedWithinBound(t *testing.T) {
 	const bound = 2 * staleAfter
 	for _, jitter := range []float64{0, 0.5, 1} {
 		all := zone(20)
-		self := belowTop(t, all)
+		self := firstLevelBalancer(t, all)
 		s := selection.New(selection.Settings{Self: self, Shape: shape, StaleAfter: staleAfter, Jitter: jitter}, epoch.Add(-time.Minute))
 		s.UpdateVoters(epoch, 0, voters)
 		s.UpdateZone(epoch, all)
 		candidates := shape.Of(self, all).Candidates
 		s.RecordAnswer(epoch, candidates[0], voters)
-		left := time.Duration(0)
-		for now := staleAfter; left == 0 && now < 10*bound; now += 10 * time.Millisecond {
-			// Its parent's last contact with the voters is older than StaleAfter.
+		replacedAfter := time.Duration(0)
+		for now := staleAfter; replacedAfter == 0 && now < 10*bound; now += 10 * time.Millisecond {
+			// The parent's last contact with the voters is older than StaleAfter.
 			s.RecordAnswer(at(now), candidates[0], 0)
 			sources := s.Decide(at(now))
 			for _, c := range sources.Parents[1:] {
@@ -273,10 +267,10 @@
 				s.EvaluateProbe(at(now))
 			}
 			if s.Parent() != candidates[0] {
-				left = now
+				replacedAfter = now
 			}
 		}
-		require.NotZero(t, left, "it is left at all")
-		require.Less(t, left, bound*9/10, "the rest is for the configuration, jitter %g", jitter)
+		require.NotZero(t, replacedAfter, "the parent is replaced eventually")
+		require.Less(t, replacedAfter, bound*9/10, "the rest of the bound is for the configuration, jitter %g", jitter)
 	}
 }
