--- a/internal/cookie/follower/fetcher.go
+++ b/internal/cookie/follower/fetcher.go
@@ -204,7 +204,7 @@
 	var gap *history.GapError
 	var digest *history.DigestError
 	if errors.As(err, &gap) || errors.As(err, &digest) {
-		f.log.Warn("cannot apply configuration difference, fetching the whole", "Address", address, "Error", err)
+		f.log.Warn("cannot apply configuration update, fetching the full configuration", "Address", address, "Error", err)
 		c, err = requestConfiguration(ctx, client, held, 0)
 	}
 	if err != nil {
--- a/internal/cookie/follower/follower_test.go
+++ b/internal/cookie/follower/follower_test.go
@@ -33,7 +33,7 @@
 	history history.History
 	mu      sync.Mutex
 	fetched int
-	// begun counts the polls of balancers without any state from this voter.
+	// initialPolls counts the polls of balancers without any state from this voter.
 	initialPolls int
 	// stuck makes the voter hang on every configuration fetch.
 	stuck bool
--- a/internal/cookie/follower/parent.go
+++ b/internal/cookie/follower/parent.go
@@ -25,12 +25,12 @@
 	defer client.Close()
 	for ctx.Err() == nil {
 		started := f.settings.Clock()
-		news, err := f.pollParentOnce(ctx, client, address)
+		updated, err := f.pollParentOnce(ctx, client, address)
 		if err != nil {
 			f.parentFailed(ctx, address, err)
 			return
 		}
-		if !news && f.settings.Clock().Sub(started) < emptyAnswerPause {
+		if !updated && f.settings.Clock().Sub(started) < emptyAnswerPause {
 			select {
 			case <-ctx.Done():
 			case <-time.After(emptyAnswerPause):
@@ -66,10 +66,10 @@
 	now := f.settings.Clock()
 	// The full round trip is added, so that an age is never too small.
 	roundTrip := max(now.Sub(sent)-a.Held, 0)
-	news, fresh := a.Revision > q.Revision, 0
+	updated, fresh := a.Revision > q.Revision, 0
 	if a.Evacuations != nil {
 		f.listener.Evacuated(address, *a.Evacuations)
-		news = true
+		updated = true
 	}
 	for _, x := range a.Origins {
 		x.Age += roundTrip
@@ -77,20 +77,20 @@
 			fresh++
 		}
 		if f.applyOrigin(now, x) {
-			news = true
+			updated = true
 		}
 	}
 	f.fetcher.noteRevision(address, a.Revision)
 	f.setFleetSize(address, a.Balancers)
 	if q.Fleet != a.FleetVersion || len(a.Fleet) > 0 {
 		f.applyFleet(address, census.List{Version: a.FleetVersion, Members: a.Fleet})
-		news = true
+		updated = true
 	}
 	f.mu.Lock()
 	f.selection.RecordAnswer(now, address, fresh)
 	f.mu.Unlock()
 	f.addVoters(a.Voters)
-	return news, nil
+	return updated, nil
 }
 
 func (f *Follower) parentRequest(address string) relay.Question {
--- a/internal/cookie/follower/serving.go
+++ b/internal/cookie/follower/serving.go
@@ -14,7 +14,7 @@
 func (f *Follower) News(now time.Time, q relay.Question) (relay.Answer, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	origins, news := f.origins.After(now, q.Known)
+	origins, updated := f.origins.After(now, q.Known)
 	a := relay.Answer{
 		Origins: origins, FleetVersion: f.census.Version(), Balancers: f.fleetSize(),
 		Voters: lo.Filter(lo.Keys(f.voterSeen), func(v string, _ int) bool { return now.Sub(f.voterSeen[v]) < voterExpiry }),
@@ -22,7 +22,7 @@
 	if q.Fleet != a.FleetVersion {
 		a.Fleet = f.census.Members()
 	}
-	return a, news
+	return a, updated
 }
 
 // Missing returns the newest announced revision that this balancer has failed to get for some time,
--- a/internal/cookie/follower/uplink.go
+++ b/internal/cookie/follower/uplink.go
@@ -76,15 +76,15 @@
 func (u *uplink) run(ctx context.Context) {
 	client := rpc.NewClient(u.to, u.token)
 	defer client.Close()
-	attend := time.NewTimer(firstFollowerReport)
-	defer attend.Stop()
+	followerTimer := time.NewTimer(firstFollowerReport)
+	defer followerTimer.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-attend.C:
+		case <-followerTimer.C:
 			u.sendFollowers(ctx, client)
-			attend.Reset(members.AttendEvery)
+			followerTimer.Reset(members.AttendEvery)
 			continue
 		case <-u.wake:
 		}
