--- a/internal/fanout/selection/fleet_test.go
+++ b/internal/fanout/selection/fleet_test.go
@@ -319,7 +319,7 @@
 
 // reply answers immediately if there are updates, else after the hold.
 func (m *model) reply(s, to *process, known []origins.Known, fleet uint64, hold time.Duration, deliver func([]origins.Origin, census.List, time.Duration)) {
-	begun := m.Now
+	received := m.Now
 	s.lastPoll[to.name] = m.Now
 	m.mostFollowers = max(m.mostFollowers, len(s.lastPoll))
 	if s.voter {
@@ -327,13 +327,13 @@
 	}
 	done := false
 	answer := func(must bool) {
-		x, news := m.updates(s, known)
-		if done || !news && !must {
+		x, updated := m.updates(s, known)
+		if done || !updated && !must {
 			return
 		}
 		done = true
 		l := m.fleetList(s, to, fleet)
-		held := m.Now.Sub(begun)
+		held := m.Now.Sub(received)
 		m.send(s, to, 60+size(x)+size(l), func() { deliver(x, l, held) })
 	}
 	answer(false)
@@ -371,13 +371,13 @@
 // answered applies an answer and polls again.
 func (m *model) answered(p *process, w *modelWatch, all []origins.Origin, l census.List, roundTrip time.Duration) {
 	w.answers = true
-	news, fresh := false, 0
+	updated, fresh := false, 0
 	for _, x := range all {
 		x.Age += roundTrip
 		if x.Age <= knownWithin/2 {
 			fresh++
 		}
-		news = p.origins.Take(m.Now, x) || news
+		updated = p.origins.Take(m.Now, x) || updated
 	}
 	if len(l.Members) > 0 {
 		p.census.Take(m.Now, w.target.name, l)
@@ -387,13 +387,13 @@
 	if !w.target.voter {
 		p.selection.RecordAnswer(m.Now, w.target.name, fresh)
 	}
-	if news {
+	if updated {
 		m.wake(p)
 	}
 	m.reconcile(p)
 	if !w.over {
 		pause := time.Duration(0)
-		if !news {
+		if !updated {
 			pause = 20 * time.Millisecond
 		}
 		m.After(pause, m.whileAlive(p, func() {
@@ -486,14 +486,14 @@
 		v.version = version
 		m.wake(v)
 	}
-	told := m.Now
-	m.After(knownWithin, func() { m.check(version, told) })
+	published := m.Now
+	m.After(knownWithin, func() { m.check(version, published) })
 }
 
 // check records the undisturbed balancers that do not have a version in time.
-func (m *model) check(version uint64, told time.Time) {
+func (m *model) check(version uint64, published time.Time) {
 	for _, b := range m.balancers {
-		if b.off || b.partitioned || b.votersPartitioned || told.Sub(b.disturbed) < undisturbedFor {
+		if b.off || b.partitioned || b.votersPartitioned || published.Sub(b.disturbed) < undisturbedFor {
 			continue
 		}
 		best := uint64(0)
@@ -502,7 +502,7 @@
 		}
 		if best < version {
 			m.late = append(m.late, fmt.Sprintf("%s knows %d and not %d after %s; level %d, parent %q",
-				b.name, best, version, m.Now.Sub(told), b.selection.Level(), b.selection.Parent()))
+				b.name, best, version, m.Now.Sub(published), b.selection.Level(), b.selection.Parent()))
 		}
 	}
 }
--- a/internal/fanout/selection/selection_test.go
+++ b/internal/fanout/selection/selection_test.go
@@ -156,7 +156,7 @@
 // voters, but a stale parent was replaced regardless.
 func TestStaleParentIsKeptWithoutFresherOne(t *testing.T) {
 	s, c := newFollowing(t)
-	asked := 0
+	polled := 0
 	for d := time.Duration(0); d < time.Minute; d += 100 * time.Millisecond {
 		s.UpdateVoters(at(d), 0, voters)
 		s.EvaluateProbe(at(d))
@@ -166,12 +166,12 @@
 			s.RecordAnswer(at(d), p, 1)
 		}
 		if sources.Voters {
-			asked++
+			polled++
 		}
 	}
 	require.Equal(t, c[0], s.Parent())
-	require.Less(t, asked, 300, "voters are polled less than half of the time")
-	require.NotZero(t, asked)
+	require.Less(t, polled, 300, "voters are polled less than half of the time")
+	require.NotZero(t, polled)
 }
 
 func TestReachableVotersReplaceStaleParents(t *testing.T) {
@@ -194,7 +194,7 @@
 }
 
 // Guards against a root that sends flows to departed upstreams although other balancers of its zone
-// know of the departures. It was cut off from the voters only, and polled nobody else.
+// know of the departures. It was cut off from the voters only, and polled no other source.
 func TestIsolatedRootPollsAnotherRoot(t *testing.T) {
 	all := zone(20)
 	var self string
