--- a/internal/fanout/relay/doc.go
+++ b/internal/fanout/relay/doc.go
@@ -1,3 +1,3 @@
-// Package relay answers the balancers that follow this one with what it has heard of the
-// voters.
+// Package relay answers the polls of a balancer's followers with the voter state that the balancer
+// has received.
 package relay
--- a/internal/fanout/relay/relay.go
+++ b/internal/fanout/relay/relay.go
@@ -12,97 +12,97 @@
 	"wasabideal/internal/wire/rpc"
 )
 
-// SinceMethod is the call by which a balancer asks another one for news.
+// SinceMethod is the RPC method by which a balancer polls its parent.
 const SinceMethod = "Relay.Since"
 
 const (
-	// followerFor is how long a balancer counts as a follower after its last question.
+	// followerExpiry is how long a balancer counts as a follower after its last poll.
 	followerExpiry = 2 * time.Second
-	// gatherNotices is the least time between two answers with news of upstreams, as at
-	// a voter: five voters would wake all followers up to fifty times a second. With three
-	// levels below the voters a departure is known everywhere within a second.
+	// noticeInterval is the minimum time between two answers with upstream notices, as at a voter.
+	// Without it, five voters would wake all followers up to fifty times a second. With three
+	// levels below the voters, a departure is known everywhere within a second.
 	noticeInterval = 250 * time.Millisecond
-	// gatherDoubts is how long an answer with doubts waits for those of other voters,
-	// which hear the same reports within some milliseconds.
+	// suspicionDelay is how long an answer with suspicions waits for those of other voters, which
+	// receive the same reports within some milliseconds.
 	suspicionDelay = 10 * time.Millisecond
-	// answerPause is the least time between two answers with news to a follower, but for those
-	// of configurations and evacuations: while hundreds of upstreams fall silent together each
-	// answer would be followed by the next question and the next answer at once.
+	// answerInterval is the minimum time between two answers with updates to a follower, except for
+	// configurations and evacuations. Without it, hundreds of upstreams that fail together would
+	// cause a continuous exchange of polls and answers.
 	answerInterval = 50 * time.Millisecond
 )
 
-// Question is what a balancer asks another one.
+// Question is a follower's poll.
 type Question struct {
-	// From is the call address of the balancer that asks.
+	// From is the RPC address of the follower.
 	From string
-	// Hold is how long the answer may wait for news.
+	// Hold is how long the poll may be held when there are no updates.
 	Hold time.Duration
-	// Revision is the newest configuration that it has heard of.
+	// Revision is the newest configuration revision known to the follower.
 	Revision uint64
-	// Fleet is the version of the list of balancers that it was given here last.
+	// Fleet is the version of the last balancer list received from this parent.
 	Fleet uint64
-	// Known is how far it has heard the voters.
+	// Known is the follower's version of each voter's state.
 	Known []origins.Known
-	// Evacuations is the revision of the orders for availability zones that it holds.
+	// Evacuations is the revision of the follower's evacuation orders.
 	Evacuations uint64
 }
 
-// Answer brings a balancer up to date.
+// Answer contains what a follower lacks.
 type Answer struct {
-	// Revision is that of the configuration in force here, or of a newer one that this balancer
-	// has heard of for some time and cannot get.
+	// Revision is the revision of the configuration in force here, or a newer announced one that
+	// this balancer has failed to get for some time.
 	Revision uint64
-	// Origins are what the voters said.
+	// Origins holds the state of the voters.
 	Origins []origins.Origin
-	// Voters are the call addresses of all voters known here.
+	// Voters holds the RPC addresses of all known voters.
 	Voters []string
-	// Fleet are the balancers of the zone, nil where they were told before.
+	// Fleet lists the balancers of the zone, nil if the follower has the current version.
 	Fleet        []member.Member `cbor:",omitempty"`
 	FleetVersion uint64
-	// Held is how long the question waited here: the rest of the time until the answer
-	// arrived adds to the age of what it says.
+	// Held is how long the poll was held. The rest of the round trip adds to the age of the
+	// answer's content.
 	Held time.Duration
-	// Balancers is how many balancers of all zones are known here.
+	// Balancers is the number of known balancers in all zones.
 	Balancers int `cbor:",omitempty"`
-	// Evacuations are the orders for availability zones, where they are newer than held.
+	// Evacuations holds the evacuation orders, if newer than those of the follower.
 	Evacuations *evacuation.Evacuations `cbor:",omitempty"`
 }
 
-// FullError says that enough balancers follow this one.
+// FullError is returned if this balancer has the maximum number of followers.
 type FullError struct{ Followers int }
 
 func (e *FullError) Error() string {
 	return fmt.Sprintf("%d balancers follow this one; ask another", e.Followers)
 }
 
-// LeavingError says that this balancer stops.
+// LeavingError is returned if this balancer is shutting down.
 type LeavingError struct{}
 
 func (*LeavingError) Error() string { return "this balancer stops; follow another" }
 
-// Content is what a balancer has heard.
+// Content is the source of the answers.
 type Content interface {
-	// News answers a question, and says whether there is anything that the one who asks
-	// does not know.
+	// News answers a poll, and reports whether the answer contains updates for the follower.
 	News(now time.Time, q Question) (Answer, bool)
-	// Leaving says that the balancer stops.
+	// Leaving reports whether the balancer is shutting down.
 	Leaving() bool
 }
 
-// Relay lets followers wait for news; it is safe for concurrent use.
+// Relay holds the polls of followers until there are updates. It is safe for concurrent use.
 type Relay struct {
 	content      Content
 	clock        func() time.Time
 	maxFollowers int
 	mu           sync.Mutex
 	changed      chan struct{}
-	// woken is when followers were last woken, due when they will be next.
+	// lastWake is when waiting polls were last woken, nextWake when they are scheduled to be.
 	lastWake, nextWake time.Time
-	// asked is when each follower last asked, answered when it was last given news.
+	// lastRequest is the time of each follower's last poll, lastUpdate that of its last answer with
+	// updates.
 	lastRequest, lastUpdate map[string]time.Time
 }
 
-// New returns a relay that takes so many followers at the most.
+// New returns a relay that accepts at most maxFollowers followers.
 func New(c Content, clock func() time.Time, maxFollowers int) *Relay {
 	return &Relay{
 		content: c, clock: clock, maxFollowers: maxFollowers, changed: make(chan struct{}), lastRequest: map[string]time.Time{},
@@ -110,15 +110,15 @@
 	}
 }
 
-// Serve adds the relay's method to a server.
+// Serve registers the relay's method at a server.
 func (r *Relay) Serve(s *rpc.Server, token string) {
 	rpc.Handle(s, SinceMethod, token, r.Since)
 }
 
-// Since answers at once if there is news, else after the hold or with the news.
+// Since answers as soon as there are updates, or without any after the hold.
 func (r *Relay) Since(ctx context.Context, q Question) (Answer, error) {
-	begun := r.clock()
-	if err := r.admit(begun, q.From); err != nil {
+	received := r.clock()
+	if err := r.admit(received, q.From); err != nil {
 		return Answer{}, err
 	}
 	hold := time.NewTimer(q.Hold)
@@ -126,10 +126,10 @@
 	for {
 		changed := r.changes()
 		now := r.clock()
-		a, news := r.content.News(now, q)
-		a.Held = now.Sub(begun)
-		pause := r.answerDelay(now, q, a, news)
-		if news && pause <= 0 {
+		a, updated := r.content.News(now, q)
+		a.Held = now.Sub(received)
+		pause := r.answerDelay(now, q, a, updated)
+		if updated && pause <= 0 {
 			return a, nil
 		}
 		if r.content.Leaving() {
@@ -141,7 +141,7 @@
 		case <-hold.C:
 			now = r.clock()
 			a, _ = r.content.News(now, q)
-			a.Held = now.Sub(begun)
+			a.Held = now.Sub(received)
 			return a, nil
 		case <-ctx.Done():
 			return a, nil
@@ -149,9 +149,9 @@
 	}
 }
 
-// pause is how long an answer waits, 0 where it is given now or has no news.
-func (r *Relay) answerDelay(now time.Time, q Question, a Answer, news bool) time.Duration {
-	if !news {
+// answerDelay returns how long an answer with updates must wait, 0 if it may be sent or has none.
+func (r *Relay) answerDelay(now time.Time, q Question, a Answer, updated bool) time.Duration {
+	if !updated {
 		return 0
 	}
 	r.mu.Lock()
@@ -165,7 +165,7 @@
 	return 0
 }
 
-// after returns what is ready after a pause, never without one.
+// timerAfter returns a timer channel, or nil if there is no delay.
 func timerAfter(pause time.Duration) <-chan time.Time {
 	if pause <= 0 {
 		return nil
@@ -173,7 +173,7 @@
 	return time.After(pause)
 }
 
-// admit counts a follower, if there is room for it.
+// admit records a poll, and rejects a new follower beyond the maximum.
 func (r *Relay) admit(now time.Time, from string) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -185,8 +185,8 @@
 }
 
 func (r *Relay) countFollowers(now time.Time) int {
-	for name, asked := range r.lastRequest {
-		if now.Sub(asked) > followerExpiry {
+	for name, last := range r.lastRequest {
+		if now.Sub(last) > followerExpiry {
 			delete(r.lastRequest, name)
 			delete(r.lastUpdate, name)
 		}
@@ -194,7 +194,7 @@
 	return len(r.lastRequest)
 }
 
-// Followers counts the balancers that follow this one.
+// Followers returns the number of balancers that follow this one.
 func (r *Relay) Followers() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -207,28 +207,28 @@
 	return r.changed
 }
 
-// NewNotices lets followers know of upstreams that changed.
+// NewNotices wakes the followers for upstream notices.
 func (r *Relay) NewNotices() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.wakeAt(r.lastWake.Add(noticeInterval))
 }
 
-// NewDoubts lets them know of other doubts.
+// NewDoubts wakes the followers for changed suspicions.
 func (r *Relay) NewDoubts() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.wakeAt(r.clock().Add(suspicionDelay))
 }
 
-// Wake lets them know at once.
+// Wake wakes the followers immediately.
 func (r *Relay) Wake() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.wake(r.clock())
 }
 
-// wakeAt wakes the followers at a time, or earlier if that is due anyway; the lock is held.
+// wakeAt schedules a wake-up, unless an earlier one is scheduled. The caller holds the lock.
 func (r *Relay) wakeAt(at time.Time) {
 	now := r.clock()
 	if !at.After(now) {
--- a/internal/fanout/relay/relay_test.go
+++ b/internal/fanout/relay/relay_test.go
@@ -12,7 +12,7 @@
 	"wasabideal/internal/fanout/relay"
 )
 
-// content has heard of a revision.
+// content has a configuration revision.
 type content struct {
 	mu       sync.Mutex
 	revision uint64
@@ -37,7 +37,7 @@
 	c.revision, c.leaving = revision, leaving
 }
 
-func TestNewsAreToldAtOnce(t *testing.T) {
+func TestUpdatesAreAnsweredImmediately(t *testing.T) {
 	c := &content{revision: 7}
 	r := relay.New(c, time.Now, 4)
 	a, err := r.Since(t.Context(), relay.Question{From: "b1", Hold: time.Hour})
@@ -45,14 +45,14 @@
 	require.Equal(t, uint64(7), a.Revision)
 }
 
-func TestQuestionWaitsForNews(t *testing.T) {
+func TestPollWaitsForUpdates(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		wake func(r *relay.Relay)
 	}{
 		{"a configuration", (*relay.Relay).Wake},
 		{"upstreams", (*relay.Relay).NewNotices},
-		{"doubts", (*relay.Relay).NewDoubts},
+		{"suspicions", (*relay.Relay).NewDoubts},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			x := &content{}
@@ -66,7 +66,8 @@
 			}()
 			require.Eventually(t, func() bool { return r.Followers() == 1 }, 20*time.Second, time.Millisecond)
 			x.set(7, false)
-			// Both are news: the first wakes at once, the second within a tenth of a second.
+			// Both calls signal updates: the first wakes at once, the second within a tenth of a
+			// second.
 			c.wake(r)
 			c.wake(r)
 			require.Equal(t, uint64(7), (<-answers).Revision)
@@ -74,16 +75,15 @@
 	}
 }
 
-func TestQuestionEndsWithItsHold(t *testing.T) {
+func TestPollEndsAfterHold(t *testing.T) {
 	r := relay.New(&content{}, time.Now, 4)
 	a, err := r.Since(t.Context(), relay.Question{From: "b1", Hold: 10 * time.Millisecond})
 	require.NoError(t, err)
 	require.GreaterOrEqual(t, a.Held, 10*time.Millisecond)
 }
 
-// Symptom: one balancer's narrow link was full, and its followers heard of changes late.
-// Events: most balancers of its level fail, and all of the next one turn to it.
-// Cause: it took any number of followers.
+// Guards against a balancer whose narrow link is full, so that its followers receive changes late:
+// most balancers of its level failed, and all of the next level followed it without a limit.
 func TestFollowersAreBounded(t *testing.T) {
 	r := relay.New(&content{revision: 1}, time.Now, 4)
 	for i := range 4 {
@@ -95,13 +95,12 @@
 	require.ErrorAs(t, err, &full)
 	require.Equal(t, 4, full.Followers)
 	_, err = r.Since(t.Context(), relay.Question{From: "b0"})
-	require.NoError(t, err, "those that follow it are answered")
+	require.NoError(t, err, "current followers are still answered")
 }
 
-// Symptom: followers of a balancer that stopped as planned heard nothing for a second.
-// Events: it is asked to stop; questions wait there.
-// Cause: they noticed only when its process had ended.
-func TestFollowersOfOneThatStopsTurnAway(t *testing.T) {
+// Guards against followers that receive no updates for a second after a planned stop of their
+// parent. Their held polls ended only when its process did.
+func TestShutdownEndsHeldPolls(t *testing.T) {
 	c := &content{}
 	r := relay.New(c, time.Now, 4)
 	failed := make(chan error)
@@ -116,20 +115,20 @@
 	require.ErrorAs(t, <-failed, &leaving)
 }
 
-// always has news that are no configuration.
-type always struct{ content }
+// updating has updates other than configurations.
+type updating struct{ content }
 
-func (*always) News(time.Time, relay.Question) (relay.Answer, bool) { return relay.Answer{}, true }
+func (*updating) News(time.Time, relay.Question) (relay.Answer, bool) { return relay.Answer{}, true }
 
-// Guards against a storm of questions and answers while hundreds of upstreams fall silent
-// together: each answer is followed by the next question.
-func TestNewsOfABurstAreToldTogether(t *testing.T) {
-	r := relay.New(&always{}, time.Now, 4)
+// Guards against a continuous exchange of polls and answers while hundreds of upstreams fail
+// together: each answer is followed by the next poll.
+func TestBurstOfUpdatesIsBatched(t *testing.T) {
+	r := relay.New(&updating{}, time.Now, 4)
 	const answers, least = 5, 40 * time.Millisecond
-	begun := time.Now()
+	started := time.Now()
 	for range answers {
 		_, err := r.Since(t.Context(), relay.Question{From: "b1", Hold: time.Hour})
 		require.NoError(t, err)
 	}
-	require.GreaterOrEqual(t, time.Since(begun), (answers-1)*least)
+	require.GreaterOrEqual(t, time.Since(started), (answers-1)*least)
 }
