--- a/internal/fanout/tree/doc.go
+++ b/internal/fanout/tree/doc.go
@@ -1,9 +1,7 @@
-// Package tree derives who follows whom among the balancers of an availability zone.
+// Package tree derives the fan-out tree of an availability zone's balancers.
 //
-// Each balancer works its place out for itself, from the addresses of its zone's
-// balancers alone: their hashes put them in one order, whose first few follow the voters
-// and the rest those of the level above. Whoever a balancer may follow has a lower hash
-// than it has itself, whatever list of balancers either of them holds. So no two of them
-// can follow each other, nor can more of them form a ring, and no message is needed to
-// agree on it.
+// Each balancer computes its place from the addresses of the zone's balancers alone. Their hashes
+// define one order: the first few, the roots, follow the voters, and each other level follows the
+// one above. Every candidate parent has a lower hash than its follower, whatever balancer lists the
+// two hold. The tree therefore has no cycles, and needs no messages for agreement.
 package tree
--- a/internal/fanout/tree/tree.go
+++ b/internal/fanout/tree/tree.go
@@ -7,25 +7,25 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Shape bounds a tree.
+// Shape holds the limits of a tree.
 type Shape struct {
-	// Small is the size up to which all balancers of a zone follow the voters.
+	// Small is the zone size up to which all balancers follow the voters.
 	Small int
-	// Roots is how many do in a larger zone.
+	// Roots is how many balancers follow the voters in a larger zone.
 	Roots int
-	// Fanout is how many balancers follow another one, in the mean.
+	// Fanout is the mean number of followers of a balancer.
 	Fanout int
 }
 
-// candidatesMost bounds the balancers that one may follow. Each that fails costs some
-// tenths of a second, after which the voters are nearer.
+// maxCandidates bounds the candidate parents of a balancer. Each that fails takes some tenths of a
+// second, so that following the voters is faster after that many.
 const maxCandidates = 8
 
-// Place is a balancer's place.
+// Place is the position of a balancer in the tree.
 type Place struct {
-	// Level is 0 for those that follow the voters.
+	// Level is 0 for the roots.
 	Level int
-	// Candidates are whom it may follow, the first one first.
+	// Candidates are the possible parents in order of preference.
 	Candidates []string
 }
 
@@ -38,12 +38,13 @@
 	return cmp.Or(cmp.Compare(a.hash, b.hash), cmp.Compare(a.address, b.address))
 }
 
-// Of returns the place of a balancer among those of its zone, itself named or not.
+// Of returns the place of a balancer among those of its zone. The list may omit the balancer
+// itself.
 func (s Shape) Of(self string, zone []string) Place {
-	me := node{address: self, hash: xxhash.Sum64String(self)}
+	own := node{address: self, hash: xxhash.Sum64String(self)}
 	var before []node
 	for _, a := range zone {
-		if n := (node{address: a, hash: xxhash.Sum64String(a)}); a != self && compareNodes(n, me) < 0 {
+		if n := (node{address: a, hash: xxhash.Sum64String(a)}); a != self && compareNodes(n, own) < 0 {
 			before = append(before, n)
 		}
 	}
@@ -55,10 +56,10 @@
 	return Place{Level: level, Candidates: candidates(self, before[from:until], before[:from])}
 }
 
-// Grows says that not all balancers of a zone follow the voters.
+// Grows reports whether the zone has more than one level.
 func (s Shape) Grows(zone []string) bool { return len(zone) > max(s.Small, s.Roots) }
 
-// Levels is how many levels a zone of so many balancers has.
+// Levels returns the number of levels in a zone with the given number of balancers.
 func (s Shape) Levels(balancers int) int {
 	if balancers <= max(s.Small, s.Roots) {
 		return 1
@@ -67,8 +68,7 @@
 	return level + 1
 }
 
-// level returns the level at an index of the order, and which indices the level above
-// has.
+// level returns the level at an index of the order, and the index range of the level above.
 func (s Shape) level(index int) (level, from, until int) {
 	size := max(s.Roots, 1)
 	end := size
@@ -81,8 +81,8 @@
 	return level, from, until
 }
 
-// candidates returns the nodes of some groups, group by group. Within one, each balancer
-// has an order of its own that a node which joins or leaves changes nowhere else.
+// candidates returns the nodes of several groups, group by group. Within a group the order is a
+// hash per balancer, so that a node that joins or leaves does not reorder the others.
 func candidates(self string, groups ...[]node) []string {
 	var out []string
 	for _, g := range groups {
--- a/internal/fanout/tree/tree_test.go
+++ b/internal/fanout/tree/tree_test.go
@@ -20,7 +20,7 @@
 	return out
 }
 
-func TestLevelsGrowAsTheLogarithm(t *testing.T) {
+func TestLevelsGrowLogarithmically(t *testing.T) {
 	for _, c := range []struct{ balancers, levels, roots int }{
 		{1, 1, 1},
 		{8, 1, 8},
@@ -43,7 +43,7 @@
 	}
 }
 
-func TestTopAreThoseWhoFollowVoters(t *testing.T) {
+func TestTopIsLevelZero(t *testing.T) {
 	all := zone(40)
 	top := shape.Top(all)
 	for _, a := range all {
@@ -51,7 +51,7 @@
 	}
 }
 
-// Hashes spread followers unevenly; a balancer takes up to twice the usual number.
+// Hashes spread followers unevenly; a balancer has up to twice the mean number.
 func TestFollowersAreSpread(t *testing.T) {
 	all := zone(600)
 	followers := map[string]int{}
@@ -67,7 +67,7 @@
 	require.LessOrEqual(t, most, 2*shape.Fanout)
 }
 
-func TestOneThatJoinsMovesFew(t *testing.T) {
+func TestJoinMovesFewBalancers(t *testing.T) {
 	before, after := zone(100), zone(101)
 	moved := 0
 	for _, a := range before {
@@ -79,17 +79,16 @@
 	require.LessOrEqual(t, moved, 15)
 }
 
-// Symptom: some balancers heard of no change any more, though all of them had a parent
-// that answered.
-// Events: balancers join and leave, and each has a list of its own.
-// Cause: two of them followed each other, each above the other in its own list.
-func TestNoRingWhateverEachBelieves(t *testing.T) {
+// Guards against a cycle whose balancers receive no changes although each of their parents answers.
+// Two balancers with different lists, while others joined and left, followed each other, each above
+// the other in its own list.
+func TestNoCyclesWithDifferentLists(t *testing.T) {
 	all := zone(60)
 	rapid.Check(t, func(t *rapid.T) {
-		follows := map[string][]string{}
+		candidates := map[string][]string{}
 		for _, a := range all {
-			believed := rapid.SliceOfDistinct(rapid.SampledFrom(all), rapid.ID).Draw(t, a)
-			follows[a] = shape.Of(a, believed).Candidates
+			list := rapid.SliceOfDistinct(rapid.SampledFrom(all), rapid.ID).Draw(t, a)
+			candidates[a] = shape.Of(a, list).Candidates
 		}
 		seen := map[string]int{}
 		var visit func(a string) bool
@@ -98,7 +97,7 @@
 				return seen[a] == 2
 			}
 			seen[a] = 1
-			for _, c := range follows[a] {
+			for _, c := range candidates[a] {
 				if !visit(c) {
 					return false
 				}
@@ -108,7 +107,7 @@
 		}
 		for _, a := range all {
 			if !visit(a) {
-				t.Fatalf("a ring through %s", a)
+				t.Fatalf("a cycle through %s", a)
 			}
 		}
 	})
