--- a/internal/fanout/turn/doc.go
+++ b/internal/fanout/turn/doc.go
@@ -1,8 +1,9 @@
-// Package turn decides which voter a balancer asks first after its start, and when others.
+// Package turn decides which voter a balancer polls first after its start, and when it polls
+// others.
 //
-// All voters start when all balancers do, and an answer with all upstreams takes a voter a
-// third of a millisecond and a narrow link some ten: one such answer is enough. Which voter is
-// back first nobody knows, so connections are opened to all of them at once.
+// After a power loss all voters and balancers start together. An answer with all upstreams takes a
+// voter a third of a millisecond and a narrow link some ten, so one such answer has to be enough.
+// Which voter recovers first is unknown; connections to all of them are therefore opened at once.
 //
-// It has no I/O and no clock; one goroutine owns it.
+// The package has no I/O and no clock. A Sequencer is not safe for concurrent use.
 package turn
--- a/internal/fanout/turn/turn.go
+++ b/internal/fanout/turn/turn.go
@@ -2,23 +2,22 @@
 
 import "time"
 
-// answerFor is how long the voter whose turn it is has for its answer before another one is
-// asked as well: some times what a voter of a quarter of a core takes while 200 balancers
-// start.
+// answerTimeout is how long the polled voter may take before another one is polled as well. It is
+// several times what a voter on a quarter of a core takes while 200 balancers start.
 const answerTimeout = 150 * time.Millisecond
 
-// Turn is whose turn it is; the zero value has asked nobody.
+// Sequencer decides which voter is polled during startup. The zero value is ready for use.
 type Sequencer struct {
-	// holder is the voter that is asked, since a time.
+	// current is the polled voter, and since the time of its poll.
 	current string
 	since   time.Time
-	// over says that one voter has told all that a start takes.
+	// done is set once a voter has sent a complete state.
 	done bool
-	// short are the voters that answered without.
+	// incomplete holds the voters whose answer was incomplete.
 	incomplete map[string]bool
 }
 
-// May says whether a voter that can be reached is to be asked now, and gives it the turn.
+// Allow reports whether a connected voter is to be polled now, and if so makes it the current one.
 func (t *Sequencer) Allow(now time.Time, voter string) bool {
 	if t.done || t.incomplete[voter] {
 		return true
@@ -30,8 +29,8 @@
 	return true
 }
 
-// Answered notes that a voter answered, and whether it has told all: one that came back with
-// an empty disk has not. It reports whether the start is over with that.
+// RecordAnswer records that a voter answered, and whether its state was complete; that of a voter
+// with an empty disk is not. It reports whether this ends the startup.
 func (t *Sequencer) RecordAnswer(voter string, all bool) bool {
 	if t.done {
 		return false
@@ -46,13 +45,13 @@
 	return all
 }
 
-// Failed notes that a voter did not answer.
+// RecordFailure records that a voter did not answer.
 func (t *Sequencer) RecordFailure(voter string) {
 	t.release(voter)
 	delete(t.incomplete, voter)
 }
 
-// Over says that one voter has told all that a start takes.
+// Done reports whether a voter has sent a complete state.
 func (t *Sequencer) Done() bool { return t.done }
 
 func (t *Sequencer) release(voter string) {
