--- a/internal/fanout/pacing/doc.go
+++ b/internal/fanout/pacing/doc.go
@@ -1,3 +1,3 @@
-// Package gather spaces out what is told to many, so that a burst of news costs as many answers
-// as there is time for, and one piece of news is told at once.
+// Package pacing limits the rate of answers to many receivers: a burst of updates is sent in
+// batches, and a single update without delay.
 package pacing
--- a/internal/fanout/pacing/pacing.go
+++ b/internal/fanout/pacing/pacing.go
@@ -2,25 +2,25 @@
 
 import "time"
 
-// Pacing is when news were last told and will be next; the zero value has told none. One
-// goroutine owns it.
-type Pacing struct{ told, due time.Time }
+// Pacing holds when updates were last sent and when the next are due. The zero value is ready for
+// use; it is not safe for concurrent use.
+type Pacing struct{ lastSent, due time.Time }
 
-// News notes that there are news, which are told no sooner than a pause after the last. It
-// returns when to call Told, and false where that was returned before.
+// News schedules an update, at the earliest a pause after the last send. It returns when to call
+// Told, and false if that call is already scheduled.
 func (p *Pacing) News(now time.Time, pause time.Duration) (time.Time, bool) {
 	if !p.due.IsZero() {
 		return p.due, false
 	}
-	p.due = p.told.Add(pause)
+	p.due = p.lastSent.Add(pause)
 	if p.due.Before(now) {
 		p.due = now
 	}
 	return p.due, true
 }
 
-// Pending says that there are news that are told later.
+// Pending reports whether updates are scheduled.
 func (p *Pacing) Pending() bool { return !p.due.IsZero() }
 
-// Told notes that all news are told now.
-func (p *Pacing) Told(now time.Time) { p.told, p.due = now, time.Time{} }
+// Told records that all updates are sent now.
+func (p *Pacing) Told(now time.Time) { p.lastSent, p.due = now, time.Time{} }
--- a/internal/fanout/pacing/pacing_test.go
+++ b/internal/fanout/pacing/pacing_test.go
@@ -13,27 +13,27 @@
 
 func at(ms int) time.Time { return epoch.Add(time.Duration(ms) * time.Millisecond) }
 
-func TestFirstNewsAreToldAtOnce(t *testing.T) {
+func TestFirstUpdateIsSentImmediately(t *testing.T) {
 	var p pacing.Pacing
 	due, schedule := p.News(epoch, 50*time.Millisecond)
 	require.True(t, schedule)
 	require.Equal(t, epoch, due)
 }
 
-// Guards against a storm of answers while hundreds of upstreams fall silent together.
-func TestBurstOfNewsIsToldOnceAPause(t *testing.T) {
+// Guards against a burst of answers while hundreds of upstreams fail together.
+func TestBurstIsSentOncePerPause(t *testing.T) {
 	var p pacing.Pacing
-	told := 0
+	sends := 0
 	for ms := range 1000 {
 		if due, _ := p.News(at(ms), 50*time.Millisecond); !due.After(at(ms)) {
 			p.Told(at(ms))
-			told++
+			sends++
 		}
 	}
-	require.Equal(t, 20, told)
+	require.Equal(t, 20, sends)
 }
 
-func TestOneCallIsScheduledForAllNews(t *testing.T) {
+func TestOneSendIsScheduledForAllUpdates(t *testing.T) {
 	var p pacing.Pacing
 	p.News(epoch, 50*time.Millisecond)
 	p.Told(epoch)
