--- a/internal/fanout/portion/doc.go
+++ b/internal/fanout/portion/doc.go
@@ -1,6 +1,5 @@
-// Package portion decides how much of what a balancer has heard of the voters goes into one
-// answer to a follower.
+// Package portion limits how much voter state goes into one answer to a follower.
 //
-// Followers that have just started lack all upstreams of the fleet. One answer with all of them
-// takes longer than they wait for it, and they ask for the same again.
+// A follower that has just started lacks all upstreams of the fleet. An answer with all of them
+// would exceed its timeout, and the follower would request the same again.
 package portion
--- a/internal/fanout/portion/portion.go
+++ b/internal/fanout/portion/portion.go
@@ -7,19 +7,19 @@
 	"wasabideal/internal/upstream/directory"
 )
 
-// most is the number of notices from which an answer takes no further voter's: 500 are 20 kB
-// compressed, which ten followers get within a second from a link of 2 Mbit/s.
+// maxNotices is the number of notices from which an answer includes no further voter's. 500 notices
+// are 20 kB compressed, which a link of 2 Mbit/s delivers to ten followers within a second.
 const maxNotices = 500
 
-// Portion is the size and order of answers to the balancers of an availability zone.
+// Portion limits and orders answers to the balancers of an availability zone.
 type Portion struct{ zone string }
 
-// New returns the portion for followers in a zone.
+// New returns a Portion for followers in a zone.
 func New(zone string) Portion { return Portion{zone: zone} }
 
-// Fill adds their notices to voters' reports, first to those of the follower's zone, where
-// upstreams of that zone announce themselves. Voters for whose notices there is no room left
-// keep their age only, and the follower asks for them next.
+// Fill adds the notices to the voters' states, first to voters of the follower's zone, where its
+// upstreams announce themselves. Once the limit is reached, the other voters keep their age only,
+// and the follower requests their notices next.
 func (p Portion) Fill(all []origins.Origin, notices func(origins.Origin) []directory.Notice) {
 	filled := 0
 	for _, i := range p.order(all) {
@@ -35,7 +35,7 @@
 	}
 }
 
-// order returns the indices of the voters' reports, those from the zone first.
+// order returns the indices of the voters' states, the given zone first.
 func (p Portion) order(all []origins.Origin) []int {
 	order := make([]int, 0, len(all))
 	for i := range all {
--- a/internal/fanout/portion/portion_test.go
+++ b/internal/fanout/portion/portion_test.go
@@ -15,7 +15,7 @@
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// parent has heard of some upstreams of each voter.
+// parent returns the state of a parent that has received some upstreams from each voter.
 func parent(voters, each int) (*origins.Origins, func(origins.Origin) []directory.Notice) {
 	o := origins.New()
 	for v := range voters {
@@ -32,9 +32,9 @@
 	}
 }
 
-// Guards against followers that are told the whole fleet in one answer, give it up, and ask for
-// the same again.
-func TestStartingFollowerIsToldTheFleetInPortions(t *testing.T) {
+// Guards against followers that are sent the whole fleet in one answer, time out, and request the
+// same again.
+func TestStartingFollowerReceivesFleetInPortions(t *testing.T) {
 	for _, c := range []struct{ voters, each, answers, largest int }{
 		{25, 400, 13, 800},
 		{25, 800, 25, 800},
@@ -43,35 +43,35 @@
 	} {
 		above, notices := parent(c.voters, c.each)
 		follower := origins.New()
-		answers, told, largest := 0, 0, 0
+		answers, received, largest := 0, 0, 0
 		for {
-			all, news := above.After(epoch, follower.Known(epoch))
-			if !news {
+			all, updated := above.After(epoch, follower.Known(epoch))
+			if !updated {
 				break
 			}
 			portion.New("z2").Fill(all, notices)
 			answers++
-			require.LessOrEqual(t, answers, c.voters, "each answer brings news")
+			require.LessOrEqual(t, answers, c.voters, "each answer has updates")
 			filled := 0
 			for _, x := range all {
 				filled += len(x.Notices)
 				if len(x.Notices) > 0 && answers == 1 && c.answers > 1 {
-					require.Equal(t, "z2", x.Zone, "those of the own zone come first")
+					require.Equal(t, "z2", x.Zone, "the notices of the own zone come first")
 				}
 				require.Equal(t, x.Life != 0, follower.Take(epoch, x))
 			}
-			told += filled
+			received += filled
 			largest = max(largest, filled)
 		}
 		require.Equal(t, c.answers, answers)
-		require.Equal(t, c.voters*c.each, told)
+		require.Equal(t, c.voters*c.each, received)
 		require.Equal(t, c.largest, largest)
 		require.Len(t, follower.Known(epoch), c.voters)
 	}
 }
 
-// Guards against voters that count as out of touch while their notices wait.
-func TestContactIsToldOfAllVoters(t *testing.T) {
+// Guards against voters that count as unreachable while their notices are deferred.
+func TestAnswerCoversContactOfAllVoters(t *testing.T) {
 	above, notices := parent(25, 400)
 	all, _ := above.After(epoch.Add(time.Second), nil)
 	portion.New("z0").Fill(all, notices)
