--- a/internal/fanout/selection/fleet_test.go
+++ b/internal/fanout/selection/fleet_test.go
@@ -51,16 +51,16 @@
 type process struct {
 	name, zone string
 	voter      bool
-	// starts counts the process starts. off is without power, partitioned is cut off from every
-	// process, votersPartitioned from the voters only.
-	starts                              int
-	off, partitioned, votersPartitioned bool
-	pausedUntil                         time.Time
-	disturbed                           time.Time
-	queued                              []func()
-	waiting                             []func()
-	woken                               time.Time
-	waking                              bool
+	// starts counts the process starts. poweredOff is without power, partitioned is cut off from
+	// every process, votersPartitioned from the voters only.
+	starts                                     int
+	poweredOff, partitioned, votersPartitioned bool
+	pausedUntil                                time.Time
+	disturbed                                  time.Time
+	queued                                     []func()
+	waiting                                    []func()
+	woken                                      time.Time
+	waking                                     bool
 	// version is the latest version of a voter; origins is what a balancer has received.
 	version   uint64
 	fleet     *members.Members
@@ -77,7 +77,7 @@
 type modelWatch struct {
 	target  *process
 	answers bool
-	over    bool
+	stopped bool
 }
 
 // model simulates a fleet in virtual time.
@@ -127,7 +127,7 @@
 // boot starts or restarts a process.
 func (m *model) boot(p *process) {
 	p.starts++
-	p.off = false
+	p.poweredOff = false
 	p.waiting, p.queued = nil, nil
 	p.fleet = members.New()
 	p.lastPoll = map[string]time.Time{}
@@ -149,7 +149,7 @@
 func (m *model) whileAlive(p *process, do func()) func() {
 	start := p.starts
 	return func() {
-		if p.off || p.starts != start {
+		if p.poweredOff || p.starts != start {
 			return
 		}
 		if m.Now.Before(p.pausedUntil) {
@@ -182,13 +182,13 @@
 }
 
 func (m *model) kill(p *process, power bool, lasts time.Duration) {
-	p.off = true
+	p.poweredOff = true
 	p.disturbed = m.Now.Add(lasts)
 	if !power {
 		lasts = 100 * time.Millisecond
 	}
 	m.After(lasts, func() {
-		if p.off {
+		if p.poweredOff {
 			m.boot(p)
 		}
 	})
@@ -215,7 +215,7 @@
 	}
 	start := to.starts
 	m.After(latency, func() {
-		if !m.reaches(from, to) || to.off || to.starts != start {
+		if !m.reaches(from, to) || to.poweredOff || to.starts != start {
 			return
 		}
 		m.whileAlive(to, do)()
@@ -252,7 +252,7 @@
 	wanted = append(wanted, s.Parents...)
 	for name, w := range p.watches {
 		if !slices.Contains(wanted, name) {
-			w.over = true
+			w.stopped = true
 			delete(p.watches, name)
 			p.census.Drop(m.Now, name)
 		}
@@ -279,7 +279,7 @@
 	}
 	fleet := p.census.Of(w.target.name).Version
 	m.After(hold+grace, m.whileAlive(p, func() {
-		if !answered && !w.over {
+		if !answered && !w.stopped {
 			answered = true
 			m.failed(p, w)
 		}
@@ -287,7 +287,7 @@
 	m.send(p, w.target, 60+size(known), func() {
 		if !m.admits(w.target, p) {
 			m.send(w.target, p, 60, func() {
-				if !answered && !w.over {
+				if !answered && !w.stopped {
 					answered = true
 					m.failed(p, w)
 				}
@@ -295,7 +295,7 @@
 			return
 		}
 		m.reply(w.target, p, known, fleet, hold, func(x []origins.Origin, l census.List, held time.Duration) {
-			if !answered && !w.over {
+			if !answered && !w.stopped {
 				answered = true
 				m.answered(p, w, x, l, max(m.Now.Sub(sent)-held, 0))
 			}
@@ -391,13 +391,13 @@
 		m.wake(p)
 	}
 	m.reconcile(p)
-	if !w.over {
+	if !w.stopped {
 		pause := time.Duration(0)
 		if !updated {
 			pause = 20 * time.Millisecond
 		}
 		m.After(pause, m.whileAlive(p, func() {
-			if !w.over {
+			if !w.stopped {
 				m.poll(p, w)
 			}
 		}))
@@ -408,13 +408,13 @@
 	w.answers = false
 	if w.target.voter {
 		m.After(voterRetryPause, m.whileAlive(p, func() {
-			if !w.over {
+			if !w.stopped {
 				m.poll(p, w)
 			}
 		}))
 		return
 	}
-	w.over = true
+	w.stopped = true
 	delete(p.watches, w.target.name)
 	p.census.Drop(m.Now, w.target.name)
 	p.selection.RecordFailure(m.Now, w.target.name)
@@ -436,7 +436,7 @@
 	p.waking = true
 	m.After(max(m.updateInterval(p)-m.Now.Sub(p.woken), 0), func() {
 		p.waking = false
-		if p.off {
+		if p.poweredOff {
 			return
 		}
 		p.woken = m.Now
@@ -493,7 +493,7 @@
 // check records the undisturbed balancers that do not have a version in time.
 func (m *model) check(version uint64, published time.Time) {
 	for _, b := range m.balancers {
-		if b.off || b.partitioned || b.votersPartitioned || published.Sub(b.disturbed) < undisturbedFor {
+		if b.poweredOff || b.partitioned || b.votersPartitioned || published.Sub(b.disturbed) < undisturbedFor {
 			continue
 		}
 		best := uint64(0)
@@ -597,7 +597,7 @@
 		top := r.IntN(3) == 0
 		m.After(at, func() {
 			for _, b := range m.balancers {
-				if b.off || r.Float64() > share || top && (b.zone != zone || b.selection.Level() != 0) {
+				if b.poweredOff || r.Float64() > share || top && (b.zone != zone || b.selection.Level() != 0) {
 					continue
 				}
 				m.fault(b, kind, lasts)
@@ -607,7 +607,7 @@
 	if r.IntN(2) == 0 {
 		m.After(time.Duration(r.IntN(8000))*time.Millisecond, func() {
 			v := m.voters[r.IntN(len(m.voters))]
-			v.off = true
+			v.poweredOff = true
 			m.After(time.Duration(r.IntN(3000))*time.Millisecond, func() { m.boot(v) })
 		})
 	}
--- a/internal/fanout/selection/selection.go
+++ b/internal/fanout/selection/selection.go
@@ -14,9 +14,9 @@
 	// directly from them.
 	startupPeriod = 500 * time.Millisecond
 	// voterSubsetPeriod is how long one voter is enough after a start, and some voters after a
-	// parent failed. A voter's relayed report of upstreams that other voters monitor remains valid
-	// for four seconds. Without this limit, all followers of a stopping balancer would connect to
-	// all voters at once.
+	// parent failed. It is below the four seconds for which a voter's relayed report of upstreams
+	// that other voters monitor remains valid. Polling all voters at once would make all followers
+	// of a stopping balancer connect to each of them.
 	voterSubsetPeriod = 2500 * time.Millisecond
 	// avoidPeriod is how long a failed balancer is not polled again.
 	avoidPeriod = 5 * time.Second
@@ -198,8 +198,8 @@
 }
 
 // fractionOfStaleAfter returns a fraction of StaleAfter.
-func (s *Selection) fractionOfStaleAfter(share float64) time.Duration {
-	return time.Duration(share * float64(s.settings.StaleAfter))
+func (s *Selection) fractionOfStaleAfter(fraction float64) time.Duration {
+	return time.Duration(fraction * float64(s.settings.StaleAfter))
 }
 
 // Decide returns the sources to poll now.
@@ -207,8 +207,8 @@
 	s.expireAvoided(now)
 	switch {
 	case !s.placed || now.Sub(s.started) < startupPeriod:
-		few := !s.placed || s.place.Level > 0
-		return Sources{Voters: true, VoterSubset: few, SingleVoter: few}
+		subset := !s.placed || s.place.Level > 0
+		return Sources{Voters: true, VoterSubset: subset, SingleVoter: subset}
 	case s.place.Level == 0:
 		return s.rootSources(now)
 	case s.parent == "":
@@ -235,8 +235,8 @@
 // orphanSources returns the sources of a balancer without a parent.
 func (s *Selection) orphanSources(now time.Time) Sources {
 	if s.parentFailedAt.IsZero() || now.Sub(s.parentFailedAt) >= candidateTimeout {
-		few := now.Before(s.voterSubsetUntil)
-		return Sources{Voters: true, VoterSubset: few, SingleVoter: few && s.parentFailedAt.IsZero(), Parents: s.candidates(now, 1)}
+		subset := now.Before(s.voterSubsetUntil)
+		return Sources{Voters: true, VoterSubset: subset, SingleVoter: subset && s.parentFailedAt.IsZero(), Parents: s.candidates(now, 1)}
 	}
 	out := Sources{Parents: s.candidates(now, 2)}
 	out.Voters = len(out.Parents) == 0
@@ -247,8 +247,8 @@
 // whether more of them answer directly.
 func (s *Selection) probeDue(now time.Time) bool {
 	since := now.Sub(s.degradedSince) - s.fractionOfStaleAfter(degradedFraction) - s.fractionOfStaleAfter(firstProbeFraction*s.settings.Jitter)
-	every := probeInterval + time.Duration(s.settings.Jitter*float64(probeInterval))
-	return since >= 0 && since%every < probeDuration
+	interval := probeInterval + time.Duration(s.settings.Jitter*float64(probeInterval))
+	return since >= 0 && since%interval < probeDuration
 }
 
 // EvaluateProbe replaces a degraded parent by the voters if more of them answer directly.
