--- a/internal/fanout/turn/turn.go
+++ b/internal/fanout/turn/turn.go
@@ -31,18 +31,18 @@
 
 // RecordAnswer records that a voter answered, and whether its state was complete; that of a voter
 // with an empty disk is not. It reports whether this ends the startup.
-func (t *Sequencer) RecordAnswer(voter string, all bool) bool {
+func (t *Sequencer) RecordAnswer(voter string, complete bool) bool {
 	if t.done {
 		return false
 	}
 	t.release(voter)
-	if t.done = all; !all {
+	if t.done = complete; !complete {
 		if t.incomplete == nil {
 			t.incomplete = map[string]bool{}
 		}
 		t.incomplete[voter] = true
 	}
-	return all
+	return complete
 }
 
 // RecordFailure records that a voter did not answer.
