--- a/internal/fanout/selection/selection_test.go
+++ b/internal/fanout/selection/selection_test.go
@@ -31,8 +31,8 @@
 	return out
 }
 
-// belowTop returns a balancer of a zone on the level below the top of the tree.
-func belowTop(t *testing.T, all []string) string {
+// firstLevelBalancer returns a balancer of a zone on level 1 of the tree.
+func firstLevelBalancer(t *testing.T, all []string) string {
 	for _, a := range all {
 		if shape.Of(a, all).Level == 1 {
 			return a
@@ -42,164 +42,160 @@
 	return ""
 }
 
-// newChild returns the selection of a balancer below the top that has started some time
-// ago, and its candidates.
+// newChild returns the selection of a level 1 balancer whose startup period is over, and its
+// candidates.
 func newChild(t *testing.T) (*selection.Selection, []string) {
 	all := zone(20)
-	self := belowTop(t, all)
+	self := firstLevelBalancer(t, all)
 	s := selection.New(selection.Settings{Self: self, Shape: shape, StaleAfter: staleAfter}, epoch.Add(-time.Minute))
-	s.Voters(epoch, voters, voters)
-	s.Fleet(epoch, all)
+	s.UpdateVoters(epoch, voters, voters)
+	s.UpdateZone(epoch, all)
 	return s, shape.Of(self, all).Candidates
 }
 
-// newFollowing returns one that follows its first candidate.
+// newFollowing returns a selection that follows its first candidate.
 func newFollowing(t *testing.T) (*selection.Selection, []string) {
 	s, c := newChild(t)
-	s.Answered(epoch, c[0], voters)
+	s.RecordAnswer(epoch, c[0], voters)
 	require.Equal(t, selection.Sources{Parents: c[:1]}, s.Decide(epoch))
-	s.Voters(epoch, 0, voters)
+	s.UpdateVoters(epoch, 0, voters)
 	return s, c
 }
 
-func TestVotersAreFollowedUntilAParentAnswers(t *testing.T) {
+func TestVotersAreFollowedUntilParentAnswers(t *testing.T) {
 	s, c := newChild(t)
 	require.Equal(t, selection.Sources{Voters: true, Parents: c[:1]}, s.Decide(epoch))
-	s.Answered(epoch, c[0], 0)
-	require.Equal(t, c[1:2], s.Decide(epoch).Parents, "one that has heard no voter is no parent")
-	s.Answered(epoch, c[1], voters)
+	s.RecordAnswer(epoch, c[0], 0)
+	require.Equal(t, c[1:2], s.Decide(epoch).Parents, "a balancer without a fresh voter is no parent")
+	s.RecordAnswer(epoch, c[1], voters)
 	require.Equal(t, selection.Sources{Parents: c[1:2]}, s.Decide(epoch))
-	change, changed := s.Changed()
+	change, changed := s.TakeChange()
 	require.True(t, changed)
 	require.Equal(t, selection.Change{Parent: c[1], Reason: selection.Joined}, change)
 }
 
-func TestVotersAreFollowedJustAfterAStart(t *testing.T) {
+func TestVotersAreFollowedDuringStartup(t *testing.T) {
 	all := zone(20)
-	s := selection.New(selection.Settings{Self: belowTop(t, all), Shape: shape, StaleAfter: staleAfter}, epoch)
-	s.Fleet(epoch, all)
-	require.Equal(t, selection.Sources{Voters: true, Few: true, One: true}, s.Decide(at(300*time.Millisecond)))
+	s := selection.New(selection.Settings{Self: firstLevelBalancer(t, all), Shape: shape, StaleAfter: staleAfter}, epoch)
+	s.UpdateZone(epoch, all)
+	require.Equal(t, selection.Sources{Voters: true, VoterSubset: true, SingleVoter: true}, s.Decide(at(300*time.Millisecond)))
 	require.NotEmpty(t, s.Decide(at(time.Second)).Parents)
-	require.True(t, s.Decide(at(time.Second)).Few)
+	require.True(t, s.Decide(at(time.Second)).VoterSubset)
 }
 
-// Symptom: four seconds after its start a balancer knew a fifth of the upstreams.
-// Events: it finds no parent; the voter that it asked hears the upstreams of one zone.
-// Cause: one voter sufficed until a parent was found.
-func TestAllVotersAreAskedWhereNoParentIsFound(t *testing.T) {
+// Guards against a balancer that knows a fifth of the upstreams four seconds after its start. It
+// found no parent, one voter was enough until it did, and that voter monitored the upstreams of one
+// zone.
+func TestAllVotersArePolledWithoutParent(t *testing.T) {
 	all := zone(20)
-	s := selection.New(selection.Settings{Self: belowTop(t, all), Shape: shape, StaleAfter: staleAfter}, epoch)
-	s.Fleet(epoch, all)
-	require.False(t, s.Decide(at(3*time.Second)).Few)
+	s := selection.New(selection.Settings{Self: firstLevelBalancer(t, all), Shape: shape, StaleAfter: staleAfter}, epoch)
+	s.UpdateZone(epoch, all)
+	require.False(t, s.Decide(at(3*time.Second)).VoterSubset)
 }
 
 func TestSmallZonesFollowVotersOnly(t *testing.T) {
 	all := zone(4)
 	for _, self := range all {
 		s := selection.New(selection.Settings{Self: self, Shape: shape, StaleAfter: staleAfter}, epoch.Add(-time.Minute))
-		s.Voters(epoch, voters, voters)
-		s.Fleet(epoch, all)
+		s.UpdateVoters(epoch, voters, voters)
+		s.UpdateZone(epoch, all)
 		require.Equal(t, selection.Sources{Voters: true}, s.Decide(epoch))
 	}
 }
 
-// Symptom: balancers below one that lost power heard of no change for seconds.
-// Events: the parent fails, and the next candidate is without power, too.
-// Cause: candidates were asked one after the other, each for its whole timeout.
-func TestTwoCandidatesAtOnceThenTheVoters(t *testing.T) {
+// Guards against followers of a balancer that lost power and receive no change for seconds. The
+// next candidate had lost power too, and candidates were polled one after the other, each for its
+// full timeout.
+func TestFailedParentIsReplacedByCandidatesThenVoters(t *testing.T) {
 	s, c := newFollowing(t)
-	s.Failed(epoch, c[0])
+	s.RecordFailure(epoch, c[0])
 	require.Equal(t, selection.Sources{Parents: c[1:3]}, s.Decide(epoch))
 	later := at(400 * time.Millisecond)
-	require.Equal(t, selection.Sources{Voters: true, Few: true, Parents: c[1:2]}, s.Decide(later))
-	s.Answered(later, c[1], voters)
+	require.Equal(t, selection.Sources{Voters: true, VoterSubset: true, Parents: c[1:2]}, s.Decide(later))
+	s.RecordAnswer(later, c[1], voters)
 	require.Equal(t, selection.Sources{Parents: c[1:2]}, s.Decide(later))
 }
 
-// Guards against a storm of connections where a balancer stops: each of its followers connected
-// to all voters.
-func TestOrphanAsksSomeVotersFirst(t *testing.T) {
+// Guards against a burst of connections when a balancer stops: each of its followers connected to
+// all voters.
+func TestOrphanPollsVoterSubsetFirst(t *testing.T) {
 	s, c := newFollowing(t)
-	s.Failed(epoch, c[0])
-	s.Failed(at(400*time.Millisecond), c[1])
+	s.RecordFailure(epoch, c[0])
+	s.RecordFailure(at(400*time.Millisecond), c[1])
 	require.True(t, s.Decide(at(500*time.Millisecond)).Voters)
-	require.True(t, s.Decide(at(500*time.Millisecond)).Few)
-	require.False(t, s.Decide(at(500*time.Millisecond)).One, "one alone may be cut off from the others")
-	require.True(t, s.Decide(at(2*time.Second)).Few)
+	require.True(t, s.Decide(at(500*time.Millisecond)).VoterSubset)
+	require.False(t, s.Decide(at(500*time.Millisecond)).SingleVoter, "a single voter may be cut off from the others")
+	require.True(t, s.Decide(at(2*time.Second)).VoterSubset)
 	require.Equal(t, selection.Sources{Voters: true, Parents: c[2:3]}, s.Decide(at(3*time.Second)), "no parent answers")
 }
 
-func TestAllOfTheLevelAboveGone(t *testing.T) {
+func TestAllCandidatesFailed(t *testing.T) {
 	s, c := newFollowing(t)
 	for _, x := range c {
-		s.Failed(epoch, x)
+		s.RecordFailure(epoch, x)
 	}
-	require.Equal(t, selection.Sources{Voters: true}, s.Decide(epoch), "at once where nobody is left to ask")
-	require.Equal(t, c[:1], s.Decide(at(6*time.Second)).Parents, "they are tried again")
+	require.Equal(t, selection.Sources{Voters: true}, s.Decide(epoch), "immediately if no candidate is left")
+	require.Equal(t, c[:1], s.Decide(at(6*time.Second)).Parents, "failed candidates are retried")
 }
 
-// Symptom: balancers heard of departures too late although all their connections worked.
-// Events: the parent lives and answers, and is cut off from the voters.
-// Cause: a parent was left only once it did not answer.
-func TestStaleParentIsLeftForOneThatHearsMore(t *testing.T) {
+// Guards against late departures on working connections: the parent answers but is cut off from the
+// voters, and a parent was replaced only once it did not answer.
+func TestStaleParentIsReplacedByFresherOne(t *testing.T) {
 	s, c := newFollowing(t)
-	s.Answered(epoch, c[0], 1)
+	s.RecordAnswer(epoch, c[0], 1)
 	require.Equal(t, c[:1], s.Decide(at(staleAfter/5)).Parents)
 	later := at(staleAfter/5 + 10*time.Millisecond)
-	s.Answered(later, c[0], 1)
-	require.Equal(t, c[:2], s.Decide(later).Parents, "the parent is asked until another is better")
-	s.Answered(later, c[1], voters)
+	s.RecordAnswer(later, c[0], 1)
+	require.Equal(t, c[:2], s.Decide(later).Parents, "the parent is polled until another one is fresher")
+	s.RecordAnswer(later, c[1], voters)
 	require.Equal(t, selection.Sources{Parents: c[1:2]}, s.Decide(later))
 }
 
-// Symptom: all balancers of a zone asked voters that they could not reach, and met the
-// voters all at once when these were back.
-// Events: a zone is cut off, or all voters are down; every parent hears equally few.
-// Cause: a parent was left for being stale, whatever the others heard.
-func TestNobodyLeavesWhereNoneHearsMore(t *testing.T) {
+// Guards against all balancers of a zone polling unreachable voters, and reaching them all at once
+// on recovery. When a zone is cut off or all voters are down, every candidate has equally few fresh
+// voters, but a stale parent was replaced regardless.
+func TestStaleParentIsKeptWithoutFresherOne(t *testing.T) {
 	s, c := newFollowing(t)
-	asked := 0
+	polled := 0
 	for d := time.Duration(0); d < time.Minute; d += 100 * time.Millisecond {
-		s.Voters(at(d), 0, voters)
-		s.Probed(at(d))
+		s.UpdateVoters(at(d), 0, voters)
+		s.EvaluateProbe(at(d))
 		sources := s.Decide(at(d))
 		require.Equal(t, c[0], sources.Parents[0])
 		for _, p := range sources.Parents {
-			s.Answered(at(d), p, 1)
+			s.RecordAnswer(at(d), p, 1)
 		}
 		if sources.Voters {
-			asked++
+			polled++
 		}
 	}
 	require.Equal(t, c[0], s.Parent())
-	require.Less(t, asked, 300, "voters are asked less than half of the time")
-	require.NotZero(t, asked)
+	require.Less(t, polled, 300, "voters are polled less than half of the time")
+	require.NotZero(t, polled)
 }
 
-func TestVotersThatAnswerHereAreFollowedWhereParentsHearFew(t *testing.T) {
+func TestReachableVotersReplaceStaleParents(t *testing.T) {
 	s, c := newFollowing(t)
 	for d := time.Duration(0); s.Parent() != "" && d < 20*time.Second; d += 100 * time.Millisecond {
 		sources := s.Decide(at(d))
 		for _, p := range sources.Parents {
-			s.Answered(at(d), p, 1)
+			s.RecordAnswer(at(d), p, 1)
 		}
 		answering := 0
 		if sources.Voters {
 			answering = voters
 		}
-		s.Voters(at(d), answering, voters)
-		s.Probed(at(d))
+		s.UpdateVoters(at(d), answering, voters)
+		s.EvaluateProbe(at(d))
 	}
 	require.Empty(t, s.Parent())
 	require.True(t, s.Decide(at(20*time.Second)).Voters)
 	require.NotContains(t, c, s.Parent())
 }
 
-// Symptom: balancers that were cut off from all voters sent flows to upstreams that had
-// left, though other balancers of their zone knew.
-// Events: one at the top of its zone is cut off from the voters, and from nobody else.
-// Cause: it asked nobody else.
-func TestRootThatIsCutOffAsksAnother(t *testing.T) {
+// Guards against a root that sends flows to departed upstreams although other balancers of its zone
+// know of the departures. It was cut off from the voters only, and polled no other source.
+func TestIsolatedRootPollsAnotherRoot(t *testing.T) {
 	all := zone(20)
 	var self string
 	for _, a := range all {
@@ -208,27 +204,27 @@
 		}
 	}
 	s := selection.New(selection.Settings{Self: self, Shape: shape, StaleAfter: staleAfter}, epoch.Add(-time.Minute))
-	s.Voters(epoch, voters, voters)
-	s.Fleet(epoch, all)
+	s.UpdateVoters(epoch, voters, voters)
+	s.UpdateZone(epoch, all)
 	require.Equal(t, selection.Sources{Voters: true}, s.Decide(epoch))
-	s.Voters(epoch, 0, voters)
+	s.UpdateVoters(epoch, 0, voters)
 	sources := s.Decide(at(staleAfter + time.Millisecond))
 	require.True(t, sources.Voters)
 	require.Len(t, sources.Parents, 1)
-	s.Answered(at(staleAfter+time.Millisecond), sources.Parents[0], voters)
-	require.Empty(t, s.Parent(), "it stays at the top")
-	require.Equal(t, sources, s.Decide(at(staleAfter+2*time.Millisecond)), "and goes on asking")
+	s.RecordAnswer(at(staleAfter+time.Millisecond), sources.Parents[0], voters)
+	require.Empty(t, s.Parent(), "the balancer remains a root")
+	require.Equal(t, sources, s.Decide(at(staleAfter+2*time.Millisecond)), "and keeps polling")
 }
 
-func TestBalancerThatRisesToTheTopFollowsVoters(t *testing.T) {
+func TestBalancerThatBecomesRootFollowsVoters(t *testing.T) {
 	s, _ := newFollowing(t)
-	s.Fleet(epoch, nil)
+	s.UpdateZone(epoch, nil)
 	require.Equal(t, selection.Sources{Voters: true}, s.Decide(epoch))
-	change, _ := s.Changed()
+	change, _ := s.TakeChange()
 	require.Equal(t, selection.Root, change.Reason)
 }
 
-func TestParentThatIsNoCandidateAnyMoreIsReplacedByOne(t *testing.T) {
+func TestParentThatIsNoLongerCandidateIsReplaced(t *testing.T) {
 	s, c := newFollowing(t)
 	without := []string{}
 	for _, a := range zone(20) {
@@ -236,47 +232,45 @@
 			without = append(without, a)
 		}
 	}
-	s.Fleet(epoch, without)
+	s.UpdateZone(epoch, without)
 	sources := s.Decide(epoch)
 	require.Len(t, sources.Parents, 2)
 	require.Equal(t, c[0], sources.Parents[0])
-	s.Answered(epoch, sources.Parents[1], voters)
+	s.RecordAnswer(epoch, sources.Parents[1], voters)
 	require.Equal(t, sources.Parents[1], s.Parent())
 }
 
-// Symptom: a balancer that all voters could reach placed a flow by a configuration that had
-// been replaced 6.2 s before, where 5 are allowed.
-// Events: its parent is cut off from the voters, and goes on to answer; all other candidates
-// have their followers already.
-// Cause: what the parent passes on had to be StaleAfter old, half of the bound, and to stay
-// so for as long again; voters were asked up to five seconds later.
-func TestParentThatIsCutOffIsLeftWithinTheBound(t *testing.T) {
+// Guards against a balancer that places a flow by a configuration replaced 6.2 s earlier, where 5
+// are allowed, although it can reach all voters. Its parent was cut off from the voters but
+// answered, and all other candidates were full. The parent's state had to be StaleAfter old, half
+// of the bound, for as long again, and the voters were polled up to five seconds after that.
+func TestIsolatedParentIsReplacedWithinBound(t *testing.T) {
 	const bound = 2 * staleAfter
 	for _, jitter := range []float64{0, 0.5, 1} {
 		all := zone(20)
-		self := belowTop(t, all)
+		self := firstLevelBalancer(t, all)
 		s := selection.New(selection.Settings{Self: self, Shape: shape, StaleAfter: staleAfter, Jitter: jitter}, epoch.Add(-time.Minute))
-		s.Voters(epoch, 0, voters)
-		s.Fleet(epoch, all)
+		s.UpdateVoters(epoch, 0, voters)
+		s.UpdateZone(epoch, all)
 		candidates := shape.Of(self, all).Candidates
-		s.Answered(epoch, candidates[0], voters)
-		left := time.Duration(0)
-		for now := staleAfter; left == 0 && now < 10*bound; now += 10 * time.Millisecond {
-			// Its parent's last contact with the voters is older than StaleAfter.
-			s.Answered(at(now), candidates[0], 0)
+		s.RecordAnswer(epoch, candidates[0], voters)
+		replacedAfter := time.Duration(0)
+		for now := staleAfter; replacedAfter == 0 && now < 10*bound; now += 10 * time.Millisecond {
+			// The parent's last contact with the voters is older than StaleAfter.
+			s.RecordAnswer(at(now), candidates[0], 0)
 			sources := s.Decide(at(now))
 			for _, c := range sources.Parents[1:] {
-				s.Failed(at(now), c)
+				s.RecordFailure(at(now), c)
 			}
 			if sources.Voters {
-				s.Voters(at(now), voters, voters)
-				s.Probed(at(now))
+				s.UpdateVoters(at(now), voters, voters)
+				s.EvaluateProbe(at(now))
 			}
 			if s.Parent() != candidates[0] {
-				left = now
+				replacedAfter = now
 			}
 		}
-		require.NotZero(t, left, "it is left at all")
-		require.Less(t, left, bound*9/10, "the rest is for the configuration, jitter %g", jitter)
+		require.NotZero(t, replacedAfter, "the parent is replaced eventually")
+		require.Less(t, replacedAfter, bound*9/10, "the rest of the bound is for the configuration, jitter %g", jitter)
 	}
 }
