--- a/cmd/apply.go
+++ b/cmd/apply.go
@@ -9,34 +9,34 @@
 	"wasabideal/internal/operator/document"
 )
 
-// changeFlags make a change safe to race and to repeat.
+// changeFlags make a change safe against concurrent changes and safe to retry.
 type changeFlags struct {
-	ExpectRevision uint64 `help:"Revision that the change was made for." required:""`
-	ChangeKey      string `help:"Name used for this change only; a repeated one gets the first answer." required:""`
-	Who            string `help:"Who makes the change, for the audit trail."`
+	ExpectRevision uint64 `help:"Revision that the change is based on; the change is rejected if another revision is current." required:""`
+	ChangeKey      string `help:"Unique key of this change; a retry with the same key returns the first result." required:""`
+	Who            string `help:"Author of the change for the audit trail."`
 }
 
 func (f *changeFlags) change() ledger.Change {
 	who := f.Who
 	if who == "" {
-		who = user()
+		who = currentUser()
 	}
 	return ledger.Change{ExpectRevision: f.ExpectRevision, ChangeKey: f.ChangeKey, Who: who}
 }
 
-// applyCommand replaces services and presets as a whole.
+// applyCommand replaces all services and presets.
 type applyCommand struct {
 	operatorFlags
 	changeFlags
 	File   string `arg:"" help:"Configuration file."`
-	DryRun bool   `help:"Print what would change, and change nothing."`
+	DryRun bool   `help:"Print the difference without applying it."`
 }
 
-// NotConfigurationError says that a file holds settings of a process instead.
+// NotConfigurationError reports a file with process settings in place of a configuration.
 type NotConfigurationError struct{ File string }
 
 func (e *NotConfigurationError) Error() string {
-	return e.File + " holds no configuration; it needs Presets and Services"
+	return e.File + " is not a configuration file: Presets and Services are missing"
 }
 
 // Help shows an example.
@@ -44,47 +44,47 @@
 	return "Example: wasabideal apply examples/suez.toml --expect-revision 0 --change-key first-apply"
 }
 
-// Run sends the configuration, or prints how it differs.
+// Run sends the configuration, or prints the difference for a dry run.
 func (c *applyCommand) Run(ctx context.Context) error {
-	d, err := document.Read(c.File)
+	doc, err := document.Read(c.File)
 	if err != nil {
 		return err
 	}
-	if d.Configuration == nil {
+	if doc.Configuration == nil {
 		return &NotConfigurationError{File: c.File}
 	}
 	ctx, cancel := c.context(ctx)
 	defer cancel()
-	x := c.change()
-	x.Apply = d.Configuration
+	request := c.change()
+	request.Apply = doc.Configuration
 	if c.DryRun {
-		return c.dryRun(ctx, x)
+		return c.dryRun(ctx, request)
 	}
-	return c.send(ctx, x)
+	return c.send(ctx, request)
 }
 
-func (f *operatorFlags) send(ctx context.Context, x ledger.Change) error {
-	a, err := f.client().Change(ctx, x)
+func (f *operatorFlags) send(ctx context.Context, request ledger.Change) error {
+	answer, err := f.client().Change(ctx, request)
 	if err != nil {
 		return err
 	}
 	if f.JSON {
-		return printJSON(a)
+		return printJSON(answer)
 	}
-	_, err = fmt.Printf("accepted as revision %d\n", a.Revision)
+	_, err = fmt.Printf("accepted as revision %d\n", answer.Revision)
 	return err
 }
 
-func (c *applyCommand) dryRun(ctx context.Context, x ledger.Change) error {
-	shown, err := c.client().Current(ctx)
+func (c *applyCommand) dryRun(ctx context.Context, request ledger.Change) error {
+	current, err := c.client().Current(ctx)
 	if err != nil {
 		return err
 	}
-	next, err := ledger.Next(shown.Configuration, x)
+	next, err := ledger.Next(current.Configuration, request)
 	if err != nil {
 		return err
 	}
-	delta := history.Between(shown.Configuration, next)
+	delta := history.Between(current.Configuration, next)
 	if c.JSON {
 		return printJSON(delta)
 	}
--- a/cmd/audit.go
+++ b/cmd/audit.go
@@ -2,7 +2,7 @@
 
 import "context"
 
-// auditCommand prints the trail of changes.
+// auditCommand prints the audit trail of changes.
 type auditCommand struct {
 	operatorFlags
 	Last int `help:"Number of lines." default:"20"`
--- a/cmd/capacity.go
+++ b/cmd/capacity.go
@@ -12,13 +12,13 @@
 	"wasabideal/internal/capacity/slope"
 )
 
-// capacityCommand measures the slopes and writes the capacity page.
+// capacityCommand measures resource costs as slopes and writes the capacity page.
 type capacityCommand struct {
-	Slopes  string   `help:"File of the slopes." default:"docs/capacity/slopes.json"`
-	Page    string   `help:"File of the page." default:"docs/CAPACITY.md"`
-	Measure bool     `help:"Measure anew; otherwise only the page is written." default:"true" negatable:""`
-	Only    []string `help:"Names of the slopes to measure anew; all where none is named."`
-	Machine string   `help:"What machine this is." default:"8 cores, 24 GiB, Linux, loopback"`
+	Slopes  string   `help:"File with the measured slopes." default:"docs/capacity/slopes.json"`
+	Page    string   `help:"File of the capacity page." default:"docs/CAPACITY.md"`
+	Measure bool     `help:"Run the measurements; otherwise only write the page." default:"true" negatable:""`
+	Only    []string `help:"Names of the slopes to measure; all if empty."`
+	Machine string   `help:"Description of this machine for the page." default:"8 cores, 24 GiB, Linux, loopback"`
 }
 
 const fileMode = 0o644
@@ -55,7 +55,7 @@
 		return err
 	}
 	if len(c.Only) > 0 {
-		if slopes, err = c.merged(slopes); err != nil {
+		if slopes, err = c.mergeIntoFile(slopes); err != nil {
 			return err
 		}
 	}
@@ -71,8 +71,8 @@
 	return nil
 }
 
-// merged puts measured slopes in the place of those of the file.
-func (c *capacityCommand) merged(slopes []slope.Slope) ([]slope.Slope, error) {
+// mergeIntoFile returns the slopes of the file, with newly measured ones replaced or added.
+func (c *capacityCommand) mergeIntoFile(slopes []slope.Slope) ([]slope.Slope, error) {
 	b, err := os.ReadFile(c.Slopes)
 	if err != nil {
 		return nil, fmt.Errorf("read slopes: %w", err)
--- a/cmd/check.go
+++ b/cmd/check.go
@@ -6,7 +6,7 @@
 	"wasabideal/internal/operator/document"
 )
 
-// checkCommand validates files.
+// checkCommand validates settings and configuration files.
 type checkCommand struct {
 	Files []string `arg:"" name:"file" help:"Settings or configuration files."`
 }
@@ -16,7 +16,7 @@
 	return "Example: wasabideal check examples/balancer.toml examples/suez.toml"
 }
 
-// Run stops at the first wrong file and names key, value and what is allowed.
+// Run stops at the first invalid file; the error names the key, its value and the allowed values.
 func (c *checkCommand) Run() error {
 	for _, f := range c.Files {
 		if _, err := document.Read(f); err != nil {
--- a/cmd/cmd.go
+++ b/cmd/cmd.go
@@ -16,31 +16,31 @@
 	Serve     serveCommand     `cmd:"" help:"Run a balancer, a control voter or both."`
 	Check     checkCommand     `cmd:"" help:"Validate settings and configuration files."`
 	Machine   machineCommand   `cmd:"" help:"Run a process on a VM of the platform."`
-	Apply     applyCommand     `cmd:"" help:"Replace services and presets as a whole."`
+	Apply     applyCommand     `cmd:"" help:"Replace all services and presets."`
 	Preset    presetCommand    `cmd:"" help:"Switch or list presets."`
 	Zone      zoneCommand      `cmd:"" help:"Evacuate, restore or list availability zones."`
 	Status    statusCommand    `cmd:"" help:"Show voters and balancers."`
-	Audit     auditCommand     `cmd:"" help:"Print the trail of changes."`
-	Drain     drainCommand     `cmd:"" help:"Begin a balancer's planned stop."`
-	Forget    forgetCommand    `cmd:"" help:"Say that a balancer is gone for good."`
-	Remove    removeCommand    `cmd:"" help:"Take a control voter out of the list for good."`
-	Replay    replayCommand    `cmd:"" help:"Reduce a recorded trace again and print its effects."`
-	Explain   explainCommand   `cmd:"" help:"Tell why a request failed, or what became of a change, from logs."`
-	Followers followersCommand `cmd:"" help:"Tell from logs which balancer follows which, and why."`
-	Capacity  capacityCommand  `cmd:"" help:"Measure the slopes and write the capacity page."`
-	Load      loadCommand      `cmd:"" help:"Load running balancers with flows and requests."`
-	Demo      demoCommand      `cmd:"" help:"Play the whole path on loopback in one process, with failures."`
-	Soak      soakCommand      `cmd:"" help:"Play random runs of the real programs with faults."`
+	Audit     auditCommand     `cmd:"" help:"Print the audit trail of changes."`
+	Drain     drainCommand     `cmd:"" help:"Start the graceful shutdown of a balancer."`
+	Forget    forgetCommand    `cmd:"" help:"Declare a balancer permanently gone."`
+	Remove    removeCommand    `cmd:"" help:"Permanently remove a control voter."`
+	Replay    replayCommand    `cmd:"" help:"Replay a recorded trace and print its effects."`
+	Explain   explainCommand   `cmd:"" help:"Explain from logs why a flow or request failed, or how a change was applied."`
+	Followers followersCommand `cmd:"" help:"Show from logs which balancer follows which, and why."`
+	Capacity  capacityCommand  `cmd:"" help:"Measure resource costs and write the capacity page."`
+	Load      loadCommand      `cmd:"" help:"Generate load of flows and requests on running balancers."`
+	Demo      demoCommand      `cmd:"" help:"Run all components on loopback in one process, with injected failures."`
+	Soak      soakCommand      `cmd:"" help:"Run randomized fault-injection tests on real processes."`
 	Version   versionCommand   `cmd:"" help:"Print the version."`
 }
 
-// Main runs the command that the arguments name and returns the exit status.
+// Main parses the arguments, runs the command and returns the exit status.
 func Main(args []string) int {
-	// Daemons whose settings change while they start would end by the signal that says so.
+	// SIGHUP announces changed settings. By default it would end a daemon that is still starting.
 	signal.Ignore(syscall.SIGHUP)
 	var c commands
 	parser, err := kong.New(&c, kong.Name("wasabideal"), kong.UsageOnError(),
-		kong.Description("A layer-4 load balancer for fleets that change all at once."))
+		kong.Description("A layer-4 load balancer for fleets whose configuration changes all at once."))
 	if err != nil {
 		return fail(err)
 	}
--- a/cmd/cmd_test.go
+++ b/cmd/cmd_test.go
@@ -17,15 +17,15 @@
 	require.Equal(t, 0, cmd.Main(append([]string{"check"}, files...)))
 }
 
-func TestWrongFilesExitWithUsage(t *testing.T) {
+func TestInvalidFilesExitWithUsage(t *testing.T) {
 	for name, content := range map[string]string{
-		"unknown key":     "Role = \"Balancer\"\nZonee = \"x\"\n",
-		"missing zone":    "Name = \"b\"\n",
-		"no such preset":  "InForce = \"x\"\n[[Presets]]\nName = \"ordinary\"\nSlotLimit = 2\n",
-		"address twice":   "InForce = \"o\"\n[[Presets]]\nName = \"o\"\nSlotLimit = 2\n[[Services]]\nName = \"a\"\nProtocol = \"tcp\"\nAddresses = [\"1.2.3.4:1\", \"1.2.3.4:1\"]\n",
-		"revision in it":  "Revision = 3\nInForce = \"o\"\n[[Presets]]\nName = \"o\"\nSlotLimit = 2\n",
-		"wrong protocol":  "InForce = \"o\"\n[[Presets]]\nName = \"o\"\nSlotLimit = 2\n[[Services]]\nName = \"a\"\nProtocol = \"sctp\"\n",
-		"limit too large": "InForce = \"o\"\n[[Presets]]\nName = \"o\"\nSlotLimit = 2000000\n",
+		"unknown key":       "Role = \"Balancer\"\nZonee = \"x\"\n",
+		"missing zone":      "Name = \"b\"\n",
+		"undefined preset":  "InForce = \"x\"\n[[Presets]]\nName = \"ordinary\"\nSlotLimit = 2\n",
+		"duplicate address": "InForce = \"o\"\n[[Presets]]\nName = \"o\"\nSlotLimit = 2\n[[Services]]\nName = \"a\"\nProtocol = \"tcp\"\nAddresses = [\"1.2.3.4:1\", \"1.2.3.4:1\"]\n",
+		"revision set":      "Revision = 3\nInForce = \"o\"\n[[Presets]]\nName = \"o\"\nSlotLimit = 2\n",
+		"unknown protocol":  "InForce = \"o\"\n[[Presets]]\nName = \"o\"\nSlotLimit = 2\n[[Services]]\nName = \"a\"\nProtocol = \"sctp\"\n",
+		"limit too large":   "InForce = \"o\"\n[[Presets]]\nName = \"o\"\nSlotLimit = 2000000\n",
 	} {
 		t.Run(name, func(t *testing.T) {
 			file := filepath.Join(t.TempDir(), "x.toml")
--- a/cmd/doc.go
+++ b/cmd/doc.go
@@ -1,2 +1,2 @@
-// Package cmd holds the commands, one file each.
+// Package cmd implements the command line, with one file per command.
 package cmd
--- a/cmd/drain.go
+++ b/cmd/drain.go
@@ -5,22 +5,22 @@
 	"fmt"
 )
 
-// drainCommand begins a balancer's planned stop.
+// drainCommand starts the graceful shutdown of a balancer.
 type drainCommand struct {
 	operatorFlags
-	Address string `arg:"" help:"Rpc address of the balancer."`
+	Address string `arg:"" help:"RPC address of the balancer."`
 }
 
 // Help shows an example.
 func (drainCommand) Help() string { return "Example: wasabideal drain 127.0.0.1:7401" }
 
-// Run asks for the stop; the process ends by itself once its flows are handed over.
+// Run requests the shutdown; the process exits once it has handed over its flows.
 func (c *drainCommand) Run(ctx context.Context) error {
 	ctx, cancel := c.context(ctx)
 	defer cancel()
 	if err := c.client().Drain(ctx, c.Address); err != nil {
 		return err
 	}
-	_, err := fmt.Println("planned stop begun; the process ends when its flows are handed over")
+	_, err := fmt.Println("graceful shutdown started; the process exits once its flows are handed over")
 	return err
 }
--- a/cmd/explain.go
+++ b/cmd/explain.go
@@ -7,12 +7,12 @@
 	"wasabideal/internal/log/story"
 )
 
-// explainCommand tells why a request failed, from the processes' logs.
+// explainCommand finds the log lines about a caller, an upstream or a revision and explains them.
 type explainCommand struct {
-	Caller      string   `help:"Caller's address and port." xor:"id" required:"" placeholder:"IP:PORT"`
-	Incarnation string   `help:"Incarnation of an upstream, as lines of flows name it." xor:"id" required:"" placeholder:"HEX"`
+	Caller      string   `help:"Address and port of the caller." xor:"id" required:"" placeholder:"IP:PORT"`
+	Incarnation string   `help:"Incarnation of an upstream, as in log lines about flows." xor:"id" required:"" placeholder:"HEX"`
 	Revision    uint64   `help:"Revision of a configuration." xor:"id" required:""`
-	Logs        []string `arg:"" help:"Logs of balancers and voters; the more, the fuller the story." type:"existingfile"`
+	Logs        []string `arg:"" help:"Logs of balancers and voters; more logs give a more complete explanation." type:"existingfile"`
 }
 
 // Help shows an example.
@@ -20,7 +20,7 @@
 	return "Example: wasabideal explain --caller 100.64.0.17:1059 logs/*.log"
 }
 
-// Run prints the lines that matter in order, and what they mean.
+// Run prints the relevant lines in order of time, and what they mean.
 func (c *explainCommand) Run() error {
 	var s story.Story
 	for _, name := range c.Logs {
--- a/cmd/followers.go
+++ b/cmd/followers.go
@@ -7,7 +7,7 @@
 	"wasabideal/internal/log/followers"
 )
 
-// followersCommand tells which balancer follows which.
+// followersCommand prints which balancer receives its configuration from which.
 type followersCommand struct {
 	Logs []string `arg:"" help:"Logs of balancers." type:"existingfile"`
 }
@@ -15,7 +15,7 @@
 // Help shows an example.
 func (followersCommand) Help() string { return "Example: wasabideal followers logs/entry-*.log" }
 
-// Run prints a line for each balancer.
+// Run prints one line per balancer.
 func (c *followersCommand) Run() error {
 	f := followers.New()
 	for _, name := range c.Logs {
--- a/cmd/forget.go
+++ b/cmd/forget.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// forgetCommand says that a balancer's process has ended and will not return.
+// forgetCommand declares that the process of a balancer has ended and will not return.
 type forgetCommand struct {
 	operatorFlags
 	Name string `arg:"" help:"Name of the balancer."`
@@ -13,16 +13,16 @@
 
 // Help shows an example.
 func (forgetCommand) Help() string {
-	return "Only for a balancer that surely does not run any more: its request keys are given up a window later. Example: wasabideal forget tawfik-1"
+	return "Use this only for a balancer that is certain to have stopped: its request keys are released after the deduplication window. Example: wasabideal forget tawfik-1"
 }
 
-// Run tells the leading voter.
+// Run sends the declaration to the leader.
 func (c *forgetCommand) Run(ctx context.Context) error {
 	ctx, cancel := c.context(ctx)
 	defer cancel()
 	if err := c.client().Forget(ctx, c.Name); err != nil {
 		return err
 	}
-	_, err := fmt.Println("noted; keys that only " + c.Name + " remembered are free once the window is over")
+	_, err := fmt.Println("accepted; keys that only " + c.Name + " remembered are released after the deduplication window")
 	return err
 }
--- a/cmd/load.go
+++ b/cmd/load.go
@@ -9,20 +9,20 @@
 	"wasabideal/internal/load/run"
 )
 
-// loadCommand loads running balancers.
+// loadCommand generates load on running balancers.
 type loadCommand struct {
-	Service   string           `help:"Service to load, as the configuration names it." required:""`
+	Service   string           `help:"Name of the service to load." required:""`
 	Address   netip.AddrPort   `help:"Address of the service." required:""`
-	JoinToken string           `help:"Token with which the stand-in upstreams join the service." env:"WASABIDEAL_JOIN_TOKEN"`
-	Zone      string           `help:"Availability zone of the stand-in upstreams."`
+	JoinToken string           `help:"Token that registers the simulated upstreams with the service." env:"WASABIDEAL_JOIN_TOKEN"`
+	Zone      string           `help:"Availability zone of the simulated upstreams."`
 	Admin     []string         `help:"Admin addresses of balancers." default:"127.0.0.1:7402"`
 	Fabric    []netip.AddrPort `help:"Fabric addresses of balancers." default:"127.0.0.1:6080"`
-	Door      []string         `help:"Door addresses of balancers; none sends no requests."`
-	Upstreams int              `help:"Stand-in upstreams." default:"5"`
-	Flows     int              `help:"Flows held open." default:"200"`
-	Every     time.Duration    `help:"Mean pause of a flow between two messages." default:"500ms"`
-	Rate      float64          `help:"Requests a second." default:"50"`
-	Duration  time.Duration    `help:"How long to load." default:"10s"`
+	Door      []string         `help:"HTTP addresses (Listen.Door) of balancers; without any, no requests are sent."`
+	Upstreams int              `help:"Number of simulated upstreams." default:"5"`
+	Flows     int              `help:"Number of flows kept open." default:"200"`
+	Every     time.Duration    `help:"Mean interval between two messages of a flow." default:"500ms"`
+	Rate      float64          `help:"Requests per second." default:"50"`
+	Duration  time.Duration    `help:"Duration of the load." default:"10s"`
 	JSON      bool             `help:"Print JSON."`
 }
 
@@ -31,7 +31,7 @@
 	return "Example: wasabideal load --service orders --address 10.20.0.1:443 --join-token join-orders --door 127.0.0.1:8443"
 }
 
-// Run plays the load and prints what was found.
+// Run generates the load and prints the result.
 func (c *loadCommand) Run(ctx context.Context) error {
 	r, err := run.New(run.Settings{
 		Service: c.Service, Address: c.Address, Token: c.JoinToken, Zone: c.Zone, Admins: c.Admin, Fabrics: c.Fabric,
--- a/cmd/machine.go
+++ b/cmd/machine.go
@@ -5,10 +5,10 @@
 // machineCommand runs a process on a VM of the users' platform.
 type machineCommand struct{}
 
-// Help says where the settings come from.
+// Help describes the source of the settings.
 func (machineCommand) Help() string {
-	return "The platform names the settings file in the environment; deploy/system.toml starts the processes."
+	return "An environment variable set by the platform names the settings file; deploy/system.toml starts the processes."
 }
 
-// Run serves until a planned stop.
+// Run serves until a graceful shutdown.
 func (machineCommand) Run() error { return machine.Run() }
--- a/cmd/operator.go
+++ b/cmd/operator.go
@@ -10,11 +10,11 @@
 	"wasabideal/internal/operator/client"
 )
 
-// operatorFlags are common to the commands that talk to control voters.
+// operatorFlags are shared by the commands that connect to control voters.
 type operatorFlags struct {
-	Control []string      `help:"Rpc addresses of control voters." default:"127.0.0.1:7401" env:"WASABIDEAL_CONTROL"`
+	Control []string      `help:"RPC addresses of control voters." default:"127.0.0.1:7401" env:"WASABIDEAL_CONTROL"`
 	Token   string        `help:"Operator token." env:"WASABIDEAL_TOKEN"`
-	Timeout time.Duration `help:"How long to try." default:"15s"`
+	Timeout time.Duration `help:"Time limit of the command, including retries." default:"15s"`
 	JSON    bool          `help:"Print JSON."`
 }
 
@@ -33,7 +33,7 @@
 	return err
 }
 
-func user() string {
+func currentUser() string {
 	if u := os.Getenv("USER"); u != "" {
 		return u
 	}
--- a/cmd/remove.go
+++ b/cmd/remove.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// removeCommand takes a control voter out of the list.
+// removeCommand removes a control voter from the membership.
 type removeCommand struct {
 	operatorFlags
 	Name string `arg:"" help:"Name of the voter."`
@@ -14,13 +14,13 @@
 // Help shows an example.
 func (removeCommand) Help() string { return "Example: wasabideal remove control-ismailia" }
 
-// Run tells the leading voter.
+// Run sends the removal to the leader.
 func (c *removeCommand) Run(ctx context.Context) error {
 	ctx, cancel := c.context(ctx)
 	defer cancel()
 	if err := c.client().RemoveVoter(ctx, c.Name); err != nil {
 		return err
 	}
-	_, err := fmt.Println("proposed; look at status until the voter is gone")
+	_, err := fmt.Println("removal proposed; check status until the voter is gone")
 	return err
 }
--- a/cmd/serve.go
+++ b/cmd/serve.go
@@ -15,7 +15,7 @@
 	"wasabideal/internal/start/wait"
 )
 
-// serveCommand runs a process.
+// serveCommand runs a balancer, a control voter or both.
 type serveCommand struct {
 	Config string `help:"Settings file of this process." required:"" type:"existingfile"`
 }
@@ -23,7 +23,7 @@
 // Help shows an example.
 func (serveCommand) Help() string { return "Example: wasabideal serve --config examples/balancer.toml" }
 
-// Run serves until a planned stop; signals are the last stage's.
+// Run serves until a graceful shutdown. Signals are handled by the last stage.
 func (c *serveCommand) Run() error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
--- a/cmd/soak.go
+++ b/cmd/soak.go
@@ -13,38 +13,38 @@
 	"wasabideal/platform/standin"
 )
 
-// soakCommand plays random runs of the real programs.
+// soakCommand runs randomized fault-injection tests on real processes.
 type soakCommand struct {
 	Seed      uint64        `help:"Seed of the first run." default:"1"`
-	Runs      int           `help:"Number of runs, with one seed after the other." default:"1"`
-	For       time.Duration `help:"How long faults are injected in each run." default:"20s"`
-	Folder    string        `help:"Folder for settings, disks and logs; a new one where empty."`
+	Runs      int           `help:"Number of runs, each with the next seed." default:"1"`
+	For       time.Duration `help:"Duration of fault injection in each run." default:"20s"`
+	Folder    string        `help:"Folder for settings, data and logs; if empty, a new temporary folder."`
 	Balancers int           `help:"Number of balancers." default:"6"`
-	Upstreams int           `help:"Number of upstreams at the start." default:"8"`
+	Upstreams int           `help:"Initial number of upstreams." default:"8"`
 	Callers   int           `help:"Number of callers." default:"12"`
-	Busy      int           `help:"Number of loops that take processors beside the runs." default:"0"`
+	Busy      int           `help:"Number of busy loops that compete for the CPUs." default:"0"`
 }
 
 // Help shows an example.
 func (soakCommand) Help() string { return "Example: wasabideal soak --seed 7 --runs 5 --for 30s" }
 
-// soakError says how many runs broke a promise.
+// soakError reports the number of runs that violated an invariant.
 type soakError struct{ Broken, Runs int }
 
 func (e *soakError) Error() string {
-	return fmt.Sprintf("%d of %d runs broke a promise", e.Broken, e.Runs)
+	return fmt.Sprintf("%d of %d runs violated an invariant", e.Broken, e.Runs)
 }
 
-// Run plays the runs and prints a line of JSON for each.
+// Run executes the runs and prints one JSON line per run.
 func (c *soakCommand) Run(ctx context.Context) error {
 	program, err := os.Executable()
 	if err != nil {
-		return fmt.Errorf("find this program: %w", err)
+		return fmt.Errorf("locate executable: %w", err)
 	}
 	folder := c.Folder
 	if folder == "" {
 		if folder, err = os.MkdirTemp("", "wasabideal-soak-"); err != nil {
-			return fmt.Errorf("make folder: %w", err)
+			return fmt.Errorf("create folder: %w", err)
 		}
 	}
 	broken := 0
@@ -57,12 +57,12 @@
 			Seed: seed, For: c.For, Program: program, Folder: filepath.Join(folder, fmt.Sprint("seed-", seed)),
 			Zones: 3, Balancers: c.Balancers, Upstreams: c.Upstreams, Callers: c.Callers, Busy: c.Busy, World: standin.New(),
 		})
-		var promise *run.BrokenError
+		var violation *run.BrokenError
 		switch {
-		case errors.As(err, &promise):
+		case errors.As(err, &violation):
 			result.Broken = append(result.Broken, err.Error())
 		case err != nil:
-			return fmt.Errorf("play seed %d: %w", seed, err)
+			return fmt.Errorf("run seed %d: %w", seed, err)
 		}
 		if len(result.Broken) > 0 {
 			broken++
--- a/cmd/status.go
+++ b/cmd/status.go
@@ -11,31 +11,31 @@
 	"wasabideal/internal/control/voter"
 )
 
-// statusCommand shows voters and balancers.
+// statusCommand prints the status of voters and balancers.
 type statusCommand struct {
 	operatorFlags
-	Balancers []string `help:"Rpc addresses of balancers."`
+	Balancers []string `help:"RPC addresses of balancers."`
 }
 
-// statusReport is what the command prints as JSON.
+// statusReport is the JSON output of the command.
 type statusReport struct {
 	Voters    []voter.Report
 	Balancers []reducer.Status
-	// Silent are the addresses that did not answer.
+	// Silent lists the addresses that did not respond.
 	Silent []string
 }
 
-// SilentError says which processes did not answer.
+// SilentError reports the addresses of processes that did not respond.
 type SilentError struct{ Addresses []string }
 
-func (e *SilentError) Error() string { return fmt.Sprintf("no answer from %v", e.Addresses) }
+func (e *SilentError) Error() string { return fmt.Sprintf("no response from %v", e.Addresses) }
 
 // Help shows an example.
 func (statusCommand) Help() string {
 	return "Example: wasabideal status --control 127.0.0.1:7501 --balancers 127.0.0.1:7401"
 }
 
-// Run asks every address once.
+// Run requests the status of each address once.
 func (c *statusCommand) Run(ctx context.Context) error {
 	ctx, cancel := c.context(ctx)
 	defer cancel()
--- a/cmd/zone.go
+++ b/cmd/zone.go
@@ -13,34 +13,34 @@
 
 // zoneCommand groups the commands on availability zones.
 type zoneCommand struct {
-	Evacuate zoneEvacuateCommand `cmd:"" help:"Send no new flows to a zone's upstreams; open flows stay."`
-	Restore  zoneRestoreCommand  `cmd:"" help:"Send new flows to a zone's upstreams again."`
+	Evacuate zoneEvacuateCommand `cmd:"" help:"Stop sending new flows to the upstreams of a zone; open flows continue."`
+	Restore  zoneRestoreCommand  `cmd:"" help:"Resume sending new flows to the upstreams of a zone."`
 	List     zoneListCommand     `cmd:"" help:"List the zones that were evacuated or restored."`
 }
 
-// zoneEvacuateCommand empties a zone.
+// zoneEvacuateCommand stops new flows to a zone.
 type zoneEvacuateCommand struct {
 	operatorFlags
 	changeFlags
-	Name string `arg:"" help:"Availability zone, as its VMs' settings name it."`
+	Name string `arg:"" help:"Availability zone (setting Zone of its VMs)."`
 }
 
 // Help shows an example.
 func (zoneEvacuateCommand) Help() string {
 	return "Example: wasabideal zone evacuate port-tawfik --expect-revision 0 --change-key hall-2-cooling\n" +
-		"The expected revision is the zone's in 'wasabideal zone list', 0 for a zone that is not listed."
+		"The expected revision is the zone's revision in 'wasabideal zone list', or 0 if the zone is not listed."
 }
 
 // Run sends the order.
 func (c *zoneEvacuateCommand) Run(ctx context.Context) error {
-	return order(ctx, &c.operatorFlags, &c.changeFlags, ledger.Evacuation{Zone: c.Name, On: true})
+	return sendEvacuation(ctx, &c.operatorFlags, &c.changeFlags, ledger.Evacuation{Zone: c.Name, On: true})
 }
 
-// zoneRestoreCommand takes a zone back.
+// zoneRestoreCommand reverts an evacuation.
 type zoneRestoreCommand struct {
 	operatorFlags
 	changeFlags
-	Name string `arg:"" help:"Availability zone, as its VMs' settings name it."`
+	Name string `arg:"" help:"Availability zone (setting Zone of its VMs)."`
 }
 
 // Help shows an example.
@@ -50,27 +50,27 @@
 
 // Run sends the order.
 func (c *zoneRestoreCommand) Run(ctx context.Context) error {
-	return order(ctx, &c.operatorFlags, &c.changeFlags, ledger.Evacuation{Zone: c.Name})
+	return sendEvacuation(ctx, &c.operatorFlags, &c.changeFlags, ledger.Evacuation{Zone: c.Name})
 }
 
-func order(ctx context.Context, o *operatorFlags, f *changeFlags, e ledger.Evacuation) error {
+func sendEvacuation(ctx context.Context, o *operatorFlags, f *changeFlags, e ledger.Evacuation) error {
 	if err := (evacuation.Evacuations{}).Check(e.Zone); err != nil {
 		return err
 	}
 	ctx, cancel := o.context(ctx)
 	defer cancel()
-	x := f.change()
-	x.Evacuate = &e
-	return o.send(ctx, x)
+	request := f.change()
+	request.Evacuate = &e
+	return o.send(ctx, request)
 }
 
-// zoneListCommand lists zones.
+// zoneListCommand lists the zones that have been evacuated or restored.
 type zoneListCommand struct{ operatorFlags }
 
 // Help shows an example.
 func (zoneListCommand) Help() string { return "Example: wasabideal zone list --json" }
 
-// Run prints the last order for each zone.
+// Run prints the latest state of each zone.
 func (c *zoneListCommand) Run(ctx context.Context) error {
 	ctx, cancel := c.context(ctx)
 	defer cancel()
--- a/main.go
+++ b/main.go
@@ -1,4 +1,4 @@
-// Command wasabideal is a layer-4 load balancer for fleets that change all at once.
+// Command wasabideal is a layer-4 load balancer for fleets whose configuration changes all at once.
 package main
 
 import (
