--- a/internal/standin/announcer/announcer.go
+++ b/internal/standin/announcer/announcer.go
@@ -13,7 +13,7 @@
 
 const postTimeout = 2 * time.Second
 
-// Announcement is what an upstream says of itself.
+// Announcement describes an upstream and its state to the balancers.
 type Announcement struct {
 	Service     string
 	Address     string
@@ -25,41 +25,41 @@
 	State       string
 }
 
-// RefusedError is a balancer's refusal.
+// RefusedError reports an announcement that a balancer rejected.
 type RefusedError struct {
 	Status int
 	Text   string
 }
 
 func (e *RefusedError) Error() string {
-	return fmt.Sprintf("announcement refused (%d): %s", e.Status, e.Text)
+	return fmt.Sprintf("announcement rejected with status %d: %s", e.Status, e.Text)
 }
 
-// Announcer repeats an announcement to the first balancer that takes it.
+// Announcer sends an announcement periodically to the first balancer that accepts it.
 type Announcer struct {
-	mu        sync.Mutex
-	said      Announcement
-	token     string
-	balancers func() []string
-	client    *http.Client
+	mu           sync.Mutex
+	announcement Announcement
+	token        string
+	balancers    func() []string
+	client       *http.Client
 }
 
-// New returns an announcer; balancers gives admin addresses, best first.
+// New returns an announcer. balancers returns the admin addresses in order of preference.
 func New(a Announcement, token string, balancers func() []string) *Announcer {
-	return &Announcer{said: a, token: token, balancers: balancers, client: &http.Client{Timeout: postTimeout}}
+	return &Announcer{announcement: a, token: token, balancers: balancers, client: &http.Client{Timeout: postTimeout}}
 }
 
-// SetState changes what is announced and announces it at once.
+// SetState changes the announced state and sends the announcement immediately.
 func (a *Announcer) SetState(ctx context.Context, state string) error {
 	a.mu.Lock()
-	a.said.State = state
+	a.announcement.State = state
 	a.mu.Unlock()
 	return a.Announce(ctx)
 }
 
-// Run announces until the context ends.
-func (a *Announcer) Run(ctx context.Context, every time.Duration) {
-	t := time.NewTicker(every)
+// Run sends the announcement at the given interval until the context is done.
+func (a *Announcer) Run(ctx context.Context, interval time.Duration) {
+	t := time.NewTicker(interval)
 	defer t.Stop()
 	for {
 		_ = a.Announce(ctx)
@@ -71,13 +71,13 @@
 	}
 }
 
-// Announce announces once, and returns the last balancer's error if none took it.
+// Announce sends the announcement once. If no balancer accepts it, the error of the last one is returned.
 func (a *Announcer) Announce(ctx context.Context) error {
 	a.mu.Lock()
-	a.said.Sequence++
-	said := a.said
+	a.announcement.Sequence++
+	announcement := a.announcement
 	a.mu.Unlock()
-	body, err := json.Marshal(said)
+	body, err := json.Marshal(announcement)
 	if err != nil {
 		return fmt.Errorf("encode announcement: %w", err)
 	}
@@ -95,14 +95,14 @@
 		return fmt.Errorf("build announcement: %w", err)
 	}
 	r.Header.Set("Authorization", "Bearer "+a.token)
-	answer, err := a.client.Do(r)
+	response, err := a.client.Do(r)
 	if err != nil {
-		return fmt.Errorf("announce: %w", err)
+		return fmt.Errorf("send announcement: %w", err)
 	}
-	defer func() { _ = answer.Body.Close() }()
-	text, _ := io.ReadAll(io.LimitReader(answer.Body, 1024))
-	if answer.StatusCode != http.StatusNoContent {
-		return &RefusedError{Status: answer.StatusCode, Text: string(bytes.TrimSpace(text))}
+	defer func() { _ = response.Body.Close() }()
+	message, _ := io.ReadAll(io.LimitReader(response.Body, 1024))
+	if response.StatusCode != http.StatusNoContent {
+		return &RefusedError{Status: response.StatusCode, Text: string(bytes.TrimSpace(message))}
 	}
 	return nil
 }
--- a/internal/standin/announcer/doc.go
+++ b/internal/standin/announcer/doc.go
@@ -1,2 +1,2 @@
-// Package announcer posts an upstream's announcements to balancers.
+// Package announcer sends the announcements of a simulated upstream to balancers.
 package announcer
