--- a/internal/demo/run/run.go
+++ b/internal/demo/run/run.go
@@ -274,7 +274,7 @@
 	c := d.site.callers.Counts()
 	r := &d.result
 	r.Flows, r.BrokenFlows, r.WrongBytes = c.Established, c.BrokenFlows, c.WrongBytes
-	r.LongestWaitSeconds = c.LongestWait.Seconds()
+	r.LongestWaitSeconds = c.MaxLatency.Seconds()
 	for _, u := range d.site.upstreams {
 		r.Misdelivered += u.Counts().Misdelivered
 	}
--- a/internal/load/run/run.go
+++ b/internal/load/run/run.go
@@ -135,7 +135,7 @@
 		Requests: q.Requests, Answered: q.Answered, NotRun: q.NotRun, Unknown: q.Unknown, Unanswered: q.Unanswered, LeftUnknown: q.LeftUnknown,
 		DoubleRun: q.DoubleRun, FalseNotRun: q.FalseNotRun,
 		RequestMillis: Quantiles{millis(q.P50), millis(q.P99), millis(q.P999)},
-		MessageMillis: quantiles(l.callers.TakeWaits()),
+		MessageMillis: quantiles(l.callers.TakeLatencies()),
 	}
 	open := lo.Map(l.upstreams, func(u *upstream.Upstream, _ int) int { return u.Counts().Open })
 	r.Misdelivered = lo.SumBy(l.upstreams, func(u *upstream.Upstream) int { return u.Counts().Misdelivered })
--- a/internal/standin/caller/caller.go
+++ b/internal/standin/caller/caller.go
@@ -15,17 +15,17 @@
 )
 
 const (
-	firstRetry = 200 * time.Millisecond
-	mostRetry  = time.Second
-	// turn is how often waiting flows are looked at.
-	turn        = 20 * time.Millisecond
-	messageSize = 512
-	readSize    = 4096
+	initialRetry = 200 * time.Millisecond
+	maxRetry     = time.Second
+	// timerInterval is the interval of checks for flows that are due to send.
+	timerInterval  = 20 * time.Millisecond
+	maxMessageSize = 512
+	readSize       = 4096
 )
 
-// Answer is what an upstream answers to a message: its bytes inverted, so that
-// an echo by anyone else is noticed.
-func Answer(message []byte) []byte {
+// Reply returns the reply of an upstream to a message: the inverted bytes, so
+// that a packet echoed by another process is detected.
+func Reply(message []byte) []byte {
 	out := make([]byte, len(message))
 	for i, b := range message {
 		out[i] = ^b
@@ -36,14 +36,14 @@
 type state int
 
 const (
-	dialling state = iota
-	waiting
-	resting
+	connecting state = iota
+	awaitingReply
+	idle
 	broken
 	closed
 )
 
-// flow is one connection: a message is out, or the flow rests until the next.
+// flow is one TCP connection with at most one unacknowledged message.
 type flow struct {
 	source, service netip.AddrPort
 	state           state
@@ -52,39 +52,39 @@
 	number          uint64
 	since, next     time.Time
 	retry           time.Duration
-	every           time.Duration
-	why             string
+	interval        time.Duration
+	reason          string
 }
 
-// Counts are what the callers saw.
+// Counts holds the results of all flows.
 type Counts struct {
 	Flows, Established, BrokenFlows, Messages, WrongBytes int
-	// Reasons counts broken flows by what broke them.
+	// Reasons counts broken flows by reason.
 	Reasons map[string]int
-	// LongestWait is the longest time a message waited for its answer.
-	LongestWait time.Duration
+	// MaxLatency is the longest time from a message to its reply.
+	MaxLatency time.Duration
 }
 
-// Caller holds many flows on one socket, where upstreams answer directly.
+// Caller keeps many flows open on one socket, to which upstreams reply directly.
 type Caller struct {
-	mu      sync.Mutex
-	fabric  *fabric.Fabric
-	conn    *net.UDPConn
-	flows   map[netip.AddrPort]*flow
-	order   []*flow
-	random  *rand.Rand
-	timeout time.Duration
-	counts  Counts
-	waits   []time.Duration
-	wg      sync.WaitGroup
-	done    chan struct{}
+	mu        sync.Mutex
+	fabric    *fabric.Fabric
+	conn      *net.UDPConn
+	flows     map[netip.AddrPort]*flow
+	order     []*flow
+	random    *rand.Rand
+	timeout   time.Duration
+	counts    Counts
+	latencies []time.Duration
+	wg        sync.WaitGroup
+	done      chan struct{}
 }
 
-// New returns callers that give a message up after timeout.
+// New returns a caller whose flows break if a message has no reply within timeout.
 func New(f *fabric.Fabric, seed uint64, timeout time.Duration) (*Caller, error) {
 	conn, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
-		return nil, fmt.Errorf("open caller: %w", err)
+		return nil, fmt.Errorf("open caller socket: %w", err)
 	}
 	_ = conn.SetReadBuffer(4 << 20)
 	c := &Caller{
@@ -94,48 +94,48 @@
 	}
 	c.wg.Add(2)
 	go c.read()
-	go c.turns()
+	go c.runTimers()
 	return c, nil
 }
 
-// Address is where upstreams send their answers.
+// Address returns the address for replies from upstreams.
 func (c *Caller) Address() netip.AddrPort { return c.conn.LocalAddr().(*net.UDPAddr).AddrPort() }
 
-// Close ends all flows without a word.
+// Close closes the socket without ending the flows: no FIN or RST is sent.
 func (c *Caller) Close() {
 	close(c.done)
 	_ = c.conn.Close()
 	c.wg.Wait()
 }
 
-// Open starts a flow to a service that sends a message every so often.
-func (c *Caller) Open(service netip.AddrPort, every time.Duration) {
+// Open starts a flow to a service that sends messages at the given mean interval.
+func (c *Caller) Open(service netip.AddrPort, interval time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	n := len(c.order)
 	source := netip.AddrPortFrom(netip.AddrFrom4([4]byte{100, 64, byte(n >> 8), byte(n)}), uint16(20000+n%40000))
 	now := time.Now()
-	f := &flow{source: source, service: service, seq: c.random.Uint32(), every: every, since: now, retry: firstRetry}
+	f := &flow{source: source, service: service, seq: c.random.Uint32(), interval: interval, since: now, retry: initialRetry}
 	c.flows[source] = f
 	c.order = append(c.order, f)
 	c.counts.Flows++
 	c.sendSYN(f, now)
 }
 
-// Counts returns what the callers saw so far.
+// Counts returns the results so far.
 func (c *Caller) Counts() Counts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.counts
 }
 
-// TakeWaits returns the times that answers took since the last call.
-func (c *Caller) TakeWaits() []time.Duration {
+// TakeLatencies returns and clears the reply latencies recorded since the last call.
+func (c *Caller) TakeLatencies() []time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	w := c.waits
-	c.waits = nil
-	return w
+	taken := c.latencies
+	c.latencies = nil
+	return taken
 }
 
 func (c *Caller) send(s segment.Segment) {
@@ -151,24 +151,24 @@
 
 func (f *flow) backOff(now time.Time) {
 	f.next = now.Add(f.retry)
-	f.retry = min(2*f.retry, mostRetry)
+	f.retry = min(2*f.retry, maxRetry)
 }
 
-func (c *Caller) turns() {
+func (c *Caller) runTimers() {
 	defer c.wg.Done()
-	t := time.NewTicker(turn)
+	t := time.NewTicker(timerInterval)
 	defer t.Stop()
 	for {
 		select {
 		case <-c.done:
 			return
 		case now := <-t.C:
-			c.turn(now)
+			c.handleTimers(now)
 		}
 	}
 }
 
-func (c *Caller) turn(now time.Time) {
+func (c *Caller) handleTimers(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, f := range c.order {
@@ -176,13 +176,13 @@
 			continue
 		}
 		switch f.state {
-		case dialling:
+		case connecting:
 			c.sendSYN(f, now)
-		case resting:
-			c.begin(f, now)
-		case waiting:
+		case idle:
+			c.startMessage(f, now)
+		case awaitingReply:
 			if now.Sub(f.since) > c.timeout {
-				c.breaks(f, "timeout")
+				c.markBroken(f, "timeout")
 				continue
 			}
 			c.sendMessage(f, now)
@@ -191,14 +191,14 @@
 	}
 }
 
-// begin sends a new message of random length and bytes.
-func (c *Caller) begin(f *flow, now time.Time) {
-	f.message = make([]byte, 16+c.random.IntN(messageSize-16))
+// startMessage sends a new message of random length and content.
+func (c *Caller) startMessage(f *flow, now time.Time) {
+	f.message = make([]byte, 16+c.random.IntN(maxMessageSize-16))
 	for i := 0; i+8 <= len(f.message); i += 8 {
 		binary.BigEndian.PutUint64(f.message[i:], c.random.Uint64())
 	}
 	f.number++
-	f.state, f.since, f.retry = waiting, now, firstRetry
+	f.state, f.since, f.retry = awaitingReply, now, initialRetry
 	c.sendMessage(f, now)
 }
 
@@ -207,10 +207,10 @@
 	f.backOff(now)
 }
 
-func (c *Caller) breaks(f *flow, why string) {
-	f.state, f.why = broken, why
+func (c *Caller) markBroken(f *flow, reason string) {
+	f.state, f.reason = broken, reason
 	c.counts.BrokenFlows++
-	c.counts.Reasons[why]++
+	c.counts.Reasons[reason]++
 }
 
 func (c *Caller) read() {
@@ -237,38 +237,38 @@
 	switch {
 	case s.RST:
 		c.receiveRST(f, s)
-	case s.SYN && s.ACK && f.state == dialling && s.Ack == f.seq+1:
+	case s.SYN && s.ACK && f.state == connecting && s.Ack == f.seq+1:
 		f.seq++
 		f.ack = s.Seq + 1
 		c.counts.Established++
-		c.begin(f, now)
-	case f.state == waiting && s.Ack == f.seq+uint32(len(f.message)) && s.Seq == f.ack && len(s.Payload) > 0:
-		c.receiveAnswer(f, s, now)
+		c.startMessage(f, now)
+	case f.state == awaitingReply && s.Ack == f.seq+uint32(len(f.message)) && s.Seq == f.ack && len(s.Payload) > 0:
+		c.receiveReply(f, s, now)
 	}
 }
 
-// receiveRST takes a reset that a real stack would take: in sequence.
+// receiveRST accepts only a reset in sequence, as a TCP stack does, or one with sequence number 0.
 func (c *Caller) receiveRST(f *flow, s segment.Segment) {
-	if f.state == dialling {
+	if f.state == connecting {
 		return
 	}
 	if s.Seq == f.ack || s.Seq == 0 {
-		c.breaks(f, "reset")
+		c.markBroken(f, "reset")
 	}
 }
 
-func (c *Caller) receiveAnswer(f *flow, s segment.Segment, now time.Time) {
-	if !bytes.Equal(s.Payload, Answer(f.message)) {
+func (c *Caller) receiveReply(f *flow, s segment.Segment, now time.Time) {
+	if !bytes.Equal(s.Payload, Reply(f.message)) {
 		c.counts.WrongBytes++
-		c.breaks(f, "wrong bytes")
+		c.markBroken(f, "wrong bytes")
 		return
 	}
-	wait := now.Sub(f.since)
-	c.counts.LongestWait = max(c.counts.LongestWait, wait)
-	c.waits = append(c.waits, wait)
+	latency := now.Sub(f.since)
+	c.counts.MaxLatency = max(c.counts.MaxLatency, latency)
+	c.latencies = append(c.latencies, latency)
 	c.counts.Messages++
 	f.seq += uint32(len(f.message))
 	f.ack += uint32(len(s.Payload))
-	f.state = resting
-	f.next = now.Add(f.every/2 + time.Duration(c.random.Int64N(int64(f.every))))
+	f.state = idle
+	f.next = now.Add(f.interval/2 + time.Duration(c.random.Int64N(int64(f.interval))))
 }
--- a/internal/standin/caller/doc.go
+++ b/internal/standin/caller/doc.go
@@ -1,3 +1,3 @@
-// Package caller stands in for callers that hold flows open and check every
-// byte of what returns.
+// Package caller simulates callers that keep flows open and verify every byte
+// of the replies.
 package caller
--- a/internal/standin/upstream/upstream.go
+++ b/internal/standin/upstream/upstream.go
@@ -205,7 +205,7 @@
 	switch s.Seq {
 	case c.ack:
 		c.ack += uint32(len(s.Payload))
-		c.last = caller.Answer(s.Payload)
+		c.last = caller.Reply(s.Payload)
 	case c.ack - uint32(len(s.Payload)):
 	default:
 		return
