--- a/internal/standin/fabric/doc.go
+++ b/internal/standin/fabric/doc.go
@@ -1,2 +1,3 @@
-// Package fabric stands in for the network that hands any packet to any balancer.
+// Package fabric simulates a network fabric that distributes packets over the
+// balancers regardless of their flow.
 package fabric
--- a/internal/standin/fabric/fabric.go
+++ b/internal/standin/fabric/fabric.go
@@ -11,7 +11,7 @@
 	"wasabideal/internal/wire/gue"
 )
 
-// Fabric sprays packets over the balancers that it knows.
+// Fabric sends each packet to a random balancer, in GUE.
 type Fabric struct {
 	mu        sync.Mutex
 	balancers []netip.AddrPort
@@ -23,29 +23,29 @@
 func New(seed uint64) (*Fabric, error) {
 	c, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
-		return nil, fmt.Errorf("open fabric: %w", err)
+		return nil, fmt.Errorf("open fabric socket: %w", err)
 	}
 	return &Fabric{conn: c, random: rand.New(rand.NewPCG(seed, seed))}, nil
 }
 
-// Close ends the fabric.
+// Close closes the socket of the fabric.
 func (f *Fabric) Close() { _ = f.conn.Close() }
 
-// Add starts to hand packets to a balancer.
+// Add adds a balancer to the targets.
 func (f *Fabric) Add(a netip.AddrPort) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.balancers = append(f.balancers, a)
 }
 
-// Remove stops handing packets to a balancer.
+// Remove removes a balancer from the targets.
 func (f *Fabric) Remove(a netip.AddrPort) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.balancers = slices.DeleteFunc(f.balancers, func(b netip.AddrPort) bool { return a == b })
 }
 
-// Send hands one packet to a random balancer.
+// Send sends one packet to a random balancer, or drops it if there is none.
 func (f *Fabric) Send(packet []byte) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
