--- a/internal/standin/segment/doc.go
+++ b/internal/standin/segment/doc.go
@@ -1,2 +1,2 @@
-// Package segment builds and reads real IPv4/TCP packets for the stand-ins.
+// Package segment encodes and decodes IPv4/TCP packets for simulated peers and tests.
 package segment
--- a/internal/standin/segment/segment.go
+++ b/internal/standin/segment/segment.go
@@ -13,7 +13,7 @@
 	window     = 65535
 )
 
-// Segment is one TCP segment with its addresses.
+// Segment is a TCP segment with its IPv4 source and destination.
 type Segment struct {
 	Source, Destination netip.AddrPort
 	Seq, Ack            uint32
@@ -21,7 +21,7 @@
 	Payload             []byte
 }
 
-// Packet returns the IPv4 packet with valid lengths and checksums.
+// Packet encodes the segment as an IPv4 packet with valid lengths and checksums.
 func (s Segment) Packet() ([]byte, error) {
 	ip := &layers.IPv4{
 		Version: 4, TTL: timeToLive, Protocol: layers.IPProtocolTCP,
@@ -42,12 +42,12 @@
 	return b.Bytes(), nil
 }
 
-// MalformedError says that a packet is no IPv4/TCP packet.
+// MalformedError reports a packet that is not IPv4 with TCP.
 type MalformedError struct{}
 
 func (MalformedError) Error() string { return "packet is not IPv4 with TCP" }
 
-// Parse reads a packet; the payload shares its memory.
+// Parse decodes an IPv4 packet. The payload aliases the memory of the packet.
 func Parse(packet []byte) (Segment, error) {
 	var ip layers.IPv4
 	var tcp layers.TCP
