--- a/internal/standin/server/doc.go
+++ b/internal/standin/server/doc.go
@@ -1,2 +1,2 @@
-// Package server serves calls on loopback for the length of a test.
+// Package server runs RPC servers on loopback for the duration of a test.
 package server
--- a/internal/standin/server/server.go
+++ b/internal/standin/server/server.go
@@ -8,10 +8,10 @@
 	"wasabideal/internal/wire/rpc"
 )
 
-// Server serves calls on a listener until its test ends.
+// Server serves RPCs on a listener until the test ends.
 type Server struct{ Listener net.Listener }
 
-// Listen opens a port on loopback.
+// Listen opens a free TCP port on loopback.
 func Listen(t *testing.T) Server {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -20,16 +20,16 @@
 	return Server{Listener: l}
 }
 
-// Address returns where the server listens.
+// Address returns the address of the listener.
 func (s Server) Address() string { return s.Listener.Addr().String() }
 
-// Serve answers calls until the test ends.
+// Serve starts serving RPCs; it stops when the test ends.
 func (s Server) Serve(t *testing.T, methods *rpc.Server) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		// It ends with the listener, which the end of the test closes.
+		// An error is expected: the cleanup stops Serve by closing the listener.
 		_ = methods.Serve(ctx, s.Listener)
 	}()
 	t.Cleanup(func() {
