--- a/internal/standin/steady/doc.go
+++ b/internal/standin/steady/doc.go
@@ -1,2 +1,2 @@
-// Package steady makes random tests give the same verdict on every run.
+// Package steady makes property-based tests deterministic with a fixed seed.
 package steady
