--- a/internal/standin/virtual/doc.go
+++ b/internal/standin/virtual/doc.go
@@ -1,2 +1,2 @@
-// Package virtual plays events in virtual time, for replays of load and failures.
+// Package virtual provides a virtual clock for discrete-event simulations of load and failures.
 package virtual
--- a/internal/standin/virtual/virtual.go
+++ b/internal/standin/virtual/virtual.go
@@ -6,8 +6,8 @@
 )
 
 type event struct {
-	at time.Time
-	do func()
+	at   time.Time
+	call func()
 }
 
 type queue []event
@@ -22,21 +22,21 @@
 	return last
 }
 
-// Time is the present and what is to happen; one goroutine owns it.
+// Time is a virtual clock with a queue of scheduled events. It is not safe for concurrent use.
 type Time struct {
 	Now    time.Time
 	events queue
 }
 
-// After lets something happen so much later.
-func (t *Time) After(d time.Duration, do func()) { heap.Push(&t.events, event{t.Now.Add(d), do}) }
+// After schedules a function call after a duration of virtual time.
+func (t *Time) After(d time.Duration, call func()) { heap.Push(&t.events, event{t.Now.Add(d), call}) }
 
-// Run lets all happen until a time, which is the present then.
+// Run executes all events up to and including the given time and advances the clock to it.
 func (t *Time) Run(until time.Time) {
 	for len(t.events) > 0 && !t.events[0].at.After(until) {
 		e := heap.Pop(&t.events).(event)
 		t.Now = e.at
-		e.do()
+		e.call()
 	}
 	t.Now = until
 }
--- a/internal/standin/virtual/virtual_test.go
+++ b/internal/standin/virtual/virtual_test.go
@@ -9,18 +9,18 @@
 	"wasabideal/internal/standin/virtual"
 )
 
-func TestEventsHappenInOrder(t *testing.T) {
+func TestEventsRunInOrder(t *testing.T) {
 	epoch := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	v := virtual.Time{Now: epoch}
-	var happened []int
-	v.After(3*time.Second, func() { happened = append(happened, 3) })
+	var ran []int
+	v.After(3*time.Second, func() { ran = append(ran, 3) })
 	v.After(time.Second, func() {
-		happened = append(happened, 1)
-		v.After(time.Second, func() { happened = append(happened, 2) })
+		ran = append(ran, 1)
+		v.After(time.Second, func() { ran = append(ran, 2) })
 	})
 	v.Run(epoch.Add(2 * time.Second))
-	require.Equal(t, []int{1, 2}, happened)
+	require.Equal(t, []int{1, 2}, ran)
 	require.Equal(t, epoch.Add(2*time.Second), v.Now)
 	v.Run(epoch.Add(time.Minute))
-	require.Equal(t, []int{1, 2, 3}, happened)
+	require.Equal(t, []int{1, 2, 3}, ran)
 }
