--- a/internal/demo/run/run.go
+++ b/internal/demo/run/run.go
@@ -224,7 +224,7 @@
 		return err
 	}
 	time.Sleep(4 * time.Second)
-	d.result.DrainSeconds = max(u.Counts().LastNew.Sub(begin).Seconds(), 0)
+	d.result.DrainSeconds = max(u.Counts().LastArrival.Sub(begin).Seconds(), 0)
 	d.say("upstream %s drained: last new work after %.3f s, %d flows stay", u.Settings().Name, d.result.DrainSeconds, u.Counts().Open)
 	return nil
 }
--- a/internal/demo/run/site.go
+++ b/internal/demo/run/site.go
@@ -181,7 +181,7 @@
 func (s *site) runs(key string) int {
 	n := 0
 	for _, u := range s.upstreams {
-		n += u.RunsOf(key)
+		n += u.RunCount(key)
 	}
 	return n
 }
@@ -215,8 +215,8 @@
 	v, _ := c.Service(service)
 	u, err := upstream.Start(s.ctx, upstream.Settings{
 		Name: fmt.Sprintf("%s-%d", service, len(s.upstreams)+1), Service: service, Zone: zone, Token: token(service),
-		Addresses: v.Addresses, Slots: 2, Work: 20 * time.Millisecond, Callers: s.callers.Address(),
-		Balancers: s.adminAddresses, AnnounceEvery: time.Second, Seed: uint64(len(s.upstreams)),
+		Addresses: v.Addresses, Slots: 2, MeanServiceTime: 20 * time.Millisecond, Callers: s.callers.Address(),
+		Balancers: s.adminAddresses, AnnounceInterval: time.Second, Seed: uint64(len(s.upstreams)),
 	})
 	if err != nil {
 		return err
--- a/internal/load/run/run.go
+++ b/internal/load/run/run.go
@@ -111,9 +111,9 @@
 	for i := range l.settings.Upstreams {
 		u, err := upstream.Start(ctx, upstream.Settings{
 			Name: fmt.Sprintf("%s-%d", l.settings.Service, i), Service: l.settings.Service, Zone: l.settings.Zone,
-			Token: l.settings.Token, Addresses: []netip.AddrPort{l.settings.Address}, Slots: slots, Work: work,
+			Token: l.settings.Token, Addresses: []netip.AddrPort{l.settings.Address}, Slots: slots, MeanServiceTime: work,
 			Callers: l.callers.Address(), Balancers: func() []string { return l.settings.Admins },
-			AnnounceEvery: announceEvery, Seed: uint64(i),
+			AnnounceInterval: announceEvery, Seed: uint64(i),
 		})
 		if err != nil {
 			return err
@@ -125,7 +125,7 @@
 }
 
 func (l *Load) runs(key string) int {
-	return lo.SumBy(l.upstreams, func(u *upstream.Upstream) int { return u.RunsOf(key) })
+	return lo.SumBy(l.upstreams, func(u *upstream.Upstream) int { return u.RunCount(key) })
 }
 
 func (l *Load) result(q requester.Counts) Result {
--- a/internal/standin/upstream/doc.go
+++ b/internal/standin/upstream/doc.go
@@ -1,3 +1,3 @@
-// Package upstream stands in for a back end: a kernel that takes GUE and
-// answers callers directly, and a door that runs requests.
+// Package upstream simulates an upstream: it decapsulates GUE packets, replies to
+// callers directly (direct server return), and serves HTTP requests.
 package upstream
--- a/internal/standin/upstream/upstream.go
+++ b/internal/standin/upstream/upstream.go
@@ -18,93 +18,94 @@
 
 const readSize = 4096
 
-// Settings of one stand-in.
+// Settings configures a simulated upstream.
 type Settings struct {
 	Name, Service, Zone, Token string
-	// Addresses are the service's own; a packet for another is misdelivered.
+	// Addresses are the addresses of the service; a packet to any other address is misdelivered.
 	Addresses []netip.AddrPort
 	Slots     uint16
-	// Work is the mean time that a request takes.
-	Work time.Duration
-	// Callers is where answers to flows go.
-	Callers       netip.AddrPort
-	Balancers     func() []string
-	AnnounceEvery time.Duration
-	Seed          uint64
+	// MeanServiceTime is the mean processing time of a request.
+	MeanServiceTime time.Duration
+	// Callers is the address for replies to flows.
+	Callers netip.AddrPort
+	// Balancers returns the admin addresses for announcements, in order of preference.
+	Balancers        func() []string
+	AnnounceInterval time.Duration
+	Seed             uint64
 }
 
-// Counts are what an upstream saw.
+// Counts holds what an upstream has received and sent.
 type Counts struct {
 	Accepted, Open, Misdelivered, Resets int
-	// LastNew is when the last new flow or request arrived.
-	LastNew time.Time
-	// Runs counts how often each request key was run.
+	// LastArrival is the time of the latest new flow or request.
+	LastArrival time.Time
+	// Runs counts the executions of each request key.
 	Runs map[string]int
 }
 
 type connection struct {
-	seq, ack uint32
-	last     []byte
+	seq, ack  uint32
+	lastReply []byte
 }
 
-// Upstream is a running stand-in.
+// Upstream is a running simulated upstream.
 type Upstream struct {
 	settings  Settings
 	mu        sync.Mutex
 	conn      *net.UDPConn
-	door      net.Listener
+	listener  net.Listener
 	server    *http.Server
 	announcer *announcer.Announcer
 	open      map[netip.AddrPort]*connection
 	counts    Counts
-	busy      int
+	usedSlots int
 	random    *rand.Rand
 	cancel    context.CancelFunc
 	wg        sync.WaitGroup
 	draining  bool
 }
 
-// Start opens the stand-in's sockets and announces it.
+// Start opens the sockets of the upstream and starts announcing it.
 func Start(ctx context.Context, s Settings) (*Upstream, error) {
 	conn, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
-		return nil, fmt.Errorf("open tunnel: %w", err)
+		return nil, fmt.Errorf("open GUE socket: %w", err)
 	}
-	door, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return nil, fmt.Errorf("open door: %w", err)
+		return nil, fmt.Errorf("open HTTP listener: %w", err)
 	}
 	_ = conn.SetReadBuffer(1 << 20)
 	ctx, cancel := context.WithCancel(ctx)
 	u := &Upstream{
-		settings: s, conn: conn, door: door, open: map[netip.AddrPort]*connection{}, cancel: cancel,
+		settings: s, conn: conn, listener: listener, open: map[netip.AddrPort]*connection{}, cancel: cancel,
 		random: rand.New(rand.NewPCG(s.Seed, 3)), counts: Counts{Runs: map[string]int{}},
 	}
 	u.announcer = announcer.New(announcer.Announcement{
 		Service: s.Service, Address: u.Address().String(), Incarnation: uint64(time.Now().UnixNano()),
-		Zone: s.Zone, Door: door.Addr().String(), Slots: s.Slots, State: "Ready",
+		Zone: s.Zone, Door: listener.Addr().String(), Slots: s.Slots, State: "Ready",
 	}, s.Token, s.Balancers)
-	u.server = &http.Server{Handler: http.HandlerFunc(u.run), ReadHeaderTimeout: time.Second}
+	u.server = &http.Server{Handler: http.HandlerFunc(u.serveHTTP), ReadHeaderTimeout: time.Second}
 	u.wg.Add(3)
-	go u.read()
+	go u.readPackets()
 	go func() {
 		defer u.wg.Done()
-		u.announcer.Run(ctx, s.AnnounceEvery)
+		u.announcer.Run(ctx, s.AnnounceInterval)
 	}()
 	go func() {
 		defer u.wg.Done()
-		_ = u.server.Serve(door)
+		_ = u.server.Serve(listener)
 	}()
 	return u, nil
 }
 
-// Address is the stand-in's tunnel.
+// Address returns the address that receives GUE packets.
 func (u *Upstream) Address() netip.AddrPort { return u.conn.LocalAddr().(*net.UDPAddr).AddrPort() }
 
-// Settings returns what the stand-in was started with.
+// Settings returns the settings of the upstream.
 func (u *Upstream) Settings() Settings { return u.settings }
 
-// Drain announces that no new work is wanted.
+// Drain announces the state Draining, so that balancers send no new flows or requests.
 func (u *Upstream) Drain(ctx context.Context) error {
 	u.mu.Lock()
 	u.draining = true
@@ -112,14 +113,14 @@
 	return u.announcer.SetState(ctx, "Draining")
 }
 
-// Draining says whether Drain was called.
+// Draining reports whether Drain has been called.
 func (u *Upstream) Draining() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.draining
 }
 
-// Kill ends the stand-in without a word.
+// Kill stops the upstream without announcing it, like a crash.
 func (u *Upstream) Kill() {
 	u.cancel()
 	_ = u.conn.Close()
@@ -127,7 +128,7 @@
 	u.wg.Wait()
 }
 
-// Counts returns a copy of what was seen so far.
+// Counts returns a copy of the current counts.
 func (u *Upstream) Counts() Counts {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -140,7 +141,7 @@
 	return c
 }
 
-func (u *Upstream) read() {
+func (u *Upstream) readPackets() {
 	defer u.wg.Done()
 	b := make([]byte, readSize)
 	for {
@@ -161,7 +162,7 @@
 func (u *Upstream) receive(s segment.Segment) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if !u.serves(s.Destination) {
+	if !u.ownsAddress(s.Destination) {
 		u.counts.Misdelivered++
 		return
 	}
@@ -171,15 +172,15 @@
 		u.accept(s, c)
 	case c == nil && !s.RST:
 		u.counts.Resets++
-		u.answer(s, segment.Segment{Seq: s.Ack, RST: true})
+		u.reply(s, segment.Segment{Seq: s.Ack, RST: true})
 	case s.FIN || s.RST:
 		delete(u.open, s.Source)
 	case len(s.Payload) > 0:
-		u.echo(s, c)
+		u.receiveMessage(s, c)
 	}
 }
 
-func (u *Upstream) serves(a netip.AddrPort) bool {
+func (u *Upstream) ownsAddress(a netip.AddrPort) bool {
 	for _, own := range u.settings.Addresses {
 		if own == a {
 			return true
@@ -193,28 +194,28 @@
 		c = &connection{seq: u.random.Uint32(), ack: s.Seq + 1}
 		u.open[s.Source] = c
 		u.counts.Accepted++
-		u.counts.LastNew = time.Now()
+		u.counts.LastArrival = time.Now()
 	}
 	if c.ack == s.Seq+1 {
-		u.answer(s, segment.Segment{Seq: c.seq, Ack: c.ack, SYN: true, ACK: true})
+		u.reply(s, segment.Segment{Seq: c.seq, Ack: c.ack, SYN: true, ACK: true})
 	}
 }
 
-// echo answers a message in sequence, and repeats the last answer for a repeated one.
-func (u *Upstream) echo(s segment.Segment, c *connection) {
+// receiveMessage replies to a message in sequence, and resends the last reply to a retransmission.
+func (u *Upstream) receiveMessage(s segment.Segment, c *connection) {
 	switch s.Seq {
 	case c.ack:
 		c.ack += uint32(len(s.Payload))
-		c.last = caller.Reply(s.Payload)
+		c.lastReply = caller.Reply(s.Payload)
 	case c.ack - uint32(len(s.Payload)):
 	default:
 		return
 	}
-	u.answer(s, segment.Segment{Seq: s.Ack, Ack: c.ack, ACK: true, Payload: c.last})
+	u.reply(s, segment.Segment{Seq: s.Ack, Ack: c.ack, ACK: true, Payload: c.lastReply})
 }
 
-// answer sends a segment straight to the callers, past the balancers.
-func (u *Upstream) answer(to segment.Segment, s segment.Segment) {
+// reply sends a segment directly to the callers, bypassing the balancers.
+func (u *Upstream) reply(to segment.Segment, s segment.Segment) {
 	s.Source, s.Destination = to.Destination, to.Source
 	if p, err := s.Packet(); err == nil {
 		_, _ = u.conn.WriteToUDPAddrPort(p, u.settings.Callers)
