--- a/internal/demo/run/run.go
+++ b/internal/demo/run/run.go
@@ -186,7 +186,7 @@
 // placeRequests lets callers place nominations that may run once, at any door.
 func (d *Demo) placeRequests(ctx context.Context) {
 	d.requests = requester.New(requester.Settings{
-		Service: "orders", Doors: func() []string { return d.site.doors("orders") }, Runs: d.site.runs,
+		Service: "orders", HTTPAddresses: func() []string { return d.site.doors("orders") }, Runs: d.site.runs,
 		Timeout: requestTimeout, Seed: 1,
 	})
 	ctx, d.placing = context.WithCancel(ctx)
@@ -282,7 +282,7 @@
 	r.Requests, r.DoubleRun, r.FalseNotRun, r.Unanswered = q.Requests, q.DoubleRun, q.FalseNotRun, q.Unanswered
 	r.LeftUnknown = q.LeftUnknown
 	r.NotRun, r.Unknown, r.RequestP99Seconds = q.NotRun, q.Unknown, q.P99.Seconds()
-	r.WrongBytes += q.Wrong
+	r.WrongBytes += q.WrongBody
 	r.Imbalance = max(d.site.imbalance("orders"), d.site.imbalance("notes"))
 	r.ControlBytesPerSecond = d.controlBytes()
 	r.Broken = r.judge()
--- a/internal/load/run/run.go
+++ b/internal/load/run/run.go
@@ -87,7 +87,7 @@
 	ctx, cancel := context.WithTimeout(ctx, l.settings.Duration)
 	defer cancel()
 	q := requester.New(requester.Settings{
-		Service: l.settings.Service, Doors: func() []string { return l.settings.Doors }, Runs: l.runs,
+		Service: l.settings.Service, HTTPAddresses: func() []string { return l.settings.Doors }, Runs: l.runs,
 		Timeout: requestTimeout, Seed: uint64(time.Now().UnixNano()),
 	})
 	if l.settings.Rate > 0 && len(l.settings.Doors) > 0 {
@@ -131,7 +131,7 @@
 func (l *Load) result(q requester.Counts) Result {
 	c := l.callers.Counts()
 	r := Result{
-		Flows: c.Established, Messages: c.Messages, BrokenFlows: c.BrokenFlows, WrongBytes: c.WrongBytes + q.Wrong,
+		Flows: c.Established, Messages: c.Messages, BrokenFlows: c.BrokenFlows, WrongBytes: c.WrongBytes + q.WrongBody,
 		Requests: q.Requests, Answered: q.Answered, NotRun: q.NotRun, Unknown: q.Unknown, Unanswered: q.Unanswered, LeftUnknown: q.LeftUnknown,
 		DoubleRun: q.DoubleRun, FalseNotRun: q.FalseNotRun,
 		RequestMillis: Quantiles{millis(q.P50), millis(q.P99), millis(q.P999)},
--- a/internal/standin/requester/doc.go
+++ b/internal/standin/requester/doc.go
@@ -1,3 +1,3 @@
-// Package requester stands in for callers that place unrepeatable requests,
-// send them again when no answer comes, and check what they are told.
+// Package requester simulates HTTP clients that send non-idempotent requests,
+// retry them with the same idempotency key, and verify the reported outcomes.
 package requester
--- a/internal/standin/requester/requester.go
+++ b/internal/standin/requester/requester.go
@@ -14,41 +14,42 @@
 )
 
 const (
-	outcomeHeader = "Wasabideal-Outcome"
-	answered      = "Answered"
-	notRun        = "NotRun"
-	unknown       = "Unknown"
-	triesLimit    = 12
-	pauseMost     = 200 * time.Millisecond
-	answerLimit   = 1 << 16
-	histogramMost = int64(60 * time.Second / time.Microsecond)
-	// twiceShare is the part of requests that are sent twice at the same time.
-	twiceShare = 0.1
+	outcomeHeader    = "Wasabideal-Outcome"
+	answered         = "Answered"
+	notRun           = "NotRun"
+	unknown          = "Unknown"
+	maxAttempts      = 12
+	maxPause         = 200 * time.Millisecond
+	maxResponseBytes = 1 << 16
+	maxLatencyMicros = int64(60 * time.Second / time.Microsecond)
+	// duplicateShare is the share of requests that are sent twice concurrently.
+	duplicateShare = 0.1
 )
 
-// Settings of the stand-ins.
+// Settings configures the clients.
 type Settings struct {
 	Service string
-	// Doors returns the addresses to choose from.
-	Doors func() []string
-	// Runs returns how often a key was run, as counted by the upstreams.
+	// HTTPAddresses returns the HTTP addresses of the balancers; each attempt goes to a random one.
+	HTTPAddresses func() []string
+	// Runs returns how often the upstreams have run a request key.
 	Runs    func(key string) int
 	Timeout time.Duration
 	Seed    uint64
 }
 
-// Counts are what the callers were told and found.
+// Counts holds the reported outcomes and the violations that were found.
 type Counts struct {
 	Requests, Answered, NotRun, Unknown, Lost int
-	// Unanswered counts requests given up; LeftUnknown those of which the last
-	// word was an honest unknown, as for one that a dying balancer had sent.
+	// Unanswered counts requests without an answer after the last attempt, except
+	// LeftUnknown: those whose last outcome is Unknown, which is correct if, for
+	// example, the balancer crashes after it forwards the request.
 	Unanswered, LeftUnknown int
-	// Wrong counts answers that were not one's own.
-	Wrong, FalseNotRun, DoubleRun int
-	P50, P99, P999                time.Duration
+	// WrongBody counts answers with an unexpected body, such as that of another request.
+	WrongBody, FalseNotRun, DoubleRun int
+	P50, P99, P999                    time.Duration
 }
 
-// Requester places requests.
+// Requester sends requests and records their outcomes.
 type Requester struct {
 	settings  Settings
 	client    *http.Client
@@ -60,16 +61,16 @@
 	wg        sync.WaitGroup
 }
 
-// New returns stand-ins that placed nothing yet.
+// New returns a requester; Run starts sending.
 func New(s Settings) *Requester {
 	return &Requester{
-		settings: s, random: rand.New(rand.NewPCG(s.Seed, 4)), histogram: hdrhistogram.New(1, histogramMost, 3),
+		settings: s, random: rand.New(rand.NewPCG(s.Seed, 4)), histogram: hdrhistogram.New(1, maxLatencyMicros, 3),
 		client: &http.Client{Timeout: s.Timeout, Transport: &http.Transport{MaxIdleConnsPerHost: 64}},
 	}
 }
 
-// Run places requests at a rate a second until the context ends, and waits for
-// those under way.
+// Run sends requests at a rate per second until the context is done, then waits
+// for those in progress.
 func (r *Requester) Run(ctx context.Context, rate float64) {
 	t := time.NewTicker(time.Duration(float64(time.Second) / rate))
 	defer t.Stop()
@@ -80,50 +81,50 @@
 			return
 		case <-t.C:
 			key := fmt.Sprintf("%s-%d-%d", r.settings.Service, r.settings.Seed, n)
-			r.place(key)
+			r.start(key)
 		}
 	}
 }
 
-func (r *Requester) place(key string) {
+func (r *Requester) start(key string) {
 	r.mu.Lock()
 	r.counts.Requests++
 	r.keys = append(r.keys, key)
-	twice := r.random.Float64() < twiceShare
+	duplicate := r.random.Float64() < duplicateShare
 	r.mu.Unlock()
 	r.wg.Add(1)
 	go func() {
 		defer r.wg.Done()
-		r.insist(key)
+		r.sendUntilAnswered(key)
 	}()
-	if twice {
+	if duplicate {
 		r.wg.Add(1)
 		go func() {
 			defer r.wg.Done()
-			_ = r.once(key)
+			_ = r.send(key)
 		}()
 	}
 }
 
-// insist sends a request with one key until it is answered.
-func (r *Requester) insist(key string) {
+// sendUntilAnswered retries a request with the same key until it is answered.
+func (r *Requester) sendUntilAnswered(key string) {
 	begin := time.Now()
-	last := ""
-	for range triesLimit {
-		last = r.once(key)
-		if last == answered {
+	outcome := ""
+	for range maxAttempts {
+		outcome = r.send(key)
+		if outcome == answered {
 			r.mu.Lock()
 			_ = r.histogram.RecordValue(time.Since(begin).Microseconds())
 			r.mu.Unlock()
 			return
 		}
 		r.mu.Lock()
-		pause := time.Duration(r.random.Int64N(int64(pauseMost)))
+		pause := time.Duration(r.random.Int64N(int64(maxPause)))
 		r.mu.Unlock()
 		time.Sleep(pause)
 	}
-	r.add(func(c *Counts) {
-		if last == unknown {
+	r.update(func(c *Counts) {
+		if outcome == unknown {
 			c.LeftUnknown++
 			return
 		}
@@ -131,69 +132,69 @@
 	})
 }
 
-func (r *Requester) add(f func(*Counts)) {
+func (r *Requester) update(f func(*Counts)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	f(&r.counts)
 }
 
-func (r *Requester) door() string {
-	doors := r.settings.Doors()
+func (r *Requester) randomAddress() string {
+	addresses := r.settings.HTTPAddresses()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if len(doors) == 0 {
+	if len(addresses) == 0 {
 		return ""
 	}
-	return doors[r.random.IntN(len(doors))]
+	return addresses[r.random.IntN(len(addresses))]
 }
 
-// once sends a request one time, checks what is told of it, and returns the outcome.
-func (r *Requester) once(key string) string {
-	request, err := http.NewRequest(http.MethodPost, "http://"+r.door()+"/nominate", strings.NewReader("barge for "+key))
+// send sends a request once, verifies the response and returns the reported outcome.
+func (r *Requester) send(key string) string {
+	request, err := http.NewRequest(http.MethodPost, "http://"+r.randomAddress()+"/nominate", strings.NewReader("barge for "+key))
 	if err != nil {
 		return ""
 	}
 	request.Header.Set("Idempotency-Key", key)
 	response, err := r.client.Do(request)
 	if err != nil {
-		r.add(func(c *Counts) { c.Lost++ })
+		r.update(func(c *Counts) { c.Lost++ })
 		return ""
 	}
 	defer func() { _ = response.Body.Close() }()
-	body, err := io.ReadAll(io.LimitReader(response.Body, answerLimit))
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
-		r.add(func(c *Counts) { c.Lost++ })
+		r.update(func(c *Counts) { c.Lost++ })
 		return ""
 	}
-	return r.judge(key, response, string(body))
+	return r.checkResponse(key, response, string(body))
 }
 
-func (r *Requester) judge(key string, response *http.Response, body string) string {
+func (r *Requester) checkResponse(key string, response *http.Response, body string) string {
 	outcome := response.Header.Get(outcomeHeader)
 	switch outcome {
 	case answered:
 		want := fmt.Sprintf("%s %s barge for %s\n", r.settings.Service, key, key)
-		r.add(func(c *Counts) {
+		r.update(func(c *Counts) {
 			c.Answered++
 			if body != want {
-				c.Wrong++
+				c.WrongBody++
 			}
 		})
 	case notRun:
 		ran := r.settings.Runs(key) > 0
-		r.add(func(c *Counts) {
+		r.update(func(c *Counts) {
 			c.NotRun++
 			if ran {
 				c.FalseNotRun++
 			}
 		})
 	default:
-		r.add(func(c *Counts) { c.Unknown++ })
+		r.update(func(c *Counts) { c.Unknown++ })
 	}
 	return outcome
 }
 
-// Counts returns what was found so far.
+// Counts returns the counts so far.
 func (r *Requester) Counts() Counts {
 	r.mu.Lock()
 	defer r.mu.Unlock()
