--- a/cmd/load.go
+++ b/cmd/load.go
@@ -34,8 +34,8 @@
 // Run generates the load and prints the result.
 func (c *loadCommand) Run(ctx context.Context) error {
 	r, err := run.New(run.Settings{
-		Service: c.Service, Address: c.Address, Token: c.JoinToken, Zone: c.Zone, Admins: c.Admin, Fabrics: c.Fabric,
-		Doors: c.Door, Upstreams: c.Upstreams, Flows: c.Flows, Every: c.Every, Rate: c.Rate, Duration: c.Duration,
+		Service: c.Service, Address: c.Address, Token: c.JoinToken, Zone: c.Zone, AdminAddresses: c.Admin, FabricAddresses: c.Fabric,
+		HTTPAddresses: c.Door, Upstreams: c.Upstreams, Flows: c.Flows, Every: c.Every, Rate: c.Rate, Duration: c.Duration,
 	}).Run(ctx)
 	if err != nil {
 		return err
--- a/internal/load/run/doc.go
+++ b/internal/load/run/doc.go
@@ -1,3 +1,3 @@
-// Package run loads running balancers with flows and requests from stand-ins,
-// and counts what the callers and upstreams saw.
+// Package run generates load on running balancers from simulated callers and
+// upstreams, and counts the results that they observe.
 package run
--- a/internal/load/run/run.go
+++ b/internal/load/run/run.go
@@ -18,41 +18,42 @@
 	"wasabideal/internal/standin/upstream"
 )
 
-// Settings of one load.
+// Settings configures a load run.
 type Settings struct {
 	Service string
-	// Address is the service's own, as the configuration has it.
+	// Address is the configured address of the service.
 	Address netip.AddrPort
 	Token   string
 	Zone    string
-	// Admins, Fabrics and Doors are those of the balancers.
-	Admins    []string
-	Fabrics   []netip.AddrPort
-	Doors     []string
-	Upstreams int
-	Flows     int
-	// Every is the mean pause of a flow between two messages.
+	// AdminAddresses, FabricAddresses and HTTPAddresses are addresses of balancers.
+	AdminAddresses  []string
+	FabricAddresses []netip.AddrPort
+	HTTPAddresses   []string
+	Upstreams       int
+	Flows           int
+	// Every is the mean interval between two messages of a flow.
 	Every time.Duration
-	// Rate is the requests a second; 0 sends none.
+	// Rate is the number of requests per second; 0 disables requests.
 	Rate     float64
 	Duration time.Duration
 }
 
 const (
-	callerTimeout  = 10 * time.Second
-	requestTimeout = 10 * time.Second
-	announceEvery  = time.Second
-	announceTime   = 2 * time.Second
-	openPause      = 500 * time.Microsecond
-	slots          = 2
-	work           = 20 * time.Millisecond
-	histogramMost  = int64(time.Minute / time.Microsecond)
+	messageTimeout   = 10 * time.Second
+	requestTimeout   = 10 * time.Second
+	announceInterval = time.Second
+	// announceWait is the time for announcements to reach all balancers.
+	announceWait     = 2 * time.Second
+	openInterval     = 500 * time.Microsecond
+	slots            = 2
+	meanServiceTime  = 20 * time.Millisecond
+	maxLatencyMicros = int64(time.Minute / time.Microsecond)
 )
 
-// Quantiles are waits in milliseconds.
+// Quantiles holds latency quantiles in milliseconds.
 type Quantiles struct{ P50, P99, P999 float64 }
 
-// Result is what a load found.
+// Result holds the counts and latencies of a load run.
 type Result struct {
 	Flows, Messages, BrokenFlows, WrongBytes, Misdelivered int
 	MessageMillis                                          Quantiles
@@ -63,7 +64,7 @@
 	Imbalance                                              float64
 }
 
-// Load is one run.
+// Load is a load run.
 type Load struct {
 	settings  Settings
 	fabric    *fabric.Fabric
@@ -71,10 +72,10 @@
 	upstreams []*upstream.Upstream
 }
 
-// New returns a load that has not begun.
+// New returns a load run; Run starts it.
 func New(s Settings) *Load { return &Load{settings: s} }
 
-// Run plays the load and returns what was found.
+// Run generates the load for the configured duration and returns the result.
 func (l *Load) Run(ctx context.Context) (Result, error) {
 	defer l.close()
 	if err := l.start(ctx); err != nil {
@@ -82,19 +83,19 @@
 	}
 	for range l.settings.Flows {
 		l.callers.Open(l.settings.Address, l.settings.Every)
-		time.Sleep(openPause)
+		time.Sleep(openInterval)
 	}
 	ctx, cancel := context.WithTimeout(ctx, l.settings.Duration)
 	defer cancel()
-	q := requester.New(requester.Settings{
-		Service: l.settings.Service, HTTPAddresses: func() []string { return l.settings.Doors }, Runs: l.runs,
+	requests := requester.New(requester.Settings{
+		Service: l.settings.Service, HTTPAddresses: func() []string { return l.settings.HTTPAddresses }, Runs: l.runCount,
 		Timeout: requestTimeout, Seed: uint64(time.Now().UnixNano()),
 	})
-	if l.settings.Rate > 0 && len(l.settings.Doors) > 0 {
-		q.Run(ctx, l.settings.Rate)
+	if l.settings.Rate > 0 && len(l.settings.HTTPAddresses) > 0 {
+		requests.Run(ctx, l.settings.Rate)
 	}
 	<-ctx.Done()
-	return l.result(q.Counts()), nil
+	return l.result(requests.Counts()), nil
 }
 
 func (l *Load) start(ctx context.Context) error {
@@ -102,29 +103,29 @@
 	if l.fabric, err = fabric.New(1); err != nil {
 		return err
 	}
-	for _, a := range l.settings.Fabrics {
+	for _, a := range l.settings.FabricAddresses {
 		l.fabric.Add(a)
 	}
-	if l.callers, err = caller.New(l.fabric, uint64(time.Now().UnixNano()), callerTimeout); err != nil {
+	if l.callers, err = caller.New(l.fabric, uint64(time.Now().UnixNano()), messageTimeout); err != nil {
 		return err
 	}
 	for i := range l.settings.Upstreams {
 		u, err := upstream.Start(ctx, upstream.Settings{
 			Name: fmt.Sprintf("%s-%d", l.settings.Service, i), Service: l.settings.Service, Zone: l.settings.Zone,
-			Token: l.settings.Token, Addresses: []netip.AddrPort{l.settings.Address}, Slots: slots, MeanServiceTime: work,
-			Callers: l.callers.Address(), Balancers: func() []string { return l.settings.Admins },
-			AnnounceInterval: announceEvery, Seed: uint64(i),
+			Token: l.settings.Token, Addresses: []netip.AddrPort{l.settings.Address}, Slots: slots, MeanServiceTime: meanServiceTime,
+			Callers: l.callers.Address(), Balancers: func() []string { return l.settings.AdminAddresses },
+			AnnounceInterval: announceInterval, Seed: uint64(i),
 		})
 		if err != nil {
 			return err
 		}
 		l.upstreams = append(l.upstreams, u)
 	}
-	time.Sleep(announceTime)
+	time.Sleep(announceWait)
 	return nil
 }
 
-func (l *Load) runs(key string) int {
+func (l *Load) runCount(key string) int {
 	return lo.SumBy(l.upstreams, func(u *upstream.Upstream) int { return u.RunCount(key) })
 }
 
@@ -147,10 +148,10 @@
 
 func millis(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 
-func quantiles(waits []time.Duration) Quantiles {
-	h := hdrhistogram.New(1, histogramMost, 3)
-	for _, w := range waits {
-		_ = h.RecordValue(w.Microseconds())
+func quantiles(latencies []time.Duration) Quantiles {
+	h := hdrhistogram.New(1, maxLatencyMicros, 3)
+	for _, l := range latencies {
+		_ = h.RecordValue(l.Microseconds())
 	}
 	at := func(q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
 	return Quantiles{at(50), at(99), at(99.9)}
@@ -168,7 +169,7 @@
 	}
 }
 
-// Print writes a result as a table for a person.
+// Print writes the result as a human-readable table.
 func (r Result) Print(out io.Writer) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	rows := []struct {
@@ -187,9 +188,9 @@
 		{"not run", r.NotRun},
 		{"unknown", r.Unknown},
 		{"unanswered", r.Unanswered},
-		{"left unknown", r.LeftUnknown},
-		{"run twice", r.DoubleRun},
-		{"falsely not run", r.FalseNotRun},
+		{"outcome left unknown", r.LeftUnknown},
+		{"run more than once", r.DoubleRun},
+		{"falsely reported as not run", r.FalseNotRun},
 		{"request p50/p99/p99.9 ms", fmt.Sprintf("%.2f / %.2f / %.2f", r.RequestMillis.P50, r.RequestMillis.P99, r.RequestMillis.P999)},
 	}
 	for _, x := range rows {
