--- a/internal/demo/run/site.go
+++ b/internal/demo/run/cluster.go
@@ -31,17 +31,17 @@
 	groupToken    = "demo-group-token-0001"
 	operatorToken = "demo-operator-token-1"
 	anyPort       = "127.0.0.1:0"
-	voters        = 3
+	voterCount    = 3
 )
 
 var zones = []string{"Port Tawfik", "Adabiya", "Ismailia"}
 
-// site is a small deployment in one process.
-type site struct {
+// cluster is a small deployment in one process.
+type cluster struct {
 	ctx       context.Context
 	log       hclog.Logger
 	folder    string
-	controls  []*control.Control
+	voters    []*control.Control
 	sources   []string
 	mu        sync.Mutex
 	balancers map[string]*balancer.Balancer
@@ -50,25 +50,25 @@
 	callers   *caller.Caller
 	upstreams []*upstream.Upstream
 	operator  *client.Client
-	dead      sync.WaitGroup
+	killed    sync.WaitGroup
 }
 
-func newSite(ctx context.Context, log hclog.Logger) (*site, error) {
-	s := &site{ctx: ctx, log: log, balancers: map[string]*balancer.Balancer{}}
+func newCluster(ctx context.Context, log hclog.Logger) (*cluster, error) {
+	s := &cluster{ctx: ctx, log: log, balancers: map[string]*balancer.Balancer{}}
 	var err error
 	if s.folder, err = os.MkdirTemp("", "wasabideal-demo-"); err != nil {
-		return nil, fmt.Errorf("make data folder: %w", err)
+		return nil, fmt.Errorf("create data folder: %w", err)
 	}
 	if s.fabric, err = fabric.New(1); err != nil {
 		return nil, err
 	}
-	if s.callers, err = caller.New(s.fabric, 1, callerTimeout); err != nil {
+	if s.callers, err = caller.New(s.fabric, 1, messageTimeout); err != nil {
 		return nil, err
 	}
-	return s, s.startControls()
+	return s, s.startVoters()
 }
 
-func (s *site) settings(name, zone string) settings.Settings {
+func (s *cluster) settings(name, zone string) settings.Settings {
 	x := settings.Settings{
 		Role: settings.RoleBalancer, Name: name, Zone: zone, GroupToken: groupToken, OperatorToken: operatorToken,
 		Listen: settings.Listen{Fabric: anyPort, Peer: anyPort, Rpc: anyPort, Admin: anyPort},
@@ -80,11 +80,11 @@
 	return defaults.Pass{}.Apply(x)
 }
 
-// startControls opens all ports first: every voter's settings name all of them.
-func (s *site) startControls() error {
+// startVoters opens all listeners first, because the settings of each voter contain all addresses.
+func (s *cluster) startVoters() error {
 	var listeners []net.Listener
 	var founders []settings.Founder
-	for i := range voters {
+	for i := range voterCount {
 		l, err := net.Listen("tcp", anyPort)
 		if err != nil {
 			return fmt.Errorf("listen for voter: %w", err)
@@ -103,13 +103,13 @@
 			return err
 		}
 		c.Start(s.ctx)
-		s.controls = append(s.controls, c)
+		s.voters = append(s.voters, c)
 	}
 	s.operator = client.New(s.sources, operatorToken)
 	return nil
 }
 
-func (s *site) addBalancer(zone string) (string, error) {
+func (s *cluster) addBalancer(zone string) (string, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	name := fmt.Sprintf("balancer-%d", len(s.order)+1)
@@ -129,7 +129,7 @@
 	return name, nil
 }
 
-func (s *site) seeds() []netip.AddrPort {
+func (s *cluster) seeds() []netip.AddrPort {
 	var seeds []netip.AddrPort
 	for _, name := range s.order {
 		if b := s.balancers[name]; b != nil {
@@ -139,9 +139,9 @@
 	return seeds
 }
 
-// take removes a balancer from the site, and leaves its end to the caller; the
-// fabric learns of it when told.
-func (s *site) take(name string) *balancer.Balancer {
+// detach removes a balancer from the cluster without stopping it and without
+// removing it from the fabric; both are left to the caller.
+func (s *cluster) detach(name string) *balancer.Balancer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	b := s.balancers[name]
@@ -149,7 +149,7 @@
 	return b
 }
 
-func (s *site) live() []*balancer.Balancer {
+func (s *cluster) live() []*balancer.Balancer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var bs []*balancer.Balancer
@@ -161,24 +161,24 @@
 	return bs
 }
 
-func (s *site) adminAddresses() []string {
-	var as []string
+func (s *cluster) adminAddresses() []string {
+	var addresses []string
 	for _, b := range s.live() {
-		as = append(as, b.Addresses().Admin)
+		addresses = append(addresses, b.Addresses().Admin)
 	}
-	return as
+	return addresses
 }
 
-func (s *site) doors(service string) []string {
-	var as []string
+func (s *cluster) httpAddresses(service string) []string {
+	var addresses []string
 	for _, b := range s.live() {
-		as = append(as, b.Addresses().Doors[service])
+		addresses = append(addresses, b.Addresses().Doors[service])
 	}
-	return as
+	return addresses
 }
 
-// runs counts how often the upstreams ran a request key.
-func (s *site) runs(key string) int {
+// runCount returns how often the upstreams have run a request key.
+func (s *cluster) runCount(key string) int {
 	n := 0
 	for _, u := range s.upstreams {
 		n += u.RunCount(key)
@@ -186,10 +186,10 @@
 	return n
 }
 
-func token(service string) string { return "join-" + service }
+func joinToken(service string) string { return "join-" + service }
 
-func digest(t string) string {
-	sum := sha256.Sum256([]byte(t))
+func sha256Hex(s string) string {
+	sum := sha256.Sum256([]byte(s))
 	return hex.EncodeToString(sum[:])
 }
 
@@ -197,7 +197,7 @@
 	service := func(name, address string, priority int) configuration.Service {
 		return configuration.Service{
 			Name: name, Protocol: configuration.TCP, Addresses: []netip.AddrPort{netip.MustParseAddrPort(address)},
-			TokenSha256: digest(token(name)), Priority: priority,
+			TokenSha256: sha256Hex(joinToken(name)), Priority: priority,
 		}
 	}
 	preset := func(name string, spill, queue int) configuration.Preset {
@@ -210,11 +210,11 @@
 	}
 }
 
-func (s *site) addUpstream(service, zone string) error {
+func (s *cluster) addUpstream(service, zone string) error {
 	c := demoConfiguration()
 	v, _ := c.Service(service)
 	u, err := upstream.Start(s.ctx, upstream.Settings{
-		Name: fmt.Sprintf("%s-%d", service, len(s.upstreams)+1), Service: service, Zone: zone, Token: token(service),
+		Name: fmt.Sprintf("%s-%d", service, len(s.upstreams)+1), Service: service, Zone: zone, Token: joinToken(service),
 		Addresses: v.Addresses, Slots: 2, MeanServiceTime: 20 * time.Millisecond, Callers: s.callers.Address(),
 		Balancers: s.adminAddresses, AnnounceInterval: time.Second, Seed: uint64(len(s.upstreams)),
 	})
@@ -225,24 +225,25 @@
 	return nil
 }
 
-func (s *site) close() {
+func (s *cluster) close() {
 	s.callers.Close()
 	for _, u := range s.upstreams {
 		u.Kill()
 	}
-	s.dead.Wait()
+	s.killed.Wait()
 	for _, b := range s.live() {
 		b.Kill()
 	}
-	for _, c := range s.controls {
+	for _, c := range s.voters {
 		c.Stop()
 	}
 	s.fabric.Close()
 	_ = os.RemoveAll(s.folder)
 }
 
-// imbalance is the busiest upstream's flows over the mean, for a service.
-func (s *site) imbalance(service string) float64 {
+// imbalance returns the open flows of the most loaded upstream of a service,
+// divided by the mean; draining upstreams are excluded.
+func (s *cluster) imbalance(service string) float64 {
 	var open []int
 	for _, u := range s.upstreams {
 		if u.Settings().Service == service && !u.Draining() {
--- a/internal/demo/run/doc.go
+++ b/internal/demo/run/doc.go
@@ -1,3 +1,3 @@
-// Package run is the demonstration: the whole path on loopback in one process,
-// with everything that is planned and some of what is not.
+// Package run implements the demonstration: it runs all components on loopback in
+// one process, through planned operations and a balancer crash.
 package run
--- a/internal/demo/run/run.go
+++ b/internal/demo/run/run.go
@@ -16,21 +16,21 @@
 )
 
 const (
-	callerTimeout  = 6 * time.Second
-	requestTimeout = 5 * time.Second
-	requestRate    = 40
-	feedEvery      = 400 * time.Millisecond
-	poll           = 20 * time.Millisecond
-	readyTimeout   = 8 * time.Second
-	spreadLimit    = 5 * time.Second
-	drainLimit     = 3.0
-	// leftUnknownMost is the requests that the balancer which dies may have sent
-	// a moment before: nobody can know their fate.
-	leftUnknownMost = 8
-	imbalanceMost   = 1.5
+	messageTimeout    = 6 * time.Second
+	requestTimeout    = 5 * time.Second
+	requestRate       = 40
+	messageInterval   = 400 * time.Millisecond
+	pollInterval      = 20 * time.Millisecond
+	readyTimeout      = 8 * time.Second
+	propagationLimit  = 5 * time.Second
+	drainLimitSeconds = 3.0
+	// maxLeftUnknown bounds the requests that the killed balancer may have forwarded
+	// just before the kill: their outcome cannot be determined.
+	maxLeftUnknown = 8
+	maxImbalance   = 1.5
 )
 
-// Result is the last line of a demonstration, counted by callers and upstreams.
+// Result is the last line of output, as counted by callers and upstreams.
 type Result struct {
 	Flows, BrokenFlows, Misdelivered, WrongBytes int
 	Imbalance                                    float64
@@ -43,57 +43,57 @@
 	Broken                                       []string `json:",omitempty"`
 }
 
-// PromiseError names the promises that a run broke.
+// PromiseError lists the guarantees that a run violated.
 type PromiseError struct{ Broken []string }
 
-func (e *PromiseError) Error() string { return fmt.Sprintf("promises broken: %v", e.Broken) }
+func (e *PromiseError) Error() string { return fmt.Sprintf("guarantees violated: %v", e.Broken) }
 
-// Demo is one run.
+// Demo is one run of the demonstration.
 type Demo struct {
-	out    io.Writer
-	site   *site
-	result Result
-	begun  time.Time
-	stop   chan struct{}
-	opened chan struct{}
-	// requests are the callers of the orders' doors.
-	requests *requester.Requester
-	placed   chan struct{}
-	placing  context.CancelFunc
+	out        io.Writer
+	cluster    *cluster
+	result     Result
+	started    time.Time
+	stop       chan struct{}
+	openerDone chan struct{}
+	// requests sends HTTP requests to the service orders.
+	requests     *requester.Requester
+	requestsDone chan struct{}
+	stopRequests context.CancelFunc
 }
 
-// New returns a demonstration that tells its progress on out.
+// New returns a demonstration that writes its progress to out.
 func New(out io.Writer) *Demo {
-	return &Demo{out: out, stop: make(chan struct{}), opened: make(chan struct{}), placed: make(chan struct{})}
+	return &Demo{out: out, stop: make(chan struct{}), openerDone: make(chan struct{}), requestsDone: make(chan struct{})}
 }
 
-func (d *Demo) say(format string, a ...any) {
-	_, _ = fmt.Fprintf(d.out, "%5.1fs  %s\n", time.Since(d.begun).Seconds(), fmt.Sprintf(format, a...))
+func (d *Demo) printf(format string, a ...any) {
+	_, _ = fmt.Fprintf(d.out, "%5.1fs  %s\n", time.Since(d.started).Seconds(), fmt.Sprintf(format, a...))
 }
 
-// Run plays the whole scene and prints the result as one JSON line.
+// Run executes all steps and prints the result as one JSON line.
 func (d *Demo) Run(ctx context.Context, log hclog.Logger) error {
-	d.begun = time.Now()
+	d.started = time.Now()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var err error
-	if d.site, err = newSite(ctx, log); err != nil {
+	if d.cluster, err = newCluster(ctx, log); err != nil {
 		return err
 	}
-	defer d.site.close()
-	for _, scene := range []func(context.Context) error{
+	defer d.cluster.close()
+	for _, step := range []func(context.Context) error{
 		d.start, d.openFlows, d.switchPreset, d.drainUpstream, d.stopBalancer, d.killBalancer, d.joinBalancer,
 	} {
-		if err := scene(ctx); err != nil {
+		if err := step(ctx); err != nil {
 			return err
 		}
 	}
 	return d.finish()
 }
 
-// until waits for a condition, at most for a time.
-func until(limit time.Duration, ok func() bool) bool {
-	for end := time.Now().Add(limit); time.Now().Before(end); time.Sleep(poll) {
+// waitUntil polls a condition until it holds or the limit has passed, and reports whether it holds.
+func waitUntil(limit time.Duration, ok func() bool) bool {
+	for end := time.Now().Add(limit); time.Now().Before(end); time.Sleep(pollInterval) {
 		if ok() {
 			return true
 		}
@@ -101,15 +101,15 @@
 	return ok()
 }
 
-// NotReadyError says what did not happen in time.
+// NotReadyError reports a state that was not reached in time.
 type NotReadyError struct{ What string }
 
-func (e *NotReadyError) Error() string { return "not in time: " + e.What }
+func (e *NotReadyError) Error() string { return "timed out waiting for " + e.What }
 
 func (d *Demo) start(ctx context.Context) error {
-	d.say("starting 3 voters and 6 balancers in 3 zones")
+	d.printf("starting 3 voters and 6 balancers in 3 zones")
 	for i := range 6 {
-		if _, err := d.site.addBalancer(zones[i%len(zones)]); err != nil {
+		if _, err := d.cluster.addBalancer(zones[i%len(zones)]); err != nil {
 			return err
 		}
 	}
@@ -117,19 +117,19 @@
 	if _, err := d.change(ctx, ledger.Change{ChangeKey: "demo-apply", Apply: &c}); err != nil {
 		return err
 	}
-	d.say("configuration accepted")
+	d.printf("configuration accepted")
 	for i := range 9 {
-		if err := d.site.addUpstream("orders", zones[i%len(zones)]); err != nil {
+		if err := d.cluster.addUpstream("orders", zones[i%len(zones)]); err != nil {
 			return err
 		}
 	}
 	for i := range 3 {
-		if err := d.site.addUpstream("notes", zones[i%len(zones)]); err != nil {
+		if err := d.cluster.addUpstream("notes", zones[i%len(zones)]); err != nil {
 			return err
 		}
 	}
-	ready := until(readyTimeout, func() bool {
-		return lo.EveryBy(d.site.live(), func(b *balancer.Balancer) bool {
+	ready := waitUntil(readyTimeout, func() bool {
+		return lo.EveryBy(d.cluster.live(), func(b *balancer.Balancer) bool {
 			s := b.Status()
 			return s.Revision == 1 && len(s.Members) == 6 && len(s.Upstreams) == 12
 		})
@@ -137,7 +137,7 @@
 	if !ready {
 		return &NotReadyError{What: "balancers with configuration, members and upstreams"}
 	}
-	d.say("ready: revision 1 in force, 12 upstreams announced")
+	d.printf("ready: revision 1 active, 12 upstreams announced")
 	return nil
 }
 
@@ -145,10 +145,10 @@
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	c.Who = "demo"
-	return d.site.operator.Change(ctx, c)
+	return d.cluster.operator.Change(ctx, c)
 }
 
-// openFlows opens most flows at once and then goes on at a slower pace.
+// openFlows opens most flows in quick succession and the others at a lower rate in the background.
 func (d *Demo) openFlows(ctx context.Context) error {
 	services := demoConfiguration().Services
 	open := func(i int) {
@@ -156,14 +156,14 @@
 		if i%4 == 3 {
 			s = services[1]
 		}
-		d.site.callers.Open(s.Addresses[0], feedEvery)
+		d.cluster.callers.Open(s.Addresses[0], messageInterval)
 	}
 	for i := range 400 {
 		open(i)
 		time.Sleep(time.Millisecond)
 	}
 	go func() {
-		defer close(d.opened)
+		defer close(d.openerDone)
 		t := time.NewTicker(20 * time.Millisecond)
 		defer t.Stop()
 		for i := 0; ; i++ {
@@ -178,23 +178,23 @@
 		}
 	}()
 	time.Sleep(time.Second)
-	d.say("%d flows open, 50 more each second", d.site.callers.Counts().Established)
-	d.placeRequests(ctx)
+	d.printf("%d flows open, 50 more per second", d.cluster.callers.Counts().Established)
+	d.startRequests(ctx)
 	return nil
 }
 
-// placeRequests lets callers place nominations that may run once, at any door.
-func (d *Demo) placeRequests(ctx context.Context) {
+// startRequests starts sending requests that may run at most once to random balancers.
+func (d *Demo) startRequests(ctx context.Context) {
 	d.requests = requester.New(requester.Settings{
-		Service: "orders", HTTPAddresses: func() []string { return d.site.doors("orders") }, Runs: d.site.runs,
+		Service: "orders", HTTPAddresses: func() []string { return d.cluster.httpAddresses("orders") }, Runs: d.cluster.runCount,
 		Timeout: requestTimeout, Seed: 1,
 	})
-	ctx, d.placing = context.WithCancel(ctx)
+	ctx, d.stopRequests = context.WithCancel(ctx)
 	go func() {
-		defer close(d.placed)
+		defer close(d.requestsDone)
 		d.requests.Run(ctx, requestRate)
 	}()
-	d.say("%d nominations a second, a tenth of them sent twice at once", requestRate)
+	d.printf("%d requests per second, a tenth of them sent twice concurrently", requestRate)
 }
 
 func (d *Demo) switchPreset(ctx context.Context) error {
@@ -203,79 +203,79 @@
 	if err != nil {
 		return err
 	}
-	everywhere := until(spreadLimit, func() bool {
-		return lo.EveryBy(d.site.live(), func(b *balancer.Balancer) bool {
+	propagated := waitUntil(propagationLimit, func() bool {
+		return lo.EveryBy(d.cluster.live(), func(b *balancer.Balancer) bool {
 			s := b.Status()
 			return s.Revision == a.Revision && s.InForce == "peak"
 		})
 	})
-	if !everywhere {
-		return &NotReadyError{What: "preset in force everywhere"}
+	if !propagated {
+		return &NotReadyError{What: "preset active on all balancers"}
 	}
 	d.result.PresetSeconds = time.Since(begin).Seconds()
-	d.say("preset peak in force everywhere after %.3f s", d.result.PresetSeconds)
+	d.printf("preset peak active on all balancers after %.3f s", d.result.PresetSeconds)
 	return nil
 }
 
 func (d *Demo) drainUpstream(ctx context.Context) error {
-	u := d.site.upstreams[0]
+	u := d.cluster.upstreams[0]
 	begin := time.Now()
 	if err := u.Drain(ctx); err != nil {
 		return err
 	}
 	time.Sleep(4 * time.Second)
 	d.result.DrainSeconds = max(u.Counts().LastArrival.Sub(begin).Seconds(), 0)
-	d.say("upstream %s drained: last new work after %.3f s, %d flows stay", u.Settings().Name, d.result.DrainSeconds, u.Counts().Open)
+	d.printf("upstream %s drained: last new flow or request after %.3f s, %d flows still open", u.Settings().Name, d.result.DrainSeconds, u.Counts().Open)
 	return nil
 }
 
-// stopBalancer ends one balancer in the planned way; the fabric goes on handing
-// it packets until it is gone.
+// stopBalancer shuts down one balancer gracefully; the fabric sends packets to it
+// until it has stopped.
 func (d *Demo) stopBalancer(ctx context.Context) error {
-	b := d.site.take("balancer-2")
+	b := d.cluster.detach("balancer-2")
 	begin := time.Now()
 	err := b.Stop(ctx)
-	d.site.fabric.Remove(b.Addresses().Fabric)
+	d.cluster.fabric.Remove(b.Addresses().Fabric)
 	if err != nil {
 		return err
 	}
-	d.say("balancer-2 stopped as planned in %.1f s", time.Since(begin).Seconds())
+	d.printf("balancer-2 shut down gracefully in %.1f s", time.Since(begin).Seconds())
 	return nil
 }
 
-// killBalancer ends one balancer dead; the fabric notices a second later.
+// killBalancer kills one balancer without a shutdown; the fabric removes it one second later.
 func (d *Demo) killBalancer(context.Context) error {
-	b := d.site.take("balancer-3")
+	b := d.cluster.detach("balancer-3")
 	b.Kill()
 	time.Sleep(time.Second)
-	d.site.fabric.Remove(b.Addresses().Fabric)
-	d.say("balancer-3 died")
+	d.cluster.fabric.Remove(b.Addresses().Fabric)
+	d.printf("balancer-3 killed")
 	time.Sleep(3 * time.Second)
 	return nil
 }
 
 func (d *Demo) joinBalancer(context.Context) error {
-	name, err := d.site.addBalancer(zones[1])
+	name, err := d.cluster.addBalancer(zones[1])
 	if err != nil {
 		return err
 	}
 	time.Sleep(4 * time.Second)
-	d.say("%s joined", name)
+	d.printf("%s joined", name)
 	return nil
 }
 
-// finish lets the last messages be answered, and counts.
+// finish waits for outstanding replies, then collects and checks the result.
 func (d *Demo) finish() error {
 	close(d.stop)
-	d.placing()
-	<-d.opened
-	<-d.placed
+	d.stopRequests()
+	<-d.openerDone
+	<-d.requestsDone
 	time.Sleep(time.Second)
-	c := d.site.callers.Counts()
+	c := d.cluster.callers.Counts()
 	r := &d.result
 	r.Flows, r.BrokenFlows, r.WrongBytes = c.Established, c.BrokenFlows, c.WrongBytes
 	r.LongestWaitSeconds = c.MaxLatency.Seconds()
-	for _, u := range d.site.upstreams {
+	for _, u := range d.cluster.upstreams {
 		r.Misdelivered += u.Counts().Misdelivered
 	}
 	q := d.requests.Counts()
@@ -283,11 +283,11 @@
 	r.LeftUnknown = q.LeftUnknown
 	r.NotRun, r.Unknown, r.RequestP99Seconds = q.NotRun, q.Unknown, q.P99.Seconds()
 	r.WrongBytes += q.WrongBody
-	r.Imbalance = max(d.site.imbalance("orders"), d.site.imbalance("notes"))
+	r.Imbalance = max(d.cluster.imbalance("orders"), d.cluster.imbalance("notes"))
 	r.ControlBytesPerSecond = d.controlBytes()
-	r.Broken = r.judge()
+	r.Broken = r.violations()
 	if len(c.Reasons) > 0 {
-		d.say("flows broken by: %v", c.Reasons)
+		d.printf("reasons of broken flows: %v", c.Reasons)
 	}
 	line, err := json.Marshal(r)
 	if err != nil {
@@ -300,36 +300,37 @@
 	return nil
 }
 
+// controlBytes returns the highest rate of control traffic of all live balancers, in bytes per second.
 func (d *Demo) controlBytes() float64 {
-	most := 0.0
-	for _, b := range d.site.live() {
+	highest := 0.0
+	for _, b := range d.cluster.live() {
 		s := b.Status()
-		most = max(most, float64(s.Swim.SentBytes+s.Router.RepairBytes)/time.Since(d.begun).Seconds())
+		highest = max(highest, float64(s.Swim.SentBytes+s.Router.RepairBytes)/time.Since(d.started).Seconds())
 	}
-	return most
+	return highest
 }
 
-// judge names the promises that the figures break.
-func (r *Result) judge() []string {
-	promises := []struct {
-		name string
-		kept bool
+// violations returns the names of the guarantees that the result violates.
+func (r *Result) violations() []string {
+	guarantees := []struct {
+		name  string
+		holds bool
 	}{
 		{"established flows survive", r.BrokenFlows == 0 && r.Flows > 0},
 		{"no packet reaches another service", r.Misdelivered == 0},
-		{"answers are whole", r.WrongBytes == 0},
-		{"requests are answered", r.Requests > 0 && r.Unanswered == 0 && r.LeftUnknown <= leftUnknownMost},
-		{"an unrepeatable request runs at most once", r.DoubleRun == 0},
-		{"not run is true", r.FalseNotRun == 0},
-		{"a preset is in force within seconds", r.PresetSeconds < spreadLimit.Seconds()},
-		{"a leaving upstream gets no new work after seconds", r.DrainSeconds <= drainLimit},
-		{"new flows are spread fairly", r.Imbalance > 0 && r.Imbalance <= imbalanceMost},
+		{"replies are intact", r.WrongBytes == 0},
+		{"requests are answered", r.Requests > 0 && r.Unanswered == 0 && r.LeftUnknown <= maxLeftUnknown},
+		{"a non-idempotent request runs at most once", r.DoubleRun == 0},
+		{"a request reported as not run has not run", r.FalseNotRun == 0},
+		{"a preset is active on all balancers within seconds", r.PresetSeconds < propagationLimit.Seconds()},
+		{"a draining upstream gets no new work after a few seconds", r.DrainSeconds <= drainLimitSeconds},
+		{"new flows are spread evenly", r.Imbalance > 0 && r.Imbalance <= maxImbalance},
 	}
-	var broken []string
-	for _, p := range promises {
-		if !p.kept {
-			broken = append(broken, p.name)
+	var violated []string
+	for _, g := range guarantees {
+		if !g.holds {
+			violated = append(violated, g.name)
 		}
 	}
-	return broken
+	return violated
 }
--- a/internal/demo/run/speed_test.go
+++ b/internal/demo/run/speed_test.go
@@ -18,17 +18,18 @@
 	"wasabideal/internal/daemon/control"
 )
 
-var speed = flag.Bool("speed", false, "measure how fast changes are in force on nine balancers")
+var speed = flag.Bool("speed", false, "measure the time until changes are active on nine balancers")
 
-// TestChangeSpeed measures 3 voters with synced disks and 9 balancers on
-// loopback; run it by go test ./internal/demo/run -run Speed -speed -v.
+// TestChangeSpeed measures the propagation of changes with 3 voters that sync
+// their disks and 9 balancers on loopback. Run it with
+// go test ./internal/demo/run -run Speed -speed -v.
 func TestChangeSpeed(t *testing.T) {
 	if !*speed {
 		t.Skip("pass -speed")
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	s, err := newSite(ctx, hclog.NewNullLogger())
+	s, err := newCluster(ctx, hclog.NewNullLogger())
 	require.NoError(t, err)
 	defer s.close()
 	for i := range 9 {
@@ -38,32 +39,32 @@
 	c := demoConfiguration()
 	_, err = s.operator.Change(ctx, ledger.Change{ChangeKey: "first", Apply: &c})
 	require.NoError(t, err)
-	m := &meter{t: t, site: s, revision: 1}
+	m := &meter{t: t, cluster: s, revision: 1}
 	m.wait()
-	m.report("100 switches, one after another", m.times(ctx, 100))
+	m.report("100 sequential switches", m.measure(ctx, 100))
 	begin := time.Now()
 	for range 500 {
 		m.change(ctx)
 	}
 	accepted := time.Since(begin)
 	m.wait()
-	fmt.Printf("500 changes at once: accepted in %.2f s, everywhere %.3f s after the last\n", accepted.Seconds(), time.Since(begin).Seconds()-accepted.Seconds())
-	leader := slices.IndexFunc(s.controls, func(c *control.Control) bool { return c.Voter().Report().Role == agreement.Leader })
-	s.controls[leader].Stop()
-	s.controls = slices.Delete(s.controls, leader, leader+1)
-	m.report("the switch after a leader's death", m.times(ctx, 1))
-	m.report("100 switches with two voters", m.times(ctx, 100))
+	fmt.Printf("500 changes without pause: accepted in %.2f s, active on all balancers %.3f s after the last\n", accepted.Seconds(), time.Since(begin).Seconds()-accepted.Seconds())
+	leader := slices.IndexFunc(s.voters, func(c *control.Control) bool { return c.Voter().Report().Role == agreement.Leader })
+	s.voters[leader].Stop()
+	s.voters = slices.Delete(s.voters, leader, leader+1)
+	m.report("the first switch after the leader stopped", m.measure(ctx, 1))
+	m.report("100 switches with two voters", m.measure(ctx, 100))
 }
 
 type meter struct {
 	t        *testing.T
-	site     *site
+	cluster  *cluster
 	revision uint64
 }
 
 func (m *meter) change(ctx context.Context) {
 	name := []string{"ordinary", "peak"}[m.revision%2]
-	a, err := m.site.operator.Change(ctx, ledger.Change{
+	a, err := m.cluster.operator.Change(ctx, ledger.Change{
 		ChangeKey: fmt.Sprintf("switch-%d", m.revision), ExpectRevision: m.revision, UsePreset: name, Who: "meter",
 	})
 	require.NoError(m.t, err)
@@ -71,25 +72,26 @@
 }
 
 func (m *meter) wait() {
-	require.True(m.t, until(spreadLimit, func() bool {
-		return lo.EveryBy(m.site.live(), func(b *balancer.Balancer) bool { return b.Configuration().Revision == m.revision })
+	require.True(m.t, waitUntil(propagationLimit, func() bool {
+		return lo.EveryBy(m.cluster.live(), func(b *balancer.Balancer) bool { return b.Configuration().Revision == m.revision })
 	}))
 }
 
-func (m *meter) times(ctx context.Context, n int) []time.Duration {
-	var ts []time.Duration
+func (m *meter) measure(ctx context.Context, n int) []time.Duration {
+	var durations []time.Duration
 	for range n {
 		begin := time.Now()
 		m.change(ctx)
-		for !lo.EveryBy(m.site.live(), func(b *balancer.Balancer) bool { return b.Configuration().Revision == m.revision }) {
+		for !lo.EveryBy(m.cluster.live(), func(b *balancer.Balancer) bool { return b.Configuration().Revision == m.revision }) {
 			time.Sleep(200 * time.Microsecond)
 		}
-		ts = append(ts, time.Since(begin))
+		durations = append(durations, time.Since(begin))
 	}
-	return ts
+	return durations
 }
 
-func (m *meter) report(what string, ts []time.Duration) {
-	slices.Sort(ts)
-	fmt.Printf("%s: p50 %.4f s, p99 %.4f s, max %.4f s\n", what, ts[len(ts)/2].Seconds(), ts[len(ts)*99/100].Seconds(), ts[len(ts)-1].Seconds())
+func (m *meter) report(title string, durations []time.Duration) {
+	slices.Sort(durations)
+	fmt.Printf("%s: p50 %.4f s, p99 %.4f s, max %.4f s\n", title, durations[len(durations)/2].Seconds(),
+		durations[len(durations)*99/100].Seconds(), durations[len(durations)-1].Seconds())
 }
