--- a/internal/daemon/cookie/announcements.go
+++ b/internal/daemon/cookie/announcements.go
@@ -8,17 +8,18 @@
 	"wasabideal/internal/upstream/handover"
 )
 
-// DepartureError says that an upstream must tell a voter that it leaves.
+// DepartureError reports that an upstream announced its departure to a balancer; only voters
+// accept departures.
 type DepartureError struct{}
 
-func (*DepartureError) Error() string { return "balancers take no departures; announce it to a voter" }
+func (*DepartureError) Error() string { return "balancers accept no departures; send them to a voter" }
 
-// StoppingError says that the balancer stops.
+// StoppingError reports that the balancer is stopping and accepts no announcements.
 type StoppingError struct{}
 
-func (*StoppingError) Error() string { return "this balancer stops; announce the upstream elsewhere" }
+func (*StoppingError) Error() string { return "balancer is stopping; announce the upstream elsewhere" }
 
-// Announce takes an upstream's announcement and returns once a voter holds it.
+// Announce accepts an upstream's announcement and returns once a voter has stored it.
 func (b *Balancer) Announce(ctx context.Context, u upstream.Upstream, cold time.Duration) error {
 	switch {
 	case u.State != upstream.Ready:
@@ -26,17 +27,17 @@
 	case b.leaving.Load() && b.Refer(u) == "":
 		return &StoppingError{}
 	}
-	return b.fanout.handover.Add(ctx, b.gather(true), handover.Announcement{Upstream: u, Cold: cold})
+	return b.fanout.handover.Add(ctx, b.batchDelay(true), handover.Announcement{Upstream: u, Cold: cold})
 }
 
-// gather is how long announcements wait here for others.
-func (b *Balancer) gather(own bool) time.Duration {
+// batchDelay returns how long announcements wait to be forwarded in a batch.
+func (b *Balancer) batchDelay(own bool) time.Duration {
 	return handover.Gather(b.settings.AnnounceEvery, b.follower.Level(), own)
 }
 
-// Refer returns the address to which an upstream is to announce itself from now on, where
-// that is no longer here: those of a balancer that stops would all turn to the voters at
-// once.
+// Refer returns the address that an upstream announces to from now on, empty while this
+// balancer serves it. Without the referral all upstreams of a stopping balancer would fall
+// back to the voters at once.
 func (b *Balancer) Refer(u upstream.Upstream) string {
 	if !b.leaving.Load() {
 		return ""
--- a/internal/daemon/cookie/cookie.go
+++ b/internal/daemon/cookie/cookie.go
@@ -27,73 +27,74 @@
 	"wasabideal/internal/wire/datagram"
 )
 
-// Codec translates between datagrams of the network fabric and packets.
+// Codec converts between datagrams of the network fabric and packets.
 type Codec interface {
-	// Decode reads a datagram, or fails where it is malformed.
+	// Decode parses a datagram and fails if it is malformed.
 	Decode(data []byte) (router.Packet, error)
-	// Forward appends the datagram that carries a received one to an upstream.
+	// Forward appends the datagram that carries the received one to an upstream.
 	Forward(buffer, data []byte, v router.Verdict) []byte
-	// Reset appends the datagram that resets a packet's flow, and returns where
-	// it goes.
+	// Reset appends the datagram that resets a packet's flow, and returns its
+	// destination.
 	Reset(buffer []byte, p router.Packet) (netip.AddrPort, []byte)
 }
 
 const (
-	// inheritFor is three announcements' time, in which a voter that restarted
-	// hears all upstreams that are alive.
-	inheritFor = 4 * time.Second
-	// forgetAfter is how long a silent upstream is remembered, for flows that
-	// may still be open there.
+	// provisionalTTL covers three announcements, by which time a restarted voter has
+	// received one from each live upstream.
+	provisionalTTL = 4 * time.Second
+	// forgetAfter is how long a silent upstream stays known, for flows that may still
+	// be open there.
 	forgetAfter = 90 * time.Second
-	// tick is the pace of the router's housekeeping.
-	tick = 100 * time.Millisecond
-	// quietStop is how long a balancer that stops waits without a packet, and
-	// leaveFirst the least time it goes on: the fabric takes two failed checks,
-	// half a second apart, to send its packets elsewhere.
-	quietStop  = 600 * time.Millisecond
-	leaveFirst = 1500 * time.Millisecond
-	// doubtPause is the least time between two looks at what voters suspect: of hundreds of
-	// upstreams that fall silent together many voters tell within some tenths of a second.
-	doubtPause = 20 * time.Millisecond
-	// doubtAgain is how often liveness reports on suspected upstreams are sent again while
-	// voters suspect them: one that is lost would let an upstream count as unresponsive that
-	// lives. A report and the answer to it take less on three levels.
-	doubtAgain = 300 * time.Millisecond
-	// readPause keeps a socket that fails again and again from filling the log.
-	readPause = 100 * time.Millisecond
-	// forwardHead is room for what a forwarded datagram carries beside the packet.
-	forwardHead = 64
+	// tickInterval is the interval of the router's housekeeping.
+	tickInterval = 100 * time.Millisecond
+	// drainQuietPeriod is the time without a packet that ends a planned stop, and
+	// minDrainTime its minimum duration: the fabric removes a balancer from rotation
+	// after two failed checks, half a second apart.
+	drainQuietPeriod = 600 * time.Millisecond
+	minDrainTime     = 1500 * time.Millisecond
+	// minSuspicionInterval is the minimum time between two updates of the router's
+	// suspicions: when hundreds of upstreams fall silent together, many voters report
+	// them within some tenths of a second.
+	minSuspicionInterval = 20 * time.Millisecond
+	// livenessReportInterval is how often liveness reports on suspected upstreams are
+	// repeated: if one is lost, a live upstream would count as unresponsive. A report and
+	// its answer take less time over three levels of balancers.
+	livenessReportInterval = 300 * time.Millisecond
+	// readErrorDelay prevents a socket that fails repeatedly from filling the log.
+	readErrorDelay = 100 * time.Millisecond
+	// forwardHeadroom is the space for the headers that forwarding adds to a packet.
+	forwardHeadroom = 64
 )
 
-// Settings of the process.
+// Settings configure the process.
 type Settings struct {
-	// Fabric is the address for datagrams.
+	// Fabric is the address that receives datagrams.
 	Fabric string
-	// Sources are call addresses of some voters.
+	// Sources are the RPC addresses of some voters.
 	Sources []string
 	Zone    string
 	Token   string
-	// Rpc is the address for calls of other balancers, empty where none follows this one,
-	// and Announcements the one at which upstreams are to announce themselves here.
+	// Rpc is the address for RPCs of other balancers, empty if none may follow this one, and
+	// Announcements the address that upstreams announce to.
 	Rpc, Announcements string
 	// AnnounceEvery is the time between two announcements of an upstream.
 	AnnounceEvery time.Duration
-	// Shape is that of the tree of the zone's balancers.
+	// Shape is the shape of the tree of the zone's balancers.
 	Shape tree.Shape
-	// StaleAfter is how old what another balancer passes on may become.
+	// StaleAfter is the maximum age of state relayed by another balancer.
 	StaleAfter time.Duration
-	// StopTimeout bounds a planned stop.
+	// StopTimeout limits the duration of a planned stop.
 	StopTimeout time.Duration
 	Codec       Codec
-	// LinkBytesPerSecond is what the VM's link carries; 0 paces nothing.
+	// LinkBytesPerSecond is the bandwidth of the VM's link; 0 disables pacing.
 	LinkBytesPerSecond float64
-	// Off are the mechanisms that are switched off.
+	// Off lists the disabled mechanisms.
 	Off mechanism.Off
-	// Clock is where this edge reads the time.
+	// Clock returns the current time.
 	Clock func() time.Time
 }
 
-// Balancer is a running process.
+// Balancer is a running balancer process.
 type Balancer struct {
 	settings Settings
 	log      hclog.Logger
@@ -103,39 +104,40 @@
 	mu       sync.Mutex
 	router   *router.Router
 	view     *view.View
-	// doubts are what voters say of upstreams that leave packets unanswered.
-	doubts *doubts.Doubts
-	// doubted is when the router was last told of them, doubtsPacing when it is next.
-	doubted      time.Time
-	doubtsPacing pacing.Pacing
-	// unresponsive are those that were logged as such.
+	// suspicions holds the voters' reports on upstreams that leave packets unanswered.
+	suspicions *doubts.Doubts
+	// suspicionsApplied is when the router last received the suspicions; suspicionPacing
+	// schedules the next update.
+	suspicionsApplied time.Time
+	suspicionPacing   pacing.Pacing
+	// unresponsive holds the subjects that were logged as unresponsive.
 	unresponsive map[word.Subject]bool
-	// early are packets that could not be placed yet.
-	early *waiting.Waiting[earlyKey, earlyPacket]
-	// coldWaits says that some of them wait for an upstream to be warm.
-	coldWaits bool
-	// crowded are packets that could be, and wait for room at their upstream.
-	crowded *waiting.Waiting[earlyKey, earlyPacket]
-	// uploads is nil where nothing is paced.
+	// unplaced buffers packets that cannot be placed yet.
+	unplaced *waiting.Waiting[packetKey, bufferedPacket]
+	// unplacedCold is set if some of them wait for an upstream to warm up.
+	unplacedCold bool
+	// awaitingCapacity buffers packets that wait for capacity at their upstream.
+	awaitingCapacity *waiting.Waiting[packetKey, bufferedPacket]
+	// uploads is nil if pacing is disabled.
 	uploads *uploads
 	held    configuration.Configuration
-	// evacuations are the orders in force for availability zones.
+	// evacuations are the evacuation commands in force for availability zones.
 	evacuations evacuation.Evacuations
-	// outdated says that packets may be placed that could not be before.
-	outdated   bool
-	lastPacket time.Time
-	buffers    [][]byte
-	used       int
-	leaving    atomic.Bool
-	ready      atomic.Bool
-	reports    reports
-	counts     *counts
-	ctx        context.Context
-	cancel     context.CancelFunc
-	running    sync.WaitGroup
+	// refreshDue is set if a new configuration may allow placing buffered packets.
+	refreshDue  bool
+	lastPacket  time.Time
+	outputs     [][]byte
+	outputsUsed int
+	leaving     atomic.Bool
+	ready       atomic.Bool
+	decisionLog decisionLog
+	counts      *counts
+	ctx         context.Context
+	cancel      context.CancelFunc
+	running     sync.WaitGroup
 }
 
-// Listen opens the socket.
+// Listen creates a balancer and opens its sockets.
 func Listen(s Settings, log hclog.Logger) (*Balancer, error) {
 	socket, err := datagram.Listen(s.Fabric)
 	if err != nil {
@@ -143,36 +145,36 @@
 	}
 	b := &Balancer{
 		settings: s, log: log, socket: socket, counts: newCounts(),
-		doubts: doubts.New(follower.ContactLease), unresponsive: map[word.Subject]bool{},
-		early: waiting.New[earlyKey, earlyPacket](), crowded: waiting.New[earlyKey, earlyPacket](),
-		view: view.New(view.Settings{ContactLease: follower.ContactLease, InheritFor: inheritFor, ForgetAfter: forgetAfter}),
+		suspicions: doubts.New(follower.ContactLease), unresponsive: map[word.Subject]bool{},
+		unplaced: waiting.New[packetKey, bufferedPacket](), awaitingCapacity: waiting.New[packetKey, bufferedPacket](),
+		view: view.New(view.Settings{ContactLease: follower.ContactLease, InheritFor: provisionalTTL, ForgetAfter: forgetAfter}),
 	}
 	if uplink.Narrow(s.LinkBytesPerSecond) && !s.Off.Has(mechanism.Pacing) {
 		b.uploads = newUploads(s.LinkBytesPerSecond)
 	}
-	self, err := b.follow()
+	self, err := b.setUpFollower()
 	b.router = router.New(router.Settings{
-		Zone: s.Zone, Self: self, Started: s.Clock(), Seed: xxhash.Sum64String(s.Fabric), Off: s.Off, Suspected: b.suspected,
-		ZoneRefused: b.zoneRefused, Reset: b.flowReset,
+		Zone: s.Zone, Self: self, Started: s.Clock(), Seed: xxhash.Sum64String(s.Fabric), Off: s.Off, Suspected: b.recordSuspicion,
+		ZoneRefused: b.recordZoneRefusal, Reset: b.recordFlowReset,
 		Opened: b.counts.opened.Record, Answered: b.counts.answered.Record,
 	})
 	return b, err
 }
 
-// Address returns where the balancer takes datagrams.
+// Address returns the address that receives datagrams.
 func (b *Balancer) Address() netip.AddrPort { return b.socket.Address() }
 
-// Start begins to serve and returns at once.
+// Start starts serving in the background.
 func (b *Balancer) Start(ctx context.Context) {
 	b.ctx, b.cancel = context.WithCancel(ctx)
 	b.follower.Start(b.ctx, b.settings.Sources)
 	b.goRun(b.read)
-	b.goRun(b.keepTime)
+	b.goRun(b.runTicker)
 	if b.fanout != nil {
 		b.goRun(b.serveFollowers)
 	}
 	if b.uploads != nil {
-		b.goRun(b.pace)
+		b.goRun(b.runPacing)
 	}
 }
 
@@ -184,10 +186,10 @@
 	}()
 }
 
-// Name tells of voters that the settings name now.
+// Name sets the voters that the settings list now.
 func (b *Balancer) Name(sources []string) { b.follower.Name(sources) }
 
-// Ready says that the balancer can place flows and does not leave.
+// Ready reports whether the balancer can place flows and is not stopping.
 func (b *Balancer) Ready() bool { return b.ready.Load() && !b.leaving.Load() }
 
 // Held returns the configuration in force.
@@ -197,14 +199,14 @@
 	return b.held
 }
 
-// Informed says that upstreams are known already.
+// Informed reports whether any upstreams are known.
 func (b *Balancer) Informed() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.router.Upstreams() > 0
 }
 
-// Offered puts a configuration in force if it is newer.
+// Offered applies a configuration if it is newer than the one in force.
 func (b *Balancer) Offered(address string, c configuration.Configuration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -216,13 +218,13 @@
 		return
 	}
 	b.held = c
-	b.published(c)
+	b.publishConfiguration(c)
 	b.log.Info("configuration in force", "Revision", c.Revision, "From", address, "Routes", len(c.Routes))
-	b.outdated = true
+	b.refreshDue = true
 	b.refresh(b.settings.Clock())
 }
 
-// Answered takes what a voter said.
+// Answered applies a voter's update.
 func (b *Balancer) Answered(now time.Time, x origins.Origin) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -231,42 +233,44 @@
 	b.refresh(now)
 	switch {
 	case !x.Doubted:
-		b.doubts.Contact(contact, x.Voter)
-	case b.doubts.Hear(now, contact, x.Voter, x.Subjects):
-		b.doubtSoon(now)
+		b.suspicions.Contact(contact, x.Voter)
+	case b.suspicions.Hear(now, contact, x.Voter, x.Subjects):
+		b.scheduleSuspicions(now)
 	}
-	b.passedOn(x)
+	b.wakeFollowers(x)
 }
 
-// refresh gives the router the upstreams as the voters tell of them; the lock is held.
+// refresh updates the router with the upstreams that the voters report. The caller holds
+// the lock.
 func (b *Balancer) refresh(now time.Time) {
 	changes, changed := b.view.Changes(now)
-	if !changed && !b.outdated {
+	if !changed && !b.refreshDue {
 		return
 	}
-	b.outdated = false
+	b.refreshDue = false
 	b.router.Update(now, changes)
 	ready := b.held.Revision > 0 && b.router.Upstreams() > 0
 	if ready != b.ready.Swap(ready) {
 		b.log.Info("readiness", "Ready", ready, "Revision", b.held.Revision, "Upstreams", b.router.Upstreams())
 	}
-	// After readiness, so that whoever sees a placed packet sees that, too.
-	b.placeKept(now, b.early)
+	// Placed after the readiness update: a client that sees a placed packet must also see
+	// the balancer ready.
+	b.placeBuffered(now, b.unplaced)
 }
 
-func (b *Balancer) suspected(t view.Target) {
+func (b *Balancer) recordSuspicion(t view.Target) {
 	b.counts.suspicions.Inc(1)
 	b.log.Info("upstream suspected", "Incarnation", fmt.Sprintf("%x", t.Incarnation), "Service", t.Service,
 		"Address", t.Address.String(), "Live", t.Live)
 }
 
-func (b *Balancer) zoneRefused(zone string) {
+func (b *Balancer) recordZoneRefusal(zone string) {
 	b.counts.zonesRefused.Inc(1)
 	b.log.Warn("all upstreams of a zone refuse new flows; placing them in other zones", "Zone", zone)
 }
 
-func (b *Balancer) keepTime() {
-	t := time.NewTicker(tick)
+func (b *Balancer) runTicker() {
+	t := time.NewTicker(tickInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -279,15 +283,15 @@
 			b.router.SetPeers(now, b.follower.Peers())
 			b.router.Tick(now)
 			b.refresh(now)
-			b.placeKept(now, b.crowded)
-			if b.coldWaits {
-				b.coldWaits = false
-				b.placeKept(now, b.early)
+			b.placeBuffered(now, b.awaitingCapacity)
+			if b.unplacedCold {
+				b.unplacedCold = false
+				b.placeBuffered(now, b.unplaced)
 			}
-			if b.doubts.Expired(now) || b.doubts.Stand() && now.Sub(b.doubted) >= doubtAgain {
-				b.doubt(now)
+			if b.suspicions.Expired(now) || b.suspicions.Stand() && now.Sub(b.suspicionsApplied) >= livenessReportInterval {
+				b.applySuspicions(now)
 			}
-			b.reports.flush(now, b.log)
+			b.decisionLog.flush(now, b.log)
 			b.logLink(now)
 			b.mu.Unlock()
 		}
--- a/internal/daemon/cookie/cookie_test.go
+++ b/internal/daemon/cookie/cookie_test.go
@@ -26,10 +26,10 @@
 	"wasabideal/internal/wire/rpc"
 )
 
-// plain is a codec of JSON packets.
-type plain struct{}
+// jsonCodec encodes packets as JSON.
+type jsonCodec struct{}
 
-func (plain) Decode(b []byte) (router.Packet, error) {
+func (jsonCodec) Decode(b []byte) (router.Packet, error) {
 	var p router.Packet
 	if err := json.Unmarshal(b, &p); err != nil {
 		return p, err
@@ -37,7 +37,7 @@
 	return p, nil
 }
 
-func (plain) Forward(buffer, data []byte, v router.Verdict) []byte {
+func (jsonCodec) Forward(buffer, data []byte, v router.Verdict) []byte {
 	b, err := json.Marshal(v)
 	if err != nil {
 		return buffer
@@ -45,7 +45,7 @@
 	return append(buffer, b...)
 }
 
-func (plain) Reset(buffer []byte, p router.Packet) (netip.AddrPort, []byte) {
+func (jsonCodec) Reset(buffer []byte, p router.Packet) (netip.AddrPort, []byte) {
 	return p.Caller, append(buffer, "reset"...)
 }
 
@@ -58,7 +58,7 @@
 
 func addressOf(c *net.UDPConn) netip.AddrPort { return c.LocalAddr().(*net.UDPAddr).AddrPort() }
 
-// receive returns the next datagram within a while.
+// receive returns the next datagram that arrives within d.
 func receive(c *net.UDPConn, d time.Duration) ([]byte, bool) {
 	b := make([]byte, 2048)
 	if err := c.SetReadDeadline(time.Now().Add(d)); err != nil {
@@ -85,11 +85,11 @@
 
 func startBalancer(t *testing.T, voter string) *cookie.Balancer { return startOnLink(t, voter, 0) }
 
-// startOnLink starts a balancer on a VM with a link of so many bytes a second.
+// startOnLink starts a balancer on a VM with a link of the given bandwidth.
 func startOnLink(t *testing.T, voter string, bytesPerSecond float64) *cookie.Balancer {
 	b, err := cookie.Listen(cookie.Settings{
 		Fabric: "127.0.0.1:0", Sources: []string{voter}, Zone: "a", Token: "group", StopTimeout: 10 * time.Second,
-		Codec: plain{}, Clock: time.Now, LinkBytesPerSecond: bytesPerSecond,
+		Codec: jsonCodec{}, Clock: time.Now, LinkBytesPerSecond: bytesPerSecond,
 	}, hclog.NewNullLogger())
 	require.NoError(t, err)
 	b.Start(context.Background())
@@ -133,11 +133,10 @@
 	require.NoError(t, err)
 }
 
-// Symptom: after a loss of power everywhere callers waited for their next
-// repetition, up to 1.6 s, although all processes ran.
-// Events: a caller's opening reaches a balancer that no voter has answered yet.
-// Cause: it was dropped.
-func TestOpeningBeforeTheConfigurationIsPlacedWithIt(t *testing.T) {
+// Guards against dropping an opening that reaches a balancer before any voter has answered
+// it. After a site-wide power loss callers waited up to 1.6 s for their next
+// retransmission, although all processes were running.
+func TestEarlyOpeningIsPlacedWithConfiguration(t *testing.T) {
 	voter, backend, caller := startVoter(t), listenUDP(t), listenUDP(t)
 	b := startBalancer(t, voter.Address())
 	t.Cleanup(b.Kill)
@@ -150,7 +149,7 @@
 	announce(t, voter, addressOf(backend))
 	data, ok := receive(backend, time.Second)
 	for !ok && time.Now().Before(end) {
-		// A slow machine: the packet was kept for its time and no longer.
+		// On a slow machine the buffered packet has expired.
 		send(t, caller, b, router.Packet{Opening: true, Copy: 1})
 		data, ok = receive(backend, time.Second)
 	}
@@ -165,11 +164,10 @@
 	require.Contains(t, w.Body.String(), "wasabideal_revision 3\n")
 }
 
-// Symptom: a planned stop cut requests.
-// Events: a balancer is asked to stop; the fabric goes on sending to it until
-// two readiness checks have failed.
-// Cause: it ended, or stopped forwarding, before that.
-func TestPlannedStopForwardsUntilNothingComes(t *testing.T) {
+// Guards against a planned stop that breaks requests: the fabric sends packets to a stopping
+// balancer until two readiness checks have failed, and the balancer exited or stopped
+// forwarding before that.
+func TestPlannedStopForwardsUntilTrafficEnds(t *testing.T) {
 	voter, backend, caller := startVoter(t), listenUDP(t), listenUDP(t)
 	b := startBalancer(t, voter.Address())
 	publish(t, voter)
@@ -189,7 +187,7 @@
 	}
 	<-stopped
 	_, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(b.Address()))
-	require.NoError(t, err, "the port is free again")
+	require.NoError(t, err, "the port must be released")
 }
 
 func TestMalformedDatagramsAreCountedAndDropped(t *testing.T) {
@@ -205,11 +203,10 @@
 	}, 20*time.Second, 5*time.Millisecond)
 }
 
-// Symptom: uploads were refused at three balancers in a row and failed.
-// Events: a third upload is opened over a link that carries two at once; one of the
-// two ends a moment later.
-// Cause: the third was refused at once.
-func TestThirdUploadWaitsAMomentForAPlace(t *testing.T) {
+// Guards against uploads that fail after three balancers in a row reject them: a third
+// upload over a link with capacity for two was rejected at once, although one of the two
+// ended shortly afterwards.
+func TestThirdUploadWaitsForCapacity(t *testing.T) {
 	voter, backend := startVoter(t), listenUDP(t)
 	b := startOnLink(t, voter.Address(), 250_000)
 	t.Cleanup(b.Kill)
@@ -218,7 +215,7 @@
 	require.Eventually(t, b.Ready, 20*time.Second, 5*time.Millisecond)
 	open := func(caller *net.UDPConn) { send(t, caller, b, router.Packet{Address: notes, Opening: true}) }
 	first, second, third := listenUDP(t), listenUDP(t), listenUDP(t)
-	// A slow machine lets the third wait too long; it is refused then and tries again.
+	// On a slow machine the third upload may wait too long; it is then rejected and retried.
 	require.Eventually(t, func() bool {
 		open(first)
 		open(second)
@@ -234,21 +231,19 @@
 	}, 60*time.Second, time.Second)
 }
 
-// Symptom: callers waited for an upstream without power until their deadlines, on flows
-// that had been idle, too.
-// Events: a flow is opened at an upstream; balancers report that it leaves packets
-// unanswered.
-// Cause: flows were reset only once an upstream had certainly ended.
-func TestFlowOfAnUnresponsiveUpstreamIsReset(t *testing.T) {
+// Guards against callers that wait until their deadlines for an upstream that lost power,
+// also on idle flows: flows were reset only once the upstream was known to have ended, not
+// when balancers reported that it left packets unanswered.
+func TestFlowOfUnresponsiveUpstreamIsReset(t *testing.T) {
 	c := startVoter(t)
 	publish(t, c)
-	caller, serves := listenUDP(t), listenUDP(t)
-	announce(t, c, addressOf(serves))
+	caller, backend := listenUDP(t), listenUDP(t)
+	announce(t, c, addressOf(backend))
 	b := startBalancer(t, c.Address())
 	t.Cleanup(b.Stop)
 	require.Eventually(t, b.Ready, 5*time.Second, 5*time.Millisecond)
 	send(t, caller, b, router.Packet{Opening: true})
-	_, ok := receive(serves, 5*time.Second)
+	_, ok := receive(backend, 5*time.Second)
 	require.True(t, ok)
 	client := rpc.NewClient(c.Address(), "group")
 	t.Cleanup(client.Close)
@@ -262,12 +257,12 @@
 	require.Equal(t, "reset", string(data))
 }
 
-// startInTree starts a balancer that others may follow, in a zone of which one follows the
-// voters.
+// startInTree starts a balancer that others may follow, in a zone where one balancer follows
+// the voters directly.
 func startInTree(t *testing.T, voter string) *cookie.Balancer {
 	b, err := cookie.Listen(cookie.Settings{
 		Fabric: "127.0.0.1:0", Sources: []string{voter}, Zone: "a", Token: "group", StopTimeout: 10 * time.Second,
-		Codec: plain{}, Clock: time.Now, Rpc: "127.0.0.1:0", Announcements: "127.0.0.1:1",
+		Codec: jsonCodec{}, Clock: time.Now, Rpc: "127.0.0.1:0", Announcements: "127.0.0.1:1",
 		Shape: tree.Shape{Roots: 1, Fanout: 4}, StaleAfter: 2 * time.Second,
 	}, hclog.NewNullLogger())
 	require.NoError(t, err)
@@ -275,47 +270,47 @@
 	return b
 }
 
-// follows returns the balancers that follow another one.
-func follows(all []*cookie.Balancer) []*cookie.Balancer {
+// followersOf returns the balancers that follow another balancer.
+func followersOf(all []*cookie.Balancer) []*cookie.Balancer {
 	return lo.Filter(all, func(b *cookie.Balancer, _ int) bool { return b.Standing().Parent != "" })
 }
 
-// The whole path between balancers: three of a zone, one of which follows the voters.
-// Upstreams, a configuration and a departure reach all of them; when the one at the top
-// ends, the others find their way, and what was announced through them stays known.
+// Tests the fan-out end to end with three balancers of a zone, one of which follows the
+// voters. Upstreams, configurations and evacuations reach all of them, a follower rejects a
+// departure, and after the root is killed the others still receive updates.
 func TestBalancersFollowEachOther(t *testing.T) {
 	c := startVoter(t)
 	publish(t, c)
-	caller, serves := listenUDP(t), listenUDP(t)
-	announce(t, c, addressOf(serves))
+	caller, backend := listenUDP(t), listenUDP(t)
+	announce(t, c, addressOf(backend))
 	all := []*cookie.Balancer{startInTree(t, c.Address()), startInTree(t, c.Address()), startInTree(t, c.Address())}
 	for _, b := range all {
 		t.Cleanup(b.Kill)
 	}
-	require.Eventually(t, func() bool { return len(follows(all)) == 2 }, 20*time.Second, 10*time.Millisecond)
+	require.Eventually(t, func() bool { return len(followersOf(all)) == 2 }, 20*time.Second, 10*time.Millisecond)
 	for _, b := range all {
 		require.True(t, b.Ready())
 		require.Equal(t, 1, b.Standing().Fresh)
 	}
-	below := follows(all)[0]
-	send(t, caller, below, router.Packet{Opening: true})
-	_, ok := receive(serves, 20*time.Second)
+	child := followersOf(all)[0]
+	send(t, caller, child, router.Packet{Opening: true})
+	_, ok := receive(backend, 20*time.Second)
 	require.True(t, ok)
 
-	// An announcement through a follower reaches the voter, and from there all of them.
+	// An announcement to a follower reaches the voter, and from there all balancers.
 	other := listenUDP(t)
 	u := upstream.Upstream{
 		Identity: upstream.Identity{Service: "orders", Address: addressOf(other), Incarnation: 78}, Zone: "a", Slots: 2, Sequence: 1,
 	}
-	require.NoError(t, below.Announce(t.Context(), u, 0))
+	require.NoError(t, child.Announce(t.Context(), u, 0))
 	for _, b := range all {
 		require.Eventually(t, func() bool { return b.Upstreams() == 2 }, 20*time.Second, 10*time.Millisecond)
 	}
 	u.State = upstream.Draining
 	var departure *cookie.DepartureError
-	require.ErrorAs(t, below.Announce(t.Context(), u, 0), &departure, "departures are the voters'")
+	require.ErrorAs(t, child.Announce(t.Context(), u, 0), &departure, "only voters accept departures")
 
-	// A change reaches those below.
+	// A configuration change reaches the followers.
 	_, err := c.Voter().Publish(t.Context(), configuration.Configuration{
 		Revision: 9, Services: []configuration.Service{{Name: "orders", Protocol: configuration.TCP}},
 		Routes: []configuration.Route{{Name: "r", Address: orders, Service: "orders", Timeout: 2 * time.Second}},
@@ -325,7 +320,7 @@
 		require.Eventually(t, func() bool { return b.Held().Revision == 9 }, 20*time.Second, 10*time.Millisecond)
 	}
 
-	// So does an order for a zone, both ways.
+	// The start and the end of a zone's evacuation reach them too.
 	for _, on := range []bool{true, false} {
 		_, err = c.Voter().Evacuate(t.Context(), "a", on, "test")
 		require.NoError(t, err)
@@ -334,10 +329,10 @@
 		}
 	}
 
-	// The one at the top ends.
-	top, _ := lo.Find(all, func(b *cookie.Balancer) bool { return b.Standing().Parent == "" })
-	rest := lo.Without(all, top)
-	top.Kill()
+	// The followers keep receiving updates after the root is killed.
+	root, _ := lo.Find(all, func(b *cookie.Balancer) bool { return b.Standing().Parent == "" })
+	rest := lo.Without(all, root)
+	root.Kill()
 	require.NoError(t, c.Upstreams().Announce(t.Context(), upstream.Upstream{
 		Identity: upstream.Identity{Service: "orders", Address: addressOf(listenUDP(t)), Incarnation: 79}, Zone: "a", Slots: 2, Sequence: 1,
 	}, 0))
--- a/internal/daemon/cookie/doc.go
+++ b/internal/daemon/cookie/doc.go
@@ -1,3 +1,3 @@
-// Package cookie is the balancer process that places flows by cookies: sockets,
-// clock and threads around the pure router.
+// Package cookie implements the balancer process that routes flows by cookie. It adds
+// sockets, a clock and goroutines to the router, which does no I/O.
 package cookie
--- a/internal/daemon/cookie/evacuate.go
+++ b/internal/daemon/cookie/evacuate.go
@@ -4,14 +4,14 @@
 	"wasabideal/internal/model/evacuation"
 )
 
-// Evacuations returns the orders for availability zones in force.
+// Evacuations returns the evacuation commands in force.
 func (b *Balancer) Evacuations() evacuation.Evacuations {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.evacuations
 }
 
-// Evacuated puts orders for availability zones in force if they are newer.
+// Evacuated applies evacuation commands if they are newer than those in force.
 func (b *Balancer) Evacuated(address string, e evacuation.Evacuations) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/daemon/cookie/fanout.go
+++ b/internal/daemon/cookie/fanout.go
@@ -28,19 +28,20 @@
 )
 
 const (
-	// deltasKept is how many changes of the configuration a follower may have missed.
-	deltasKept = 64
-	// configurationMost is the size in bytes of what followers are given of a
-	// configuration. Eight of them take a tenth of a second of a link of 2 Mbit/s for
-	// 3 kB each; a change of 1,400 routes would take two seconds at each level, and
-	// comes from the voters instead, whose links are wide.
-	configurationMost = 3 << 10
-	// followersShare is by how much more followers are taken than there are in the mean:
-	// hashes spread balancers unevenly, and some of the level above may have failed.
-	followersShare = 1.25
+	// maxDeltas is the number of configuration changes that a follower may have missed
+	// and still receive as deltas.
+	maxDeltas = 64
+	// maxConfigurationBytes limits the configuration response to a follower. At 3 kB, eight
+	// followers use a 2 Mbit/s link for a tenth of a second. A change of 1,400 routes would
+	// take two seconds at each level; followers fetch it from the voters instead, which have
+	// more bandwidth.
+	maxConfigurationBytes = 3 << 10
+	// followerHeadroom is the ratio of accepted followers to the average number: hashing
+	// spreads balancers unevenly, and some balancers of the same level may have failed.
+	followerHeadroom = 1.25
 )
 
-// fanout is what a balancer does for those that follow it.
+// fanout serves the balancers that follow this one.
 type fanout struct {
 	listener net.Listener
 	server   *rpc.Server
@@ -52,16 +53,17 @@
 	referral *referral.Referral
 }
 
-// OversizeError says that followers have to ask a voter for the configuration.
+// OversizeError reports that the configuration response exceeds maxConfigurationBytes;
+// followers then fetch it from a voter.
 type OversizeError struct{ Size int }
 
 func (e *OversizeError) Error() string {
-	return fmt.Sprintf("%d bytes of configuration are more than a balancer passes on; ask a voter", e.Size)
+	return fmt.Sprintf("configuration response of %d bytes exceeds the limit of a balancer; fetch it from a voter", e.Size)
 }
 
-// follow makes the follower, and where others may follow this balancer what serves them. It
-// returns the address at which they do.
-func (b *Balancer) follow() (string, error) {
+// setUpFollower creates the follower and, if other balancers may follow this one, the server
+// for them. It returns the server's address.
+func (b *Balancer) setUpFollower() (string, error) {
 	s := b.settings
 	f := follower.Settings{Token: s.Token, From: s.Fabric, Clock: s.Clock, Shape: s.Shape, StaleAfter: s.StaleAfter}
 	if s.Rpc == "" {
@@ -76,22 +78,22 @@
 	f.Self = member.Member{Zone: s.Zone, Address: l.Addr().String(), Announcements: s.Announcements}
 	b.follower = follower.New(f, b, b.log)
 	x := &fanout{
-		listener: l, history: history.New(deltasKept), sample: sample.New(), referral: referral.New(s.Shape),
-		relay:    relay.New(b, s.Clock, int(followersShare*float64(s.Shape.Fanout))),
+		listener: l, history: history.New(maxDeltas), sample: sample.New(), referral: referral.New(s.Shape),
+		relay:    relay.New(b, s.Clock, int(followerHeadroom*float64(s.Shape.Fanout))),
 		handover: handover.New(s.Clock, b.follower.HandOver),
-		server:   rpc.NewServer(func(method string) { b.log.Warn("call without the token", "Method", method) }),
+		server:   rpc.NewServer(func(method string) { b.log.Warn("rejected call without valid token", "Method", method) }),
 	}
 	x.relay.Serve(x.server, s.Token)
 	rpc.Handle(x.server, feed.ConfigurationMethod, s.Token, func(_ context.Context, revision uint64) (cbor.RawMessage, error) {
 		return x.configuration(revision)
 	})
-	rpc.Handle(x.server, feed.ReportsMethod, s.Token, b.passReports)
+	rpc.Handle(x.server, feed.ReportsMethod, s.Token, b.relayReports)
 	rpc.Handle(x.server, feed.AttendMethod, s.Token, func(_ context.Context, all []members.Attendance) (empty, error) {
 		b.follower.Attend(s.Clock(), all)
 		return empty{}, nil
 	})
 	rpc.Handle(x.server, upstreams.HandOverMethod, s.Token, func(ctx context.Context, all []handover.Announcement) (empty, error) {
-		return empty{}, x.handover.Add(ctx, b.gather(false), all...)
+		return empty{}, x.handover.Add(ctx, b.batchDelay(false), all...)
 	})
 	b.fanout = x
 	return f.Self.Address, nil
@@ -101,12 +103,13 @@
 
 func (b *Balancer) serveFollowers() {
 	if err := b.fanout.server.Serve(b.ctx, b.fanout.listener); err != nil && b.ctx.Err() == nil {
-		b.log.Error("calls of other balancers ended", "Error", err)
+		b.log.Error("RPC server for balancers stopped", "Error", err)
 	}
 }
 
-// published keeps the configuration for followers; the lock is held.
-func (b *Balancer) published(c configuration.Configuration) {
+// publishConfiguration adds the configuration to the history and wakes the followers' long
+// polls. The caller holds the lock.
+func (b *Balancer) publishConfiguration(c configuration.Configuration) {
 	if b.fanout == nil {
 		return
 	}
@@ -116,7 +119,7 @@
 	b.fanout.relay.Wake()
 }
 
-// configuration returns what leads from a held revision to the one in force.
+// configuration returns the encoded changes from a follower's revision to the one in force.
 func (x *fanout) configuration(revision uint64) (cbor.RawMessage, error) {
 	x.mu.Lock()
 	a := x.history.Since(revision)
@@ -125,14 +128,14 @@
 	if err != nil {
 		return nil, fmt.Errorf("encode configuration: %w", err)
 	}
-	if len(body) > configurationMost {
+	if len(body) > maxConfigurationBytes {
 		return nil, &OversizeError{Size: len(body)}
 	}
 	return body, nil
 }
 
-// passedOn wakes followers for what a voter said.
-func (b *Balancer) passedOn(x origins.Origin) {
+// wakeFollowers wakes the followers' long polls if a voter's update holds anything for them.
+func (b *Balancer) wakeFollowers(x origins.Origin) {
 	if b.fanout == nil {
 		return
 	}
@@ -144,7 +147,7 @@
 	}
 }
 
-// News answers a balancer that follows this one.
+// News returns the response to a follower's long poll, and whether it holds anything new.
 func (b *Balancer) News(now time.Time, q relay.Question) (relay.Answer, bool) {
 	a, news := b.follower.News(now, q)
 	known := make(map[string]origins.Known, len(q.Known))
@@ -171,11 +174,11 @@
 	return a, news || a.Revision > q.Revision
 }
 
-// Leaving says that the balancer stops.
+// Leaving reports whether the balancer is stopping.
 func (b *Balancer) Leaving() bool { return b.leaving.Load() }
 
-// passReports passes on what followers saw of silent upstreams.
-func (b *Balancer) passReports(_ context.Context, reports []word.Report) (empty, error) {
+// relayReports relays a sample of the followers' reports on silent upstreams.
+func (b *Balancer) relayReports(_ context.Context, reports []word.Report) (empty, error) {
 	now := b.settings.Clock()
 	x := b.fanout
 	for _, r := range reports {
@@ -189,10 +192,10 @@
 	return empty{}, nil
 }
 
-// Standing is whom the balancer follows and how much it knows.
+// Standing returns the balancer's position in the tree and the freshness of its state.
 func (b *Balancer) Standing() follower.Standing { return b.follower.Standing(b.settings.Clock()) }
 
-// Upstreams returns the number of upstreams known.
+// Upstreams returns the number of known upstreams.
 func (b *Balancer) Upstreams() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/daemon/cookie/counts.go
+++ b/internal/daemon/cookie/metrics.go
@@ -10,7 +10,7 @@
 	"wasabideal/internal/metric/text"
 )
 
-// counts are the balancer's metrics.
+// counts holds the balancer's metrics.
 type counts struct {
 	registry         metrics.Registry
 	decisions        [router.Stray + 1]metrics.Counter
@@ -44,7 +44,7 @@
 	return c
 }
 
-// ServeMetrics answers with the metrics as text.
+// ServeMetrics writes the metrics as text.
 func (b *Balancer) ServeMetrics(w http.ResponseWriter, _ *http.Request) {
 	b.mu.Lock()
 	set := func(name string, v int) { metrics.GetOrRegisterGauge(name, b.counts.registry).Update(int64(v)) }
@@ -56,14 +56,15 @@
 		set("Uploads", b.uploads.link.Active(b.settings.Clock()))
 	}
 	b.mu.Unlock()
-	b.setFanout(set)
+	b.setFanoutMetrics(set)
 	if err := text.New(b.counts.registry, "wasabideal").Print(w); err != nil {
-		b.log.Warn("metrics not written", "Error", err)
+		b.log.Warn("failed to write metrics", "Error", err)
 	}
 }
 
-// setFanout tells whom the balancer follows and who follows it.
-func (b *Balancer) setFanout(set func(name string, v int)) {
+// setFanoutMetrics sets the gauges of the tree: the balancer's level, its followers and
+// the freshness of its state.
+func (b *Balancer) setFanoutMetrics(set func(name string, v int)) {
 	if b.fanout == nil {
 		return
 	}
--- a/internal/daemon/cookie/packets.go
+++ b/internal/daemon/cookie/packets.go
@@ -10,7 +10,7 @@
 	"wasabideal/internal/wire/datagram"
 )
 
-// read takes datagrams in batches and decides on each batch under one lock.
+// read receives datagrams in batches and processes each batch under one lock.
 func (b *Balancer) read() {
 	for {
 		n, err := b.socket.Read()
@@ -18,25 +18,25 @@
 			return
 		}
 		if err != nil {
-			// The kernel may report what befell an earlier datagram; a balancer
-			// that stopped reading for it would stay in rotation and serve nothing.
-			b.log.Error("datagrams cannot be read", "Error", err)
-			time.Sleep(readPause)
+			// The error may concern a datagram that was sent earlier. A balancer that
+			// stopped reading would stay in rotation without serving any packets.
+			b.log.Error("failed to read datagrams", "Error", err)
+			time.Sleep(readErrorDelay)
 			continue
 		}
 		b.mu.Lock()
 		now := b.settings.Clock()
 		b.lastPacket = now
-		b.used = 0
+		b.outputsUsed = 0
 		for i := range n {
 			_, data := b.socket.Datagram(i)
 			b.handle(now, i, data)
 		}
 		if err := b.socket.Flush(); err != nil {
-			b.sendFailed(err)
+			b.recordSendError(err)
 		}
-		b.placeKept(now, b.crowded)
-		b.tellVoters()
+		b.placeBuffered(now, b.awaitingCapacity)
+		b.reportToVoters()
 		b.mu.Unlock()
 	}
 }
@@ -45,68 +45,71 @@
 	p, err := b.settings.Codec.Decode(data)
 	if err != nil {
 		b.counts.malformed.Inc(1)
-		b.reports.malformed(err)
+		b.decisionLog.malformed(err)
 		return
 	}
-	if b.crowded.Len() > 0 {
-		// The copy that waits would look like a repetition, and so like silence.
-		b.crowded.Remove(earlyPacket{packet: p}.key())
+	if b.awaitingCapacity.Len() > 0 {
+		// If the buffered copy were routed after this one, it would count as a
+		// retransmission and thus as a sign that the upstream is silent.
+		b.awaitingCapacity.Remove(bufferedPacket{packet: p}.key())
 	}
 	arrived := now
 	if p.Opening {
 		arrived = now.Add(-b.socket.Waited(now, index))
 	}
-	b.carryOut(now, arrived, p, data)
+	b.routePacket(now, arrived, p, data)
 }
 
-// carryOut decides on a packet that arrived at a time, and does it.
-func (b *Balancer) carryOut(now, arrived time.Time, p router.Packet, data []byte) {
+// routePacket routes a packet with its time of arrival, buffers it if it may be placed
+// soon, and executes the verdict.
+func (b *Balancer) routePacket(now, arrived time.Time, p router.Packet, data []byte) {
 	p.Waited = now.Sub(arrived)
 	v := b.decide(now, p, data)
 	if v.Action == router.Drop && v.Reason.Early() && !b.settings.Off.Has(mechanism.KeptPackets) {
-		b.keep(now, arrived, p, data)
-		b.coldWaits = b.coldWaits || v.Reason == router.Cold
+		b.bufferPacket(now, arrived, p, data)
+		b.unplacedCold = b.unplacedCold || v.Reason == router.Cold
 	}
-	b.perform(now, p, data, v)
+	b.execute(now, p, data, v)
 }
 
-// perform does what was decided on a packet.
-func (b *Balancer) perform(now time.Time, p router.Packet, data []byte, v router.Verdict) {
+// execute counts, logs and carries out the verdict on a packet.
+func (b *Balancer) execute(now time.Time, p router.Packet, data []byte, v router.Verdict) {
 	b.counts.decisions[v.Reason].Inc(1)
-	b.reports.note(b.log, p, v)
+	b.decisionLog.record(b.log, p, v)
 	switch v.Action {
 	case router.Forward:
-		if b.delayed(now, p, v, data) {
+		if b.enqueueUpload(now, p, v, data) {
 			return
 		}
-		b.notePacket(now, len(data))
-		*b.buffer() = b.settings.Codec.Forward((*b.buffer())[:0], data, v)
-		b.socket.Queue(v.To, *b.buffer())
-		b.used++
+		b.recordUnpaced(now, len(data))
+		*b.output() = b.settings.Codec.Forward((*b.output())[:0], data, v)
+		b.socket.Queue(v.To, *b.output())
+		b.outputsUsed++
 	case router.Reset:
-		to, out := b.settings.Codec.Reset((*b.buffer())[:0], p)
-		*b.buffer() = out
+		to, out := b.settings.Codec.Reset((*b.output())[:0], p)
+		*b.output() = out
 		b.socket.Queue(to, out)
-		b.used++
+		b.outputsUsed++
 	case router.Drop:
 	}
 }
 
-// flowReset notes that the router resets a flow that may be open; the lock is held.
-func (b *Balancer) flowReset(x router.FlowReset) {
+// recordFlowReset counts and logs the reset of a flow that may be open. The caller holds the
+// lock.
+func (b *Balancer) recordFlowReset(x router.FlowReset) {
 	b.counts.flowsReset[x.Reason].Inc(1)
-	b.reports.reset(b.settings.Clock(), b.log, x)
+	b.decisionLog.reset(b.settings.Clock(), b.log, x)
 }
 
-func (b *Balancer) sendFailed(err error) {
+func (b *Balancer) recordSendError(err error) {
 	b.counts.sendErrors.Inc(1)
-	b.reports.lost(err)
+	b.decisionLog.sendFailure(err)
 }
 
-// buffer returns the next free one of this batch.
-func (b *Balancer) buffer() *[]byte {
-	if b.used == len(b.buffers) {
-		b.buffers = append(b.buffers, make([]byte, 0, datagram.Size+forwardHead))
+// output returns the next free output buffer of this batch.
+func (b *Balancer) output() *[]byte {
+	if b.outputsUsed == len(b.outputs) {
+		b.outputs = append(b.outputs, make([]byte, 0, datagram.Size+forwardHeadroom))
 	}
-	return &b.buffers[b.used]
+	return &b.outputs[b.outputsUsed]
 }
--- a/internal/daemon/cookie/stall_test.go
+++ b/internal/daemon/cookie/stall_test.go
@@ -14,29 +14,30 @@
 	"wasabideal/internal/daemon/cookie"
 )
 
-// repeatAfter is how long a caller waits before it repeats an opening.
-const repeatAfter = 200 * time.Millisecond
+// retransmitTimeout is how long a caller waits before it retransmits an opening.
+const retransmitTimeout = 200 * time.Millisecond
 
-// stalling is a codec in which the balancer stands still while the lock is held.
-type stalling struct {
-	plain
-	processor *sync.Mutex
+// blockingCodec blocks the balancer while the mutex is held.
+type blockingCodec struct {
+	jsonCodec
+	blocked *sync.Mutex
 }
 
-func (s stalling) Decode(b []byte) (router.Packet, error) {
-	s.processor.Lock()
-	defer s.processor.Unlock()
-	return s.plain.Decode(b)
+func (s blockingCodec) Decode(b []byte) (router.Packet, error) {
+	s.blocked.Lock()
+	defer s.blocked.Unlock()
+	return s.jsonCodec.Decode(b)
 }
 
-// Guards against the reset of a flow that a copy of its opening has opened through another
-// balancer while the first one waited in the queue of a balancer without a processor.
+// Guards against the reset of a flow that a retransmitted opening has opened through another
+// balancer, while the first opening waited in the socket queue of a balancer that got no CPU
+// time.
 func TestOpeningThatWaitedInAQueueResetsNoFlow(t *testing.T) {
 	voter, backend, caller := startVoter(t), listenUDP(t), listenUDP(t)
-	processor := &sync.Mutex{}
+	blocked := &sync.Mutex{}
 	b, err := cookie.Listen(cookie.Settings{
 		Fabric: "127.0.0.1:0", Sources: []string{voter.Address()}, Zone: "a", Token: "group", StopTimeout: 10 * time.Second,
-		Codec: stalling{processor: processor}, Clock: time.Now,
+		Codec: blockingCodec{blocked: blocked}, Clock: time.Now,
 	}, hclog.NewNullLogger())
 	require.NoError(t, err)
 	b.Start(context.Background())
@@ -46,24 +47,24 @@
 	require.Eventually(t, b.Ready, 20*time.Second, 5*time.Millisecond)
 	opening := router.Packet{Opening: true, Address: netip.MustParseAddrPort("198.18.0.9:443")}
 
-	processor.Lock()
+	blocked.Lock()
 	send(t, caller, b, router.Packet{Cookie: 1})
-	time.Sleep(repeatAfter / 2)
+	time.Sleep(retransmitTimeout / 2)
 	send(t, caller, b, opening)
-	time.Sleep(2 * repeatAfter)
-	processor.Unlock()
+	time.Sleep(2 * retransmitTimeout)
+	blocked.Unlock()
 	_, reset := receive(caller, 300*time.Millisecond)
-	require.False(t, reset, "a copy may have opened the flow")
+	require.False(t, reset, "a retransmission may have opened the flow")
 
 	opening.Copy = 1
 	send(t, caller, b, opening)
 	_, reset = receive(caller, 300*time.Millisecond)
-	require.False(t, reset, "the first one may have opened it through another balancer")
+	require.False(t, reset, "the first opening may have opened the flow through another balancer")
 
 	opening.Copy = 0
 	require.Eventually(t, func() bool {
 		send(t, caller, b, opening)
 		_, reset := receive(caller, 300*time.Millisecond)
 		return reset
-	}, 20*time.Second, time.Millisecond, "an opening that did not wait is rejected at once")
+	}, 20*time.Second, time.Millisecond, "an opening that did not wait must be rejected at once")
 }
--- a/internal/daemon/cookie/stop.go
+++ b/internal/daemon/cookie/stop.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// Stop ends the process in the planned way: readiness fails first, and packets
-// are forwarded until the fabric sends none any more.
+// Stop stops the process gracefully: readiness fails first, and packets are forwarded until
+// the fabric no longer sends any.
 func (b *Balancer) Stop() {
 	b.leaving.Store(true)
 	if b.fanout != nil {
-		// Followers turn to another balancer while this one still answers.
+		// Followers switch to another balancer while this one still responds.
 		b.fanout.relay.Wake()
 	}
 	begun := b.settings.Clock()
 	b.log.Info("leaving", "Timeout", b.settings.StopTimeout.String())
-	t := time.NewTicker(tick)
+	t := time.NewTicker(tickInterval)
 	defer t.Stop()
 	for range t.C {
 		now := b.settings.Clock()
-		if spent := now.Sub(begun); spent >= b.settings.StopTimeout || spent >= leaveFirst && b.quiet(now) {
+		if spent := now.Sub(begun); spent >= b.settings.StopTimeout || spent >= minDrainTime && b.quiet(now) {
 			break
 		}
 	}
@@ -26,10 +26,10 @@
 func (b *Balancer) quiet(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return now.Sub(b.lastPacket) >= quietStop
+	return now.Sub(b.lastPacket) >= drainQuietPeriod
 }
 
-// Kill ends the process at once.
+// Kill stops the process without draining.
 func (b *Balancer) Kill() {
 	b.cancel()
 	b.socket.Close()
--- a/internal/daemon/cookie/silence.go
+++ b/internal/daemon/cookie/suspicions.go
@@ -9,45 +9,44 @@
 	"wasabideal/internal/silence/word"
 )
 
-// doubtSoon does so at once, or together with what voters tell within doubtPause after the last
-// time; the lock is held.
-func (b *Balancer) doubtSoon(now time.Time) {
-	at, schedule := b.doubtsPacing.News(now, doubtPause)
+// scheduleSuspicions calls applySuspicions at once, or minSuspicionInterval after the last
+// call, together with the reports that arrive until then. The caller holds the lock.
+func (b *Balancer) scheduleSuspicions(now time.Time) {
+	at, schedule := b.suspicionPacing.News(now, minSuspicionInterval)
 	switch {
 	case !at.After(now):
-		b.doubt(now)
+		b.applySuspicions(now)
 	case schedule:
 		time.AfterFunc(at.Sub(now), func() {
 			b.mu.Lock()
 			defer b.mu.Unlock()
 			if b.ctx.Err() == nil {
-				b.doubt(b.settings.Clock())
+				b.applySuspicions(b.settings.Clock())
 			}
 		})
 	}
 }
 
-// doubt tells the router what voters doubt, and resets the flows that it gives up; the
-// lock is held.
-func (b *Balancer) doubt(now time.Time) {
-	b.doubted = now
-	b.doubtsPacing.Told(now)
-	all := b.doubts.All()
+// applySuspicions updates the router's suspicions and resets the flows that the router gives up.
+// The caller holds the lock.
+func (b *Balancer) applySuspicions(now time.Time) {
+	b.suspicionsApplied = now
+	b.suspicionPacing.Told(now)
+	all := b.suspicions.All()
 	resets := b.router.Doubt(now, all)
-	b.noteUnresponsive(now, all, len(resets))
-	b.used = 0
+	b.logUnresponsive(now, all, len(resets))
+	b.outputsUsed = 0
 	for _, p := range resets {
-		b.perform(now, p, nil, router.Verdict{Action: router.Reset, Reason: router.Unresponsive, Revision: b.router.Revision()})
+		b.execute(now, p, nil, router.Verdict{Action: router.Reset, Reason: router.Unresponsive, Revision: b.router.Revision()})
 	}
 	if err := b.socket.Flush(); err != nil {
-		b.sendFailed(err)
+		b.recordSendError(err)
 	}
-	b.tellVoters()
+	b.reportToVoters()
 }
 
-// noteUnresponsive logs what counts as unresponsive now and did not before, and the
-// reverse.
-func (b *Balancer) noteUnresponsive(now time.Time, all map[word.Subject]doubts.Doubt, resets int) {
+// logUnresponsive logs the subjects that became unresponsive, and those that no longer are.
+func (b *Balancer) logUnresponsive(now time.Time, all map[word.Subject]doubts.Doubt, resets int) {
 	for s, d := range all {
 		if d.Unresponsive && !b.unresponsive[s] {
 			b.unresponsive[s] = true
@@ -64,8 +63,8 @@
 	}
 }
 
-// tellVoters reports what the router saw of silent upstreams.
-func (b *Balancer) tellVoters() {
+// reportToVoters reports the router's observations of silent upstreams to the voters.
+func (b *Balancer) reportToVoters() {
 	if events := b.router.Reports(); len(events) > 0 {
 		b.counts.silenceReported.Inc(int64(len(events)))
 		b.follower.Report(events)
--- a/internal/daemon/cookie/uploads.go
+++ b/internal/daemon/cookie/uploads.go
@@ -12,36 +12,37 @@
 	"wasabideal/internal/overload/uplink"
 )
 
-// packetOverhead is what a forwarded packet takes on the link beside its data:
-// the packet's head, the incarnation before it, and UDP and IPv4.
+// packetOverhead is the size of a forwarded packet without its data: the headers of the
+// packet, the incarnation, and the headers of UDP and IPv4.
 const packetOverhead = 36 + 8 + 28
 
-// forwardedOverhead is what a forwarded packet takes on the link beside what was received:
-// the incarnation before it, and UDP and IPv4.
+// forwardedOverhead is what forwarding adds to a received packet: the incarnation, and the
+// headers of UDP and IPv4.
 const forwardedOverhead = 8 + 28
 
-// leastPause bounds how often the pacing wakes up; some packets leave together
-// then, which no queue notices.
-const leastPause = 4 * time.Millisecond
+// minPacingPause is the minimum time between two rounds of pacing. The packets of a round
+// are sent together, in bursts too small to matter to queues on the path.
+const minPacingPause = 4 * time.Millisecond
 
-// outgoing is a packet that waits for its turn on the link.
+// outgoing is a packet that is queued for the link.
 type outgoing struct {
 	to   netip.AddrPort
 	data []byte
 }
 
-// linkBusy is the part of the link from which its use is logged: uploads get less from there.
-const linkBusy = 0.3
+// busyLinkShare is the share of the link's bandwidth used by other packets above which the
+// usage is logged; above it uploads get less.
+const busyLinkShare = 0.3
 
-// turnEvery is how often openings that wait are looked at.
-const turnEvery = 20 * time.Millisecond
+// admitInterval is how often queued openings are checked for admission.
+const admitInterval = 20 * time.Millisecond
 
 // uploads paces uploads over the VM's link.
 type uploads struct {
 	link    *uplink.Uplink[router.Flow, outgoing]
-	backlog backlog.Backlog[router.Flow, earlyPacket]
+	backlog backlog.Backlog[router.Flow, bufferedPacket]
 	wake    chan struct{}
-	// logged is when the link's use was last logged.
+	// logged is when the link's usage was last logged.
 	logged time.Time
 }
 
@@ -49,16 +50,16 @@
 	return &uploads{link: uplink.New[router.Flow, outgoing](bytesPerSecond), wake: make(chan struct{}, 1)}
 }
 
-// awake lets the pacing look at what waits.
-func (u *uploads) awake() {
+// wakePacing wakes the pacing goroutine.
+func (u *uploads) wakePacing() {
 	select {
 	case u.wake <- struct{}{}:
 	default:
 	}
 }
 
-// decide routes a packet. An upload's opening waits a moment when the link is busy
-// with others, and is turned away when it stays so: the caller's next try reaches
+// decide routes a packet. If the link is busy with other uploads, an upload's opening is
+// queued briefly, and rejected if the link stays busy: the caller's next attempt reaches
 // another balancer.
 func (b *Balancer) decide(now time.Time, p router.Packet, data []byte) router.Verdict {
 	if b.uploads == nil || b.router.Class(p.Address) != configuration.Upload {
@@ -66,7 +67,7 @@
 	}
 	k := p.Flow()
 	if p.Opening && !b.uploads.link.Admit(now, k) {
-		return b.wait(now, k, p, data)
+		return b.queueOpening(now, k, p, data)
 	}
 	if p.Finish || p.Reset {
 		b.uploads.link.Leave(k)
@@ -74,26 +75,27 @@
 	return b.router.Route(now, p)
 }
 
-// notePacket counts a forwarded packet that does not wait for its turn: uploads get what
-// such packets leave of the link.
-func (b *Balancer) notePacket(now time.Time, length int) {
+// recordUnpaced records the size of a forwarded packet that is not paced: uploads get the
+// remaining bandwidth.
+func (b *Balancer) recordUnpaced(now time.Time, length int) {
 	if b.uploads != nil {
 		b.uploads.link.Other(now, length+forwardedOverhead)
 	}
 }
 
-// wait lets an upload's opening wait for room on the link, if not too many do.
-func (b *Balancer) wait(now time.Time, k router.Flow, p router.Packet, data []byte) router.Verdict {
-	v := b.busy(p)
-	if !b.settings.Off.Has(mechanism.UploadWait) && b.uploads.backlog.Push(now, k, earlyPacket{packet: p, data: slices.Clone(data), arrived: now.Add(-p.Waited)}) {
+// queueOpening queues an upload's opening until the link has capacity, unless the queue is
+// full.
+func (b *Balancer) queueOpening(now time.Time, k router.Flow, p router.Packet, data []byte) router.Verdict {
+	v := b.busyVerdict(p)
+	if !b.settings.Off.Has(mechanism.UploadWait) && b.uploads.backlog.Push(now, k, bufferedPacket{packet: p, data: slices.Clone(data), arrived: now.Add(-p.Waited)}) {
 		v.Action, v.Reason = router.Drop, router.Waiting
-		b.uploads.awake()
+		b.uploads.wakePacing()
 	}
 	return v
 }
 
-// busy returns the verdict on an upload's opening that the link has no room for.
-func (b *Balancer) busy(p router.Packet) router.Verdict {
+// busyVerdict returns the verdict on an upload's opening that exceeds the link's capacity.
+func (b *Balancer) busyVerdict(p router.Packet) router.Verdict {
 	v := router.Verdict{Action: router.Drop, Reason: router.Busy, Revision: b.router.Revision()}
 	if p.Rejectable() {
 		v.Action = router.Reset
@@ -101,39 +103,39 @@
 	return v
 }
 
-// turn opens the uploads that there is room for now, and turns those away that
-// waited too long.
-func (b *Balancer) turn(now time.Time) {
+// admitWaiting admits the queued openings that the link has capacity for, and rejects those
+// that waited too long.
+func (b *Balancer) admitWaiting(now time.Time) {
 	if b.uploads.backlog.Len() == 0 {
 		return
 	}
 	admitted, late := b.uploads.backlog.Turn(now, func(k router.Flow) bool { return b.uploads.link.Admit(now, k) })
-	b.used = 0
+	b.outputsUsed = 0
 	for _, e := range admitted {
-		b.carryOut(now, e.arrived, e.packet, e.data)
+		b.routePacket(now, e.arrived, e.packet, e.data)
 	}
 	for _, e := range late {
 		e.packet.Waited = now.Sub(e.arrived)
-		b.perform(now, e.packet, e.data, b.busy(e.packet))
+		b.execute(now, e.packet, e.data, b.busyVerdict(e.packet))
 	}
 }
 
-// delayed takes an upload's packet that has to wait for its turn on the link.
-func (b *Balancer) delayed(now time.Time, p router.Packet, v router.Verdict, data []byte) bool {
+// enqueueUpload queues an upload's packet for pacing, and reports whether it did.
+func (b *Balancer) enqueueUpload(now time.Time, p router.Packet, v router.Verdict, data []byte) bool {
 	if b.uploads == nil || p.Length == 0 || b.router.Class(p.Address) != configuration.Upload {
 		return false
 	}
-	out := b.settings.Codec.Forward(make([]byte, 0, len(data)+forwardHead), data, v)
+	out := b.settings.Codec.Forward(make([]byte, 0, len(data)+forwardHeadroom), data, v)
 	b.uploads.link.Offer(now, uplink.Packet[router.Flow, outgoing]{
 		Flow: p.Flow(), Sequence: p.Sequence, Length: p.Length,
 		Size: p.Length + packetOverhead, Payload: outgoing{to: v.To, data: out},
 	})
-	b.uploads.awake()
+	b.uploads.wakePacing()
 	return true
 }
 
-// pace sends the packets that waited for their turn.
-func (b *Balancer) pace() {
+// runPacing sends queued packets as they become due.
+func (b *Balancer) runPacing() {
 	for {
 		select {
 		case <-b.ctx.Done():
@@ -145,11 +147,13 @@
 			if !waits {
 				break
 			}
-			time.Sleep(max(pause, leastPause))
+			time.Sleep(max(pause, minPacingPause))
 		}
 	}
 }
 
+// sendDue sends the packets that are due and admits queued openings. It returns the time
+// until the next round, and false if nothing is queued.
 func (b *Balancer) sendDue() (time.Duration, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -161,29 +165,29 @@
 		}
 		b.socket.Queue(p.Payload.to, p.Payload.data)
 	}
-	b.turn(now)
+	b.admitWaiting(now)
 	if err := b.socket.Flush(); err != nil {
-		b.sendFailed(err)
+		b.recordSendError(err)
 	}
 	pause, waits := b.uploads.link.Wait(now)
 	if b.uploads.backlog.Len() == 0 {
 		return pause, waits
 	}
 	if !waits {
-		pause = turnEvery
+		pause = admitInterval
 	}
-	return min(pause, turnEvery), true
+	return min(pause, admitInterval), true
 }
 
-// logLink logs once a second how a link is used of which other packets than uploads' take
-// more than linkBusy.
+// logLink logs the link's usage once a second while packets other than uploads' use more
+// than busyLinkShare of it.
 func (b *Balancer) logLink(now time.Time) {
-	if b.uploads == nil || now.Sub(b.uploads.logged) < reportEvery {
+	if b.uploads == nil || now.Sub(b.uploads.logged) < summaryInterval {
 		return
 	}
 	b.uploads.logged = now
 	link := b.uploads.link
-	if others := link.Others(now); others > linkBusy*b.settings.LinkBytesPerSecond {
+	if others := link.Others(now); others > busyLinkShare*b.settings.LinkBytesPerSecond {
 		b.log.Info("link busy", "OthersBytesPerSecond", int(others), "Uploads", link.Active(now), "UploadsMost", link.Limit(now),
 			"UploadsWaiting", b.uploads.backlog.Len())
 	}
