--- a/internal/daemon/balancer/admin.go
+++ b/internal/daemon/balancer/admin.go
@@ -18,22 +18,22 @@
 	"wasabideal/internal/wire/rpc"
 )
 
-// The calls that a balancer serves to operators.
+// RPC methods for operators.
 const (
 	StatusMethod = "Balancer.Status"
 	DrainMethod  = "Balancer.Drain"
 )
 
 const (
-	headerTimeout = 5 * time.Second
-	bodyLimit     = 4096
-	metricPrefix  = "wasabideal"
+	headerTimeout        = 5 * time.Second
+	maxAnnouncementBytes = 4096
+	metricPrefix         = "wasabideal"
 )
 
 type empty struct{}
 
 func (b *Balancer) serveRPC() {
-	s := rpc.NewServer(func(method string) { b.log.Warn("call without token refused", "Method", method) })
+	s := rpc.NewServer(func(method string) { b.log.Warn("rejected call without valid token", "Method", method) })
 	b.source.Serve(s, b.settings.GroupToken)
 	b.memory.Serve(s, b.settings.GroupToken)
 	rpc.Handle(s, StatusMethod, b.settings.OperatorToken, func(context.Context, empty) (reducer.Status, error) {
@@ -44,7 +44,7 @@
 		return empty{}, nil
 	})
 	if err := s.Serve(b.ctx, b.rpc); err != nil && b.ctx.Err() == nil {
-		b.log.Error("rpc ended", "Error", err)
+		b.log.Error("RPC server stopped", "Error", err)
 	}
 }
 
@@ -63,11 +63,11 @@
 		_ = s.Close()
 	}()
 	if err := s.Serve(b.admin); !errors.Is(err, http.ErrServerClosed) && b.ctx.Err() == nil {
-		b.log.Error("admin ended", "Error", err)
+		b.log.Error("admin server stopped", "Error", err)
 	}
 }
 
-// announcement is what an upstream posts.
+// announcement is the JSON body of an upstream's announcement.
 type announcement struct {
 	Service     string
 	Address     string
@@ -81,10 +81,10 @@
 
 func (b *Balancer) announce(w http.ResponseWriter, r *http.Request) {
 	var a announcement
-	d := json.NewDecoder(http.MaxBytesReader(w, r.Body, bodyLimit))
+	d := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxAnnouncementBytes))
 	d.DisallowUnknownFields()
 	if err := d.Decode(&a); err != nil {
-		http.Error(w, "announcement cannot be read: "+err.Error(), http.StatusBadRequest)
+		http.Error(w, "failed to decode announcement: "+err.Error(), http.StatusBadRequest)
 		return
 	}
 	u, err := a.upstream()
@@ -94,13 +94,13 @@
 	}
 	token := strings.TrimPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if err := b.Announce(u, token); err != nil {
-		b.refuseAnnouncement(w, err)
+		b.rejectAnnouncement(w, err)
 		return
 	}
 	w.WriteHeader(http.StatusNoContent)
 }
 
-func (b *Balancer) refuseAnnouncement(w http.ResponseWriter, err error) {
+func (b *Balancer) rejectAnnouncement(w http.ResponseWriter, err error) {
 	status := http.StatusConflict
 	var refused *registry.RefusedError
 	if errors.As(err, &refused) {
@@ -113,11 +113,11 @@
 			status = http.StatusNotFound
 		}
 	}
-	b.limiter.log(b.settings.Clock(), b.log, "announcement refused", err)
+	b.logLimiter.log(b.settings.Clock(), b.log, "announcement rejected", err)
 	http.Error(w, err.Error(), status)
 }
 
-// StateError says that an announcement's state is unknown.
+// StateError reports that an announcement's state is unknown.
 type StateError struct{ State string }
 
 func (e *StateError) Error() string {
@@ -139,7 +139,8 @@
 	return u, &StateError{State: a.State}
 }
 
-// ready is false until a configuration is in force, and during a planned stop.
+// ready serves the readiness check, which fails until a configuration is in force, and
+// during a planned stop.
 func (b *Balancer) ready(w http.ResponseWriter, _ *http.Request) {
 	s := b.Status()
 	if s.Revision == 0 || s.Leaving {
@@ -158,7 +159,7 @@
 	set("Flows", uint64(s.Flows))
 	set("Openings", uint64(s.Openings))
 	set("Members", uint64(len(s.Members)))
-	set("Isolated", boolean(s.Isolated))
+	set("Isolated", boolGauge(s.Isolated))
 	set("HitsTotal", s.Router.Hits)
 	set("RelaysTotal", s.Router.Relays)
 	set("OpeningsTotal", s.Router.Openings)
@@ -175,11 +176,11 @@
 	b.doorMetrics(set)
 	set("ControlBytesTotal", s.Swim.SentBytes+s.Router.RepairBytes)
 	if err := text.New(r, metricPrefix).Print(w); err != nil {
-		b.log.Debug("metrics not sent", "Error", err)
+		b.log.Debug("failed to write metrics", "Error", err)
 	}
 }
 
-func boolean(v bool) uint64 {
+func boolGauge(v bool) uint64 {
 	if v {
 		return 1
 	}
--- a/internal/daemon/balancer/balancer.go
+++ b/internal/daemon/balancer/balancer.go
@@ -27,7 +27,7 @@
 	"wasabideal/internal/wire/pool"
 )
 
-// Settings of a balancer process.
+// Settings configure a balancer process.
 type Settings struct {
 	Reducer reducer.Settings
 	Puller  puller.Settings
@@ -36,54 +36,55 @@
 	GroupToken               string
 	OperatorToken            string
 	Tick                     time.Duration
-	// StopTimeout bounds a planned stop.
+	// StopTimeout limits the duration of a planned stop.
 	StopTimeout time.Duration
-	// Clock is where this edge reads the time.
+	// Clock returns the current time.
 	Clock func() time.Time
 	// Trace records events if set.
 	Trace *trace.Writer
-	// Doors are the addresses for requests, by service.
+	// Doors are the listen addresses of the HTTP doors, by service.
 	Doors map[string]string
-	// MaxKeys and KeyWindow bound the remembered request keys.
+	// MaxKeys and KeyWindow limit the number and the age of stored request keys.
 	MaxKeys   int
 	KeyWindow time.Duration
-	// Store and Stored keep the last configuration on a disk, where there is one.
+	// Store saves the configuration in force to disk, and Stored is the one saved before
+	// the start; both are nil without a disk.
 	Store  func(configuration.Configuration) error
 	Stored *configuration.Configuration
 }
 
-// Balancer is a running process on an entry VM.
+// Balancer is a running balancer process.
 type Balancer struct {
-	settings  Settings
-	log       hclog.Logger
-	mu        sync.Mutex
-	reducer   *reducer.Reducer
-	effects   effect.List
-	fabric    *datagram.Socket
-	peer      *datagram.Socket
-	rpc       net.Listener
-	admin     net.Listener
-	source    *source.Source
-	puller    *puller.Puller
-	fetching  atomic.Bool
-	drained   chan struct{}
-	once      sync.Once
-	stopAsked chan struct{}
-	stopOnce  sync.Once
-	ctx       context.Context
-	cancel    context.CancelFunc
-	running   sync.WaitGroup
-	published uint64
-	limiter   limiter
-	badInput  uint64
-	pool      *pool.Pool
-	memory    *memory.Memory
-	doors     map[string]*entrance
-	leaving   atomic.Bool
-	moving    context.CancelFunc
+	settings         Settings
+	log              hclog.Logger
+	mu               sync.Mutex
+	reducer          *reducer.Reducer
+	effects          effect.List
+	fabric           *datagram.Socket
+	peer             *datagram.Socket
+	rpc              net.Listener
+	admin            net.Listener
+	source           *source.Source
+	puller           *puller.Puller
+	fetching         atomic.Bool
+	drained          chan struct{}
+	drainedOnce      sync.Once
+	stopAsked        chan struct{}
+	stopOnce         sync.Once
+	ctx              context.Context
+	cancel           context.CancelFunc
+	running          sync.WaitGroup
+	storedRevision   uint64
+	logLimiter       logLimiter
+	reportedBadInput uint64
+	pool             *pool.Pool
+	memory           *memory.Memory
+	doors            map[string]*doorServer
+	leaving          atomic.Bool
+	cancelMove       context.CancelFunc
 }
 
-// Listen opens the sockets; port 0 picks free ones, which Addresses tells.
+// Listen opens the sockets; for port 0 the system picks a free port, see Addresses.
 func Listen(s Settings, log hclog.Logger) (*Balancer, error) {
 	b := &Balancer{settings: s, log: log, drained: make(chan struct{}), stopAsked: make(chan struct{})}
 	if err := b.listen(); err != nil {
@@ -101,7 +102,7 @@
 	b.memory = memory.New(memory.Settings{
 		Self: b.rosterMember(), Window: s.KeyWindow, Limit: s.MaxKeys, Clock: s.Clock,
 	}, b.pool, log)
-	b.makeDoors()
+	b.createDoors()
 	return b, nil
 }
 
@@ -122,15 +123,15 @@
 	return b.listenDoors()
 }
 
-// Addresses are where a balancer listens.
+// Addresses holds the addresses that a balancer listens on.
 type Addresses struct {
 	Fabric, Peer netip.AddrPort
 	Rpc, Admin   string
-	// Doors are by service.
+	// Doors maps services to the addresses of their doors.
 	Doors map[string]string
 }
 
-// Addresses returns where the balancer listens.
+// Addresses returns the addresses that the balancer listens on.
 func (b *Balancer) Addresses() Addresses {
 	return Addresses{
 		Fabric: b.fabric.Address(), Peer: b.peer.Address(),
@@ -138,18 +139,18 @@
 	}
 }
 
-// SetSeeds names the peers to ask for the group; it must precede Start.
+// SetSeeds sets the peers to join the group through; it must be called before Start.
 func (b *Balancer) SetSeeds(seeds []netip.AddrPort) {
 	b.settings.Reducer.Swim.Seeds = seeds
 	b.reducer = reducer.New(b.settings.Reducer, b.settings.Clock())
 }
 
-// Start begins to serve and returns at once.
+// Start starts serving in the background.
 func (b *Balancer) Start(ctx context.Context) {
 	b.ctx, b.cancel = context.WithCancel(ctx)
 	if b.settings.Trace != nil {
 		if err := b.settings.Trace.Begin(b.settings.Clock(), b.settings.Reducer); err != nil {
-			b.log.Error("trace not begun", "Error", err)
+			b.log.Error("failed to start trace", "Error", err)
 		}
 	}
 	if b.settings.Stored != nil {
@@ -172,8 +173,8 @@
 	}()
 }
 
-// Stop ends the process in the planned way: flows are handed over first, up to
-// the stop timeout, and the group is told.
+// Stop stops the process gracefully: it hands flows over within the stop timeout, and tells
+// the group that it leaves.
 func (b *Balancer) Stop(ctx context.Context) error {
 	b.leaving.Store(true)
 	_ = b.reduce(event.Event{Kind: event.StopPlanned})
@@ -181,7 +182,7 @@
 	defer timeout.Stop()
 	var err error
 	select {
-	case <-b.handedOver(ctx):
+	case <-b.waitHandedOver(ctx):
 	case <-timeout.C:
 		err = &StopTimeoutError{After: b.settings.StopTimeout}
 	case <-ctx.Done():
@@ -192,14 +193,14 @@
 	return err
 }
 
-// StopTimeoutError says that a planned stop ended before all flows were handed over.
+// StopTimeoutError reports that a planned stop ended before all flows were handed over.
 type StopTimeoutError struct{ After time.Duration }
 
 func (e *StopTimeoutError) Error() string {
 	return fmt.Sprintf("stopped after %s with flows not handed over; raise StopTimeout", e.After)
 }
 
-// Kill ends the process at once, as a crash would.
+// Kill stops the process without handing flows over, like a crash.
 func (b *Balancer) Kill() {
 	if b.cancel != nil {
 		b.cancel()
@@ -227,56 +228,56 @@
 	}
 }
 
-// Done is closed when a planned stop has handed all flows over.
+// Done returns a channel that is closed when a planned stop has handed all flows over.
 func (b *Balancer) Done() <-chan struct{} { return b.drained }
 
-// StopAsked is closed when an operator asked for a planned stop.
+// StopAsked returns a channel that is closed when an operator requests a planned stop.
 func (b *Balancer) StopAsked() <-chan struct{} { return b.stopAsked }
 
 func (b *Balancer) requestStop() { b.stopOnce.Do(func() { close(b.stopAsked) }) }
 
-// Status returns the state that operators see.
+// Status returns the status shown to operators.
 func (b *Balancer) Status() reducer.Status {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.reducer.Status(b.settings.Clock())
 }
 
-// Configuration returns the configuration in force here.
+// Configuration returns the configuration in force.
 func (b *Balancer) Configuration() configuration.Configuration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.reducer.Configuration()
 }
 
-// Announce takes an upstream's announcement.
+// Announce applies an upstream's announcement if the service's token is valid.
 func (b *Balancer) Announce(u upstream.Upstream, token string) error {
 	sum := sha256.Sum256([]byte(token))
 	return b.reduce(event.Event{Kind: event.Announced, Upstream: &u, TokenSha256: hex.EncodeToString(sum[:])})
 }
 
-// Offer puts a configuration in force if it is newer.
+// Offer applies a configuration if it is newer, publishes it to peers and saves it.
 func (b *Balancer) Offer(c configuration.Configuration) {
 	_ = b.reduce(event.Event{Kind: event.Offered, Configuration: &c})
 	now := b.Configuration()
 	b.source.Publish(now)
-	if b.settings.Store == nil || now.Revision <= b.published {
+	if b.settings.Store == nil || now.Revision <= b.storedRevision {
 		return
 	}
-	b.published = now.Revision
+	b.storedRevision = now.Revision
 	if err := b.settings.Store(now); err != nil {
-		b.log.Warn("configuration is not on disk", "Revision", now.Revision, "Error", err)
+		b.log.Warn("failed to save configuration", "Revision", now.Revision, "Error", err)
 	}
 }
 
-// Evacuations returns the orders for availability zones in force.
+// Evacuations returns the evacuation commands in force.
 func (b *Balancer) Evacuations() evacuation.Evacuations {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.reducer.Evacuations()
 }
 
-// OfferEvacuations puts orders for availability zones in force if they are newer.
+// OfferEvacuations applies evacuation commands if they are newer.
 func (b *Balancer) OfferEvacuations(e evacuation.Evacuations) {
 	before := b.Evacuations()
 	_ = b.reduce(event.Event{Kind: event.Evacuated, Evacuations: &e})
@@ -286,9 +287,9 @@
 	}
 }
 
-// BadInputError says how many datagrams were dropped since the last report.
+// BadInputError reports the number of datagrams dropped since the last log line.
 type BadInputError struct{ Datagrams uint64 }
 
 func (e *BadInputError) Error() string {
-	return fmt.Sprintf("%d datagrams were malformed, unsealed or from strangers", e.Datagrams)
+	return fmt.Sprintf("%d datagrams were malformed, unauthenticated or from unknown senders", e.Datagrams)
 }
--- a/internal/daemon/balancer/balancer_test.go
+++ b/internal/daemon/balancer/balancer_test.go
@@ -52,7 +52,7 @@
 	return b
 }
 
-func TestAnnouncementsNeedTheServicesToken(t *testing.T) {
+func TestAnnouncementsRequireServiceToken(t *testing.T) {
 	b := start(t)
 	post := func(token, body string) int {
 		r, err := http.NewRequest(http.MethodPost, "http://"+b.Addresses().Admin+"/announce", strings.NewReader(body))
@@ -74,7 +74,7 @@
 	require.Len(t, b.Status().Upstreams, 1)
 }
 
-func TestStaleConfigurationNeverReplacesANewerOne(t *testing.T) {
+func TestStaleConfigurationIsIgnored(t *testing.T) {
 	b := start(t)
 	c := b.Configuration()
 	b.Offer(c.WithRevision(7))
@@ -82,7 +82,7 @@
 	require.EqualValues(t, 7, b.Configuration().Revision)
 }
 
-func TestCallsNeedAToken(t *testing.T) {
+func TestCallsRequireToken(t *testing.T) {
 	b := start(t)
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
@@ -94,12 +94,12 @@
 	require.Equal(t, "rpc.DeniedError", remote.Kind)
 	select {
 	case <-b.StopAsked():
-		t.Fatal("a call without token asked for a stop")
+		t.Fatal("a call without a valid token requested a stop")
 	default:
 	}
 }
 
-// BenchmarkSockets sends packets of one held flow through real sockets.
+// BenchmarkSockets sends packets of an established flow through real sockets.
 func BenchmarkSockets(b *testing.B) {
 	node := start(b)
 	sink, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -141,8 +141,8 @@
 	b.ReportMetric(float64(<-done)/float64(b.N), "delivered/sent")
 }
 
-// TestStrangersDatagramsAreDroppedAndCounted sends garbage to both ports.
-func TestStrangersDatagramsAreDroppedAndCounted(t *testing.T) {
+// TestInvalidDatagramsAreDroppedAndCounted sends garbage to both ports.
+func TestInvalidDatagramsAreDroppedAndCounted(t *testing.T) {
 	b := start(t)
 	for _, to := range []netip.AddrPort{b.Addresses().Fabric, b.Addresses().Peer} {
 		c, err := net.DialUDP("udp4", nil, net.UDPAddrFromAddrPort(to))
@@ -154,9 +154,9 @@
 	require.Eventually(t, func() bool { return b.Status().Refused == 2 }, 10*time.Second, time.Millisecond)
 }
 
-// TestDoorSpeaksBothVersions asks a door without upstreams: the answer is a
-// true "not run" in HTTP/1.1 and in HTTP/2.
-func TestDoorSpeaksBothVersions(t *testing.T) {
+// TestDoorServesHTTP1AndHTTP2 sends requests in HTTP/1.1 and HTTP/2 to a door without
+// upstreams: it must answer that the request was not run.
+func TestDoorServesHTTP1AndHTTP2(t *testing.T) {
 	b := start(t)
 	for _, major := range []int{1, 2} {
 		p := new(http.Protocols)
--- a/internal/daemon/balancer/doc.go
+++ b/internal/daemon/balancer/doc.go
@@ -1,3 +1,3 @@
-// Package balancer is the process on an entry VM: sockets and timers around
-// the reducer, which alone decides.
+// Package balancer implements the balancer process of an entry VM. It adds sockets and
+// timers to the reducer, which makes all decisions.
 package balancer
--- a/internal/daemon/balancer/events.go
+++ b/internal/daemon/balancer/events.go
@@ -24,26 +24,26 @@
 	}
 }
 
-// reportBadInput logs dropped datagrams in bulk: a line for each would let
-// anyone who can send them fill the disk.
+// reportBadInput logs the number of dropped datagrams; with a line for each, anyone who can
+// send datagrams could fill the disk.
 func (b *Balancer) reportBadInput() {
 	b.mu.Lock()
 	bad := b.reducer.BadInput()
 	b.mu.Unlock()
-	if bad == b.badInput {
+	if bad == b.reportedBadInput {
 		return
 	}
-	if b.limiter.log(b.settings.Clock(), b.log, "bad input dropped", &BadInputError{Datagrams: bad - b.badInput}) {
-		b.badInput = bad
+	if b.logLimiter.log(b.settings.Clock(), b.log, "invalid datagrams dropped", &BadInputError{Datagrams: bad - b.reportedBadInput}) {
+		b.reportedBadInput = bad
 	}
 }
 
-// reduce applies one event and carries out its effects.
+// reduce applies an event and executes its effects.
 func (b *Balancer) reduce(e event.Event) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	err := b.apply(e)
-	b.carryOut()
+	b.executeEffects()
 	return err
 }
 
@@ -51,14 +51,14 @@
 	now := b.settings.Clock()
 	if b.settings.Trace != nil {
 		if err := b.settings.Trace.Write(now, e); err != nil {
-			b.limiter.log(now, b.log, "trace stopped", err)
+			b.logLimiter.log(now, b.log, "failed to write trace", err)
 		}
 	}
 	return b.reducer.Reduce(now, e, &b.effects)
 }
 
-// carryOut does what the reducer asked for; the lock is held.
-func (b *Balancer) carryOut() {
+// executeEffects executes the reducer's effects. The caller holds the lock.
+func (b *Balancer) executeEffects() {
 	for i := range b.effects.Effects {
 		x := &b.effects.Effects[i]
 		switch x.Kind {
@@ -69,7 +69,7 @@
 		case effect.Fetch:
 			b.fetch(x.To)
 		case effect.Drained:
-			b.once.Do(func() { close(b.drained) })
+			b.drainedOnce.Do(func() { close(b.drained) })
 		case effect.Alarm:
 			b.log.Error("alarm", "Text", x.Text)
 		}
@@ -77,13 +77,13 @@
 	now := b.settings.Clock()
 	for _, s := range []*datagram.Socket{b.fabric, b.peer} {
 		if err := s.Flush(); err != nil && b.ctx != nil && b.ctx.Err() == nil {
-			b.limiter.log(now, b.log, "datagrams lost", err)
+			b.logLimiter.log(now, b.log, "failed to send datagrams", err)
 		}
 	}
 	b.effects.Reset()
 }
 
-// fetch asks a peer that has a newer configuration, one question at a time.
+// fetch fetches a newer configuration from a peer, one request at a time.
 func (b *Balancer) fetch(from netip.AddrPort) {
 	if b.ctx == nil || !b.fetching.CompareAndSwap(false, true) {
 		return
@@ -96,7 +96,7 @@
 	})
 }
 
-// read takes datagrams in batches and reduces each batch under one lock.
+// read receives datagrams in batches and applies each batch under one lock.
 func (b *Balancer) read(s *datagram.Socket, kind event.Kind) {
 	for {
 		n, err := s.Read()
@@ -108,7 +108,7 @@
 			from, data := s.Datagram(i)
 			_ = b.apply(event.Event{Kind: kind, From: from, Data: data})
 		}
-		b.carryOut()
+		b.executeEffects()
 		b.mu.Unlock()
 	}
 }
--- a/internal/daemon/balancer/limiter.go
+++ b/internal/daemon/balancer/limiter.go
@@ -7,15 +7,15 @@
 	"github.com/hashicorp/go-hclog"
 )
 
-// limiter logs at most once a second and counts the rest.
-type limiter struct {
+// logLimiter logs at most one line a second and counts the skipped ones.
+type logLimiter struct {
 	mu      sync.Mutex
 	last    time.Time
 	skipped int
 }
 
-// log reports whether the line was written.
-func (l *limiter) log(now time.Time, log hclog.Logger, text string, err error) bool {
+// log logs a warning, and reports whether it did.
+func (l *logLimiter) log(now time.Time, log hclog.Logger, text string, err error) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if now.Sub(l.last) < time.Second {
--- a/internal/daemon/balancer/requests.go
+++ b/internal/daemon/balancer/requests.go
@@ -24,26 +24,26 @@
 )
 
 const (
-	claimTimeout  = time.Second
-	helloEvery    = 500 * time.Millisecond
-	refreshEvery  = 100 * time.Millisecond
-	expireEvery   = 5 * time.Second
-	handOverPoll  = 50 * time.Millisecond
-	doorIdle      = time.Minute
-	defaultQueue  = 50
-	defaultRetry  = 10
-	firstSlotsCap = 1
+	claimTimeout         = time.Second
+	reportInterval       = 500 * time.Millisecond
+	refreshInterval      = 100 * time.Millisecond
+	expireInterval       = 5 * time.Second
+	handOverPollInterval = 50 * time.Millisecond
+	doorIdleTimeout      = time.Minute
+	initialQueueLimit    = 50
+	initialRetryPercent  = 10
+	initialSlotLimit     = 1
 )
 
-// entrance is a door with its listener.
-type entrance struct {
+// doorServer is a door with its listener and HTTP server.
+type doorServer struct {
 	service  string
 	listener net.Listener
 	server   *http.Server
 	door     *door.Door
 }
 
-func (e *entrance) close() {
+func (e *doorServer) close() {
 	if e.server != nil {
 		_ = e.server.Close()
 	}
@@ -51,19 +51,19 @@
 }
 
 func (b *Balancer) listenDoors() error {
-	b.doors = map[string]*entrance{}
+	b.doors = map[string]*doorServer{}
 	for service, address := range b.settings.Doors {
 		l, err := net.Listen("tcp", address)
 		if err != nil {
 			return fmt.Errorf("listen on Door of %s: %w", service, err)
 		}
-		b.doors[service] = &entrance{service: service, listener: l}
+		b.doors[service] = &doorServer{service: service, listener: l}
 	}
 	return nil
 }
 
 func (b *Balancer) doorAddresses() map[string]string {
-	return lo.MapValues(b.doors, func(e *entrance, _ string) string { return e.listener.Addr().String() })
+	return lo.MapValues(b.doors, func(e *doorServer, _ string) string { return e.listener.Addr().String() })
 }
 
 func (b *Balancer) rosterMember() roster.Member {
@@ -71,22 +71,22 @@
 	return roster.Member{Name: s.Name, Zone: s.Zone, Start: s.Start, Rpc: b.settings.Reducer.Source}
 }
 
-func (b *Balancer) makeDoors() {
+func (b *Balancer) createDoors() {
 	c := claimer.New(b.memory, claimTimeout, b.memory.View)
 	for _, e := range b.doors {
 		e.door = door.New(door.Settings{
 			Service: e.service, Name: b.settings.Reducer.Router.Self, Clock: b.settings.Clock,
-			Dispatch: dispatch.Settings{SlotLimit: firstSlotsCap, QueueLimit: defaultQueue, RetryPercent: defaultRetry},
+			Dispatch: dispatch.Settings{SlotLimit: initialSlotLimit, QueueLimit: initialQueueLimit, RetryPercent: initialRetryPercent},
 		}, c, b.log)
 		e.server = &http.Server{
-			Handler: e.door, ReadHeaderTimeout: headerTimeout, IdleTimeout: doorIdle, ErrorLog: b.log.StandardLogger(nil),
+			Handler: e.door, ReadHeaderTimeout: headerTimeout, IdleTimeout: doorIdleTimeout, ErrorLog: b.log.StandardLogger(nil),
 			Protocols: protocols(),
 		}
 	}
 }
 
-// protocols are HTTP/1.1 and HTTP/2 without TLS; a planned stop tells the
-// latter's callers by GOAWAY to go elsewhere.
+// protocols returns HTTP/1.1 and HTTP/2 without TLS. In a planned stop, HTTP/2 clients are
+// sent GOAWAY and connect to another balancer.
 func protocols() *http.Protocols {
 	p := new(http.Protocols)
 	p.SetHTTP1(true)
@@ -99,43 +99,45 @@
 		b.goRun(func() { e.door.Run(b.ctx) })
 		b.goRun(func() {
 			if err := e.server.Serve(e.listener); !errors.Is(err, http.ErrServerClosed) && b.ctx.Err() == nil {
-				b.log.Error("door ended", "Service", e.service, "Error", err)
+				b.log.Error("door server stopped", "Service", e.service, "Error", err)
 			}
 		})
 	}
-	r := registrar.New(b.settings.Puller.Sources, helloEvery, b.pool, b.hello)
+	r := registrar.New(b.settings.Puller.Sources, reportInterval, b.pool, b.rosterReport)
 	b.goRun(func() { r.Run(b.ctx) })
 	b.goRun(b.refreshDoors)
 }
 
-func (b *Balancer) hello() keeper.Hello {
+func (b *Balancer) rosterReport() keeper.Hello {
 	return keeper.Hello{Member: b.rosterMember(), Leaving: b.leaving.Load(), Moved: b.memory.Moved()}
 }
 
-// RosterVersion returns the version of the roster held.
+// RosterVersion returns the version of the current roster.
 func (b *Balancer) RosterVersion() uint64 { return b.memory.View().Roster.Version }
 
-// OfferRoster moves to a roster if it is newer, and copies keys where it asks for it.
+// OfferRoster applies a roster if it is newer, and copies the keys stored here to the members
+// that must store them under it.
 func (b *Balancer) OfferRoster(r roster.Roster) {
 	if !b.memory.SetRoster(r) {
 		return
 	}
 	b.source.PublishRoster(r)
 	b.mu.Lock()
-	if b.moving != nil {
-		b.moving()
+	if b.cancelMove != nil {
+		b.cancelMove()
 	}
 	ctx, cancel := context.WithCancel(b.ctx)
-	b.moving = cancel
+	b.cancelMove = cancel
 	b.mu.Unlock()
 	b.goRun(func() { b.memory.Move(ctx) })
 }
 
-// refreshDoors hands the doors what members and upstreams there are now.
+// refreshDoors updates the doors with the current members and upstreams, and removes expired
+// keys.
 func (b *Balancer) refreshDoors() {
-	refresh := time.NewTicker(refreshEvery)
+	refresh := time.NewTicker(refreshInterval)
 	defer refresh.Stop()
-	expire := time.NewTicker(expireEvery)
+	expire := time.NewTicker(expireInterval)
 	defer expire.Stop()
 	for {
 		select {
@@ -151,23 +153,23 @@
 	}
 }
 
-func (b *Balancer) refreshDoor(e *entrance) {
+func (b *Balancer) refreshDoor(e *doorServer) {
 	now := b.settings.Clock()
 	b.mu.Lock()
 	c := b.reducer.Configuration()
-	ups := b.reducer.Serving(now, e.service)
+	upstreams := b.reducer.Serving(now, e.service)
 	members := b.reducer.Members()
-	shares := lo.Map(ups, func(u upstream.Upstream, _ int) float64 { return b.reducer.Share(now, u.Address) })
+	shares := lo.Map(upstreams, func(u upstream.Upstream, _ int) float64 { return b.reducer.Share(now, u.Address) })
 	b.mu.Unlock()
 	service, _ := c.Service(e.service)
 	e.door.SetService(service.Repeatable, service.Priority)
 	names := lo.FilterMap(members, func(m swim.Member, _ int) (string, bool) { return m.Name, !m.Passive })
-	h := homes.New(lo.Map(ups, func(u upstream.Upstream, _ int) homes.Upstream {
+	h := homes.New(lo.Map(upstreams, func(u upstream.Upstream, _ int) homes.Upstream {
 		return homes.Upstream{Name: u.Address.String(), Slots: slots(u, c)}
 	}), names)
-	targets := make([]dispatch.Target, 0, len(ups))
+	targets := make([]dispatch.Target, 0, len(upstreams))
 	doors := map[string]string{}
-	for i, u := range ups {
+	for i, u := range upstreams {
 		name := u.Address.String()
 		if u.Door == "" {
 			continue
@@ -185,8 +187,9 @@
 	return min(int(u.Slots), max(c.Preset().SlotLimit, 1))
 }
 
-// handedOver is closed when requests are answered, and flows and keys are elsewhere.
-func (b *Balancer) handedOver(ctx context.Context) <-chan struct{} {
+// waitHandedOver returns a channel that is closed when all requests are answered, and flows
+// and keys are handed over.
+func (b *Balancer) waitHandedOver(ctx context.Context) <-chan struct{} {
 	done := make(chan struct{})
 	b.goRun(func() {
 		defer close(done)
@@ -203,15 +206,15 @@
 		case <-b.drained:
 		case <-b.ctx.Done():
 		}
-		for b.ctx.Err() == nil && ctx.Err() == nil && b.remembers() {
-			time.Sleep(handOverPoll)
+		for b.ctx.Err() == nil && ctx.Err() == nil && b.holdsKeys() {
+			time.Sleep(handOverPollInterval)
 		}
 	})
 	return done
 }
 
-// remembers says whether the roster still relies on this balancer's keys.
-func (b *Balancer) remembers() bool {
+// holdsKeys reports whether the roster still relies on the keys of this balancer.
+func (b *Balancer) holdsKeys() bool {
 	r := b.memory.View().Roster
 	self := b.rosterMember()
 	if r.Has(self) {
