--- a/internal/daemon/balancer/balancer.go
+++ b/internal/daemon/balancer/balancer.go
@@ -47,8 +47,8 @@
 	// MaxKeys and KeyWindow limit the number and the age of stored request keys.
 	MaxKeys   int
 	KeyWindow time.Duration
-	// Store saves the configuration in force to disk, and Stored is the one saved before
-	// the start; both are nil without a disk.
+	// Store saves the configuration in force to disk, and Stored the one saved before
+	// the start, if any; both are nil without a disk.
 	Store  func(configuration.Configuration) error
 	Stored *configuration.Configuration
 }
@@ -173,8 +173,8 @@
 	}()
 }
 
-// Stop stops the process gracefully: it hands flows over within the stop timeout, and tells
-// the group that it leaves.
+// Stop stops the process gracefully: it hands flows over within the stop timeout, and
+// announces its departure to the group.
 func (b *Balancer) Stop(ctx context.Context) error {
 	b.leaving.Store(true)
 	_ = b.reduce(event.Event{Kind: event.StopPlanned})
--- a/internal/daemon/cookie/fanout.go
+++ b/internal/daemon/cookie/fanout.go
@@ -149,7 +149,7 @@
 
 // News returns the response to a follower's long poll, and whether it holds anything new.
 func (b *Balancer) News(now time.Time, q relay.Question) (relay.Answer, bool) {
-	a, news := b.follower.News(now, q)
+	a, changed := b.follower.News(now, q)
 	known := make(map[string]origins.Known, len(q.Known))
 	for _, k := range q.Known {
 		known[k.Voter] = k
@@ -159,7 +159,7 @@
 	a.Revision = max(b.held.Revision, b.follower.Missing(now, b.held.Revision))
 	if b.evacuations.Revision > q.Evacuations {
 		e := b.evacuations
-		a.Evacuations, news = &e, true
+		a.Evacuations, changed = &e, true
 	}
 	portion.New(b.settings.Zone).Fill(a.Origins, func(x origins.Origin) []directory.Notice {
 		version := uint64(0)
@@ -171,7 +171,7 @@
 		}
 		return b.view.Since(now, x.Voter, x.Life, version)
 	})
-	return a, news || a.Revision > q.Revision
+	return a, changed || a.Revision > q.Revision
 }
 
 // Leaving reports whether the balancer is stopping.
