--- a/internal/request/door/attempt.go
+++ b/internal/request/door/attempt.go
@@ -14,63 +14,62 @@
 	"wasabideal/internal/request/keys"
 )
 
-// attempt sends the request to one upstream. It returns done when the caller
-// has their answer, and again when the request surely did not run, or may be
-// repeated.
-func (d *Door) attempt(ctx context.Context, x *exchange, target string, try int) (again, done bool) {
-	begin := d.settings.Clock()
+// attempt sends the request to one upstream. It returns done when a response was
+// written to the caller, and retry when the request did not run or may run twice.
+func (d *Door) attempt(ctx context.Context, x *exchange, target string, try int) (retry, done bool) {
+	start := d.settings.Clock()
 	sent := &sentFlag{}
 	response, err := d.send(ctx, x, target, sent)
 	if err != nil {
-		return d.failed(ctx, x, target, sent, err)
+		return d.handleFailure(ctx, x, target, sent, err)
 	}
 	defer func() { _ = response.Body.Close() }()
-	took := func() time.Duration { return d.settings.Clock().Sub(begin) }
+	took := func() time.Duration { return d.settings.Clock().Sub(start) }
 	if response.StatusCode == http.StatusServiceUnavailable && response.Header.Get(OutcomeHeader) == OutcomeNotRun {
 		d.Counters.Shed.Add(1)
 		d.done(target, dispatch.Shed, took())
-		x.avoid = []string{target}
-		return x.replays, false
+		x.excluded = []string{target}
+		return x.replayable, false
 	}
 	result := dispatch.Answered
 	if response.StatusCode >= http.StatusInternalServerError {
 		result = dispatch.Failed
 	}
-	if result == dispatch.Failed && x.repeats && x.replays && try < triesLimit && d.mayRetry() {
+	if result == dispatch.Failed && x.idempotent && x.replayable && try < maxAttempts && d.mayRetry() {
 		d.Counters.Retried.Add(1)
 		d.done(target, result, took())
-		x.avoid = append(x.avoid, target)
+		x.excluded = append(x.excluded, target)
 		return true, false
 	}
 	defer func() { d.done(target, result, took()) }()
-	d.pass(x, response)
+	d.forwardResponse(x, response)
 	return false, true
 }
 
-// failed decides on an attempt without an answer: one that was not sent may go
-// elsewhere, one that was sent only where the request may run twice.
-func (d *Door) failed(ctx context.Context, x *exchange, target string, sent *sentFlag, err error) (again, done bool) {
+// handleFailure handles an attempt without a response. A request that was not sent may
+// go to another upstream; one that was sent is retried only if it may run twice.
+func (d *Door) handleFailure(ctx context.Context, x *exchange, target string, sent *sentFlag, err error) (again, done bool) {
 	result := dispatch.Failed
 	if x.request.Context().Err() != nil {
 		result = dispatch.Cancelled
 	}
 	d.done(target, result, 0)
-	x.avoid = append(x.avoid, target)
+	x.excluded = append(x.excluded, target)
 	if !sent.get() {
 		return ctx.Err() == nil, false
 	}
-	if ctx.Err() == nil && x.replays && x.repeats && d.mayRetry() {
+	if ctx.Err() == nil && x.replayable && x.idempotent && d.mayRetry() {
 		d.Counters.Retried.Add(1)
 		return true, false
 	}
 	if x.request.Context().Err() != nil {
 		d.Counters.Cancelled.Add(1)
 	}
-	d.unknown(x, err)
+	d.respondUnknown(x, err)
 	return false, true
 }
 
-// NoAddressError says that an upstream left while its request was on the way.
+// NoAddressError reports that an upstream was removed after it was selected.
 type NoAddressError struct{ Target string }
 
 func (d *Door) send(ctx context.Context, x *exchange, target string, sent *sentFlag) (*http.Response, error) {
@@ -80,8 +79,8 @@
 	}
 	url := "http://" + address + x.request.URL.RequestURI()
 	var body io.Reader = bytes.NewReader(x.body)
-	if !x.replays {
-		body = io.MultiReader(body, x.rest)
+	if !x.replayable {
+		body = io.MultiReader(body, x.unreadBody)
 	}
 	r, err := http.NewRequestWithContext(sent.trace(ctx), x.request.Method, url, io.NopCloser(body))
 	if err != nil {
@@ -90,21 +89,21 @@
 	r.Header = x.request.Header.Clone()
 	dropHopHeaders(r.Header)
 	r.Host = x.request.Host
-	if x.replays {
+	if x.replayable {
 		r.ContentLength = int64(len(x.body))
 	} else {
 		r.ContentLength = x.request.ContentLength
 	}
 	left := x.deadline.Sub(d.settings.Clock()) - hopMargin
 	r.Header.Set("Prefer", "wait="+strconv.FormatFloat(max(left.Seconds(), 0.001), 'f', 3, 64))
-	transport := d.once
-	if x.repeats {
+	transport := d.oneShotTransport
+	if x.idempotent {
 		transport = d.transport
 	}
 	return transport.RoundTrip(r)
 }
 
-// dropHopHeaders removes what is between two neighbours only (RFC 9110, 7.6.1).
+// dropHopHeaders removes hop-by-hop headers (RFC 9110, 7.6.1).
 func dropHopHeaders(h http.Header) {
 	for _, name := range strings.Split(h.Get("Connection"), ",") {
 		h.Del(strings.TrimSpace(name))
@@ -114,10 +113,10 @@
 	}
 }
 
-// pass hands the answer to the caller as it comes. One that breaks off in the
-// middle breaks off for the caller too: a whole-looking half would be taken for
-// the answer.
-func (d *Door) pass(x *exchange, response *http.Response) {
+// forwardResponse streams the response to the caller. If the upstream's response is
+// cut off, the caller's connection is aborted, because a truncated response that ends
+// normally looks complete.
+func (d *Door) forwardResponse(x *exchange, response *http.Response) {
 	dropHopHeaders(response.Header)
 	h := x.writer.Header()
 	for name, values := range response.Header {
@@ -125,8 +124,8 @@
 	}
 	h.Set(OutcomeHeader, OutcomeAnswered)
 	x.writer.WriteHeader(response.StatusCode)
-	kept := &keeping{limit: keepLimit}
-	_, err := io.CopyBuffer(x.writer, io.TeeReader(response.Body, kept), make([]byte, copyBuffer))
+	stored := &limitedBuffer{limit: storedResponseLimit}
+	_, err := io.CopyBuffer(x.writer, io.TeeReader(response.Body, stored), make([]byte, copyBuffer))
 	if err != nil {
 		d.Counters.Truncated.Add(1)
 		panic(http.ErrAbortHandler)
@@ -134,7 +133,7 @@
 	d.Counters.Answered.Add(1)
 	if x.claimed {
 		x.record.Answer = &keys.Answer{
-			Status: response.StatusCode, ContentType: response.Header.Get("Content-Type"), Body: kept.body, Whole: !kept.over,
+			Status: response.StatusCode, ContentType: response.Header.Get("Content-Type"), Body: stored.body, Whole: !stored.overflow,
 		}
 		d.claimer.Finish(x.request.Context(), x.record)
 	}
--- a/internal/request/door/doc.go
+++ b/internal/request/door/doc.go
@@ -1,3 +1,4 @@
-// Package door takes a service's requests over HTTP, and gives each caller the
-// whole answer to their own request, a true "not run", or an honest "unknown".
+// Package door proxies the HTTP requests of a service to its upstreams. The caller
+// gets the complete response, or learns that the request did not run or that its
+// outcome is unknown.
 package door
--- a/internal/request/door/door.go
+++ b/internal/request/door/door.go
@@ -14,14 +14,14 @@
 	"wasabideal/internal/request/dispatch"
 )
 
-// The headers of a door beside the standard ones.
+// Request and response headers that are not part of HTTP.
 const (
 	KeyHeader     = "Idempotency-Key"
 	OutcomeHeader = "Wasabideal-Outcome"
 	RepeatHeader  = "Wasabideal-Repeated"
 )
 
-// The outcomes that the outcome header tells.
+// Values of OutcomeHeader.
 const (
 	OutcomeAnswered = "Answered"
 	OutcomeNotRun   = "NotRun"
@@ -29,84 +29,85 @@
 )
 
 const (
-	defaultWait = 10 * time.Second
-	longestWait = time.Minute
-	// replayLimit is the body size up to which a request can be sent again.
+	defaultTimeout = 10 * time.Second
+	maxTimeout     = time.Minute
+	// replayLimit is the largest request body that is buffered for a retry.
 	replayLimit = 64 << 10
-	// keepLimit is the answer size up to which a repeat gets it again.
-	keepLimit   = 4 << 10
-	keyLimit    = 128
-	triesLimit  = 24
-	tickEvery   = 10 * time.Millisecond
-	hopMargin   = 5 * time.Millisecond
-	copyBuffer  = 32 << 10
-	unknownHint = time.Second
+	// storedResponseLimit is the largest response body that is stored under a request key.
+	storedResponseLimit = 4 << 10
+	keyLimit            = 128
+	maxAttempts         = 24
+	tickInterval        = 10 * time.Millisecond
+	hopMargin           = 5 * time.Millisecond
+	copyBuffer          = 32 << 10
+	defaultRetryAfter   = time.Second
 )
 
-// Settings of a door.
+// Settings configures a Door.
 type Settings struct {
 	Service string
-	// Name of the balancer, for the names of attempts.
+	// Name of the balancer; it is part of each attempt's identifier.
 	Name     string
 	Dispatch dispatch.Settings
 	Clock    func() time.Time
 }
 
-// Counters are a door's running totals.
+// Counters holds the totals of a Door since its start.
 type Counters struct {
 	Requests, Answered, NotRun, Unknown, Repeated, Shed, Retried, Cancelled, Truncated atomic.Int64
 }
 
-// Door serves one service; it is safe for concurrent use.
+// Door is the HTTP proxy of one service. It is safe for concurrent use.
 type Door struct {
-	settings  Settings
-	log       hclog.Logger
-	claimer   *claimer.Claimer
-	transport *http.Transport
-	once      *http.Transport
-	mu        sync.Mutex
-	dispatch  *dispatch.Dispatch
-	doors     map[string]string
-	waiting   map[uint64]chan dispatch.Decision
-	next      uint64
-	// repeatable says that a POST without a key may be sent twice.
+	settings         Settings
+	log              hclog.Logger
+	claimer          *claimer.Claimer
+	transport        *http.Transport
+	oneShotTransport *http.Transport
+	mu               sync.Mutex
+	dispatch         *dispatch.Dispatch
+	addresses        map[string]string
+	waiting          map[uint64]chan dispatch.Decision
+	lastID           uint64
+	// repeatable allows retries of requests with any method and no key.
 	repeatable bool
 	priority   int
 	Counters   Counters
 }
 
-// New returns a door without upstreams.
+// New returns a Door without upstreams.
 func New(s Settings, c *claimer.Claimer, log hclog.Logger) *Door {
 	return &Door{
 		settings: s, log: log, claimer: c, dispatch: dispatch.New(s.Dispatch, xxhash.Sum64String(s.Name+s.Service)),
 		transport: &http.Transport{MaxIdleConnsPerHost: 16, IdleConnTimeout: 30 * time.Second},
-		// The standard transport sends a request with an Idempotency-Key again by
-		// itself when a kept connection breaks; on new ones it never does.
-		once:  &http.Transport{DisableKeepAlives: true},
-		doors: map[string]string{}, waiting: map[uint64]chan dispatch.Decision{},
+		// http.Transport resends a request with an Idempotency-Key when a reused
+		// connection breaks; on a new connection it never resends.
+		oneShotTransport: &http.Transport{DisableKeepAlives: true},
+		addresses:        map[string]string{}, waiting: map[uint64]chan dispatch.Decision{},
 	}
 }
 
-// SetTargets replaces the upstreams; doors are their HTTP addresses by name.
-func (d *Door) SetTargets(s dispatch.Settings, ts []dispatch.Target, doors map[string]string) {
+// SetTargets replaces the settings and the upstreams; doors maps an upstream's name
+// to its HTTP address.
+func (d *Door) SetTargets(s dispatch.Settings, ts []dispatch.Target, addresses map[string]string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.dispatch.SetSettings(s)
 	d.dispatch.SetTargets(ts)
-	d.doors = doors
+	d.addresses = addresses
 	d.deliver(d.dispatch.Tick(d.settings.Clock()))
 }
 
-// SetService takes what the configuration says of the service.
+// SetService sets the retry policy and the queue priority of the service.
 func (d *Door) SetService(repeatable bool, priority int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.repeatable, d.priority = repeatable, priority
 }
 
-// Run gives up and sends waiting requests as time passes.
+// Run dispatches and expires queued requests until ctx ends.
 func (d *Door) Run(ctx context.Context) {
-	t := time.NewTicker(tickEvery)
+	t := time.NewTicker(tickInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -120,7 +121,7 @@
 	}
 }
 
-// deliver hands decisions to the requests that wait for them; the lock is held.
+// deliver sends each decision to the request that waits for it. d.mu must be held.
 func (d *Door) deliver(ds []dispatch.Decision) {
 	for _, x := range ds {
 		if w := d.waiting[x.ID]; w != nil {
@@ -130,10 +131,10 @@
 	}
 }
 
-// ServeHTTP serves one request.
+// ServeHTTP proxies one request.
 func (d *Door) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	d.Counters.Requests.Add(1)
-	x, err := d.read(w, r)
+	x, err := d.newExchange(w, r)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
@@ -146,66 +147,67 @@
 	d.serve(ctx, x)
 }
 
-// serve sends the request until it is answered, given up, or its fate unknown.
+// serve attempts the request until it is answered, rejected, or its outcome is
+// unknown.
 func (d *Door) serve(ctx context.Context, x *exchange) {
 	ds := d.offer(x)
 	for try := 1; ; try++ {
 		decision, ok := d.wait(ctx, x, ds)
 		if !ok {
-			d.giveUp(x, dispatch.ReasonDeadline, unknownHint)
+			d.reject(x, dispatch.ReasonDeadline, defaultRetryAfter)
 			return
 		}
 		if decision.Err != nil {
-			d.giveUp(x, decision.Err.Reason, decision.Err.RetryAfter)
+			d.reject(x, decision.Err.Reason, decision.Err.RetryAfter)
 			return
 		}
-		again, done := d.attempt(ctx, x, decision.Target, try)
+		retry, done := d.attempt(ctx, x, decision.Target, try)
 		if done {
 			return
 		}
-		if !again || try >= triesLimit {
-			d.giveUp(x, "every upstream tried refused it", unknownHint)
+		if !retry || try >= maxAttempts {
+			d.reject(x, "all attempted upstreams rejected the request", defaultRetryAfter)
 			return
 		}
-		ds = d.again(x)
+		ds = d.retry(x)
 	}
 }
 
-// giveUp ends a request that surely did not run, and gives its key back.
-func (d *Door) giveUp(x *exchange, reason string, after time.Duration) {
+// reject rejects a request that did not run, and releases its key.
+func (d *Door) reject(x *exchange, reason string, after time.Duration) {
 	if x.claimed {
 		d.claimer.Release(x.request.Context(), x.record)
 	}
 	if x.request.Context().Err() != nil {
 		d.Counters.Cancelled.Add(1)
 	}
-	d.notRun(x, reason, after)
+	d.respondNotRun(x, reason, after)
 }
 
-func (d *Door) asked(x *exchange) dispatch.Request {
-	return dispatch.Request{ID: x.id, Deadline: x.deadline, Priority: d.priority, Avoid: x.avoid, Since: x.arrived}
+func (d *Door) dispatchRequest(x *exchange) dispatch.Request {
+	return dispatch.Request{ID: x.id, Deadline: x.deadline, Priority: d.priority, Avoid: x.excluded, Since: x.arrived}
 }
 
 func (d *Door) offer(x *exchange) chan dispatch.Decision {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.register(x, d.dispatch.Offer(d.settings.Clock(), d.asked(x)))
+	return d.await(x, d.dispatch.Offer(d.settings.Clock(), d.dispatchRequest(x)))
 }
 
-func (d *Door) again(x *exchange) chan dispatch.Decision {
+func (d *Door) retry(x *exchange) chan dispatch.Decision {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.register(x, d.dispatch.Again(d.settings.Clock(), d.asked(x)))
+	return d.await(x, d.dispatch.Again(d.settings.Clock(), d.dispatchRequest(x)))
 }
 
-func (d *Door) register(x *exchange, ds []dispatch.Decision) chan dispatch.Decision {
+func (d *Door) await(x *exchange, ds []dispatch.Decision) chan dispatch.Decision {
 	w := make(chan dispatch.Decision, 1)
 	d.waiting[x.id] = w
 	d.deliver(ds)
 	return w
 }
 
-// wait returns the decision on a request, false when its time is over first.
+// wait returns the decision on a request, or false if ctx ends first.
 func (d *Door) wait(ctx context.Context, x *exchange, w chan dispatch.Decision) (dispatch.Decision, bool) {
 	select {
 	case decision := <-w:
@@ -218,7 +220,7 @@
 	delete(d.waiting, x.id)
 	select {
 	case decision := <-w:
-		// Decided at the same moment: the slot is given back unused.
+		// The decision raced with the end of ctx: release the unused slot.
 		if decision.Err == nil {
 			d.deliver(d.dispatch.Done(d.settings.Clock(), decision.Target, dispatch.Cancelled, 0))
 		}
@@ -242,5 +244,5 @@
 func (d *Door) addressOf(target string) string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.doors[target]
+	return d.addresses[target]
 }
--- a/internal/request/door/door_test.go
+++ b/internal/request/door/door_test.go
@@ -23,44 +23,44 @@
 	"wasabideal/internal/request/keys"
 )
 
-// one remembers keys for a roster of one balancer.
-type one struct {
+// localStore is the key store of a roster with a single balancer.
+type localStore struct {
 	mu   sync.Mutex
 	keys *keys.Keys
 }
 
-func (o *one) Claim(_ context.Context, _ roster.Member, epoch uint64, r keys.Record) (keys.Record, error) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	return o.keys.Claim(time.Now(), epoch, r)
+func (s *localStore) Claim(_ context.Context, _ roster.Member, epoch uint64, r keys.Record) (keys.Record, error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.keys.Claim(time.Now(), epoch, r)
 }
 
-func (o *one) Release(_ context.Context, _ roster.Member, r keys.Record) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.keys.Release(r.Service, r.Key, r.Attempt)
+func (s *localStore) Release(_ context.Context, _ roster.Member, r keys.Record) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.keys.Release(r.Service, r.Key, r.Attempt)
 }
 
-func (o *one) Finish(_ context.Context, _ roster.Member, r keys.Record) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.keys.Finish(time.Now(), r)
+func (s *localStore) Finish(_ context.Context, _ roster.Member, r keys.Record) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.keys.Finish(time.Now(), r)
 }
 
-// entry is a door before upstreams that the test gives.
-type entry struct {
+// fixture is a Door with test servers as upstreams.
+type fixture struct {
 	t      *testing.T
 	door   *door.Door
 	server *httptest.Server
 }
 
-func newEntry(t *testing.T, upstreams ...http.HandlerFunc) *entry {
+func newFixture(t *testing.T, upstreams ...http.HandlerFunc) *fixture {
 	k := keys.New(time.Minute, 100)
 	k.SetEpoch(1)
 	view := roster.NewView(roster.Roster{Version: 1, Epoch: 1, Members: []roster.Member{
 		{Name: "b1", Start: 1, Rpc: netip.MustParseAddrPort("127.0.0.1:1")},
 	}})
-	c := claimer.New(&one{keys: k}, time.Second, func() roster.View { return view })
+	c := claimer.New(&localStore{keys: k}, time.Second, func() roster.View { return view })
 	limits := dispatch.Settings{SlotLimit: 2, QueueLimit: 4, RetryPercent: 100}
 	d := door.New(door.Settings{Service: "orders", Name: "b1", Dispatch: limits, Clock: time.Now}, c, hclog.NewNullLogger())
 	var targets []dispatch.Target
@@ -78,18 +78,18 @@
 	go d.Run(ctx)
 	s := httptest.NewServer(d)
 	t.Cleanup(s.Close)
-	return &entry{t: t, door: d, server: s}
+	return &fixture{t: t, door: d, server: s}
 }
 
-// reply is an answer whose body was read to its end.
+// reply is the status and the headers of a response.
 type reply struct {
 	StatusCode int
 	Header     http.Header
 }
 
-func (e *entry) post(key, body string, headers ...string) (reply, string, error) {
-	r, err := http.NewRequest(http.MethodPost, e.server.URL+"/nominate", strings.NewReader(body))
-	require.NoError(e.t, err)
+func (f *fixture) post(key, body string, headers ...string) (reply, string, error) {
+	r, err := http.NewRequest(http.MethodPost, f.server.URL+"/nominate", strings.NewReader(body))
+	require.NoError(f.t, err)
 	if key != "" {
 		r.Header.Set(door.KeyHeader, key)
 	}
@@ -115,9 +115,9 @@
 	}
 }
 
-func TestRepeatGetsTheFirstAnswerWithoutARun(t *testing.T) {
+func TestRepeatGetsTheStoredResponse(t *testing.T) {
 	var runs atomic.Int32
-	e := newEntry(t, echo(&runs))
+	e := newFixture(t, echo(&runs))
 	for i := range 3 {
 		r, body, err := e.post("k", "barge")
 		require.NoError(t, err)
@@ -131,13 +131,12 @@
 	require.Equal(t, http.StatusUnprocessableEntity, r.StatusCode)
 }
 
-// Symptom: a nomination ran twice though the caller sent it once. Events: the
-// upstream takes the request on a kept connection and closes it unanswered.
-// Cause: the HTTP transport sends a request with an Idempotency-Key again by
-// itself.
-func TestTransportSendsAKeyedRequestOnce(t *testing.T) {
+// Guards against running a request twice that the caller sent once. The upstream
+// closes a reused connection without a response, and http.Transport resends a request
+// with an Idempotency-Key on its own.
+func TestTransportDoesNotResendKeyedRequests(t *testing.T) {
 	var runs atomic.Int32
-	e := newEntry(t, func(w http.ResponseWriter, r *http.Request) {
+	e := newFixture(t, func(w http.ResponseWriter, r *http.Request) {
 		if runs.Add(1) == 1 {
 			_, _ = w.Write([]byte("first"))
 			return
@@ -155,14 +154,14 @@
 	require.EqualValues(t, 2, runs.Load())
 	r, _, err = e.post("b", "")
 	require.NoError(t, err)
-	require.Equal(t, door.OutcomeUnknown, outcome(r), "a repeat after an unknown fate runs nothing")
+	require.Equal(t, door.OutcomeUnknown, outcome(r), "a repeat after an unknown outcome does not run")
 	require.EqualValues(t, 2, runs.Load())
 }
 
-// Symptom: a caller took half an answer for the whole. Events: the upstream
-// dies in the middle of a long answer. Cause: ending the answer properly.
-func TestBrokenAnswerBreaksForTheCallerToo(t *testing.T) {
-	e := newEntry(t, func(w http.ResponseWriter, _ *http.Request) {
+// Guards against a truncated response that looks complete to the caller. The upstream
+// fails in the middle of a long response.
+func TestTruncatedResponseAbortsTheConnection(t *testing.T) {
+	e := newFixture(t, func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = w.Write(make([]byte, 100_000))
 		panic(http.ErrAbortHandler)
 	})
@@ -170,13 +169,13 @@
 	require.Error(t, err)
 }
 
-func TestShedRequestGoesElsewhereAndIsTrulyNotRun(t *testing.T) {
+func TestShedRequestIsRetriedOnAnotherUpstream(t *testing.T) {
 	var runs atomic.Int32
 	refuse := func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set(door.OutcomeHeader, door.OutcomeNotRun)
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
-	e := newEntry(t, refuse, echo(&runs), refuse)
+	e := newFixture(t, refuse, echo(&runs), refuse)
 	for i := range 10 {
 		r, body, err := e.post(fmt.Sprint("key", i), "x")
 		require.NoError(t, err)
@@ -185,12 +184,11 @@
 	require.EqualValues(t, 10, runs.Load())
 }
 
-// Symptom: callers waited until their deadline to learn that nothing would
-// happen. Events: all slots are taken for longer than the caller waits. Cause:
-// giving up late; it is known at once, and the key is free again.
-func TestHopelessRequestIsGivenUpAtOnce(t *testing.T) {
+// Guards against callers that wait until their deadline for a rejection. All slots are
+// taken for longer than that; the request is rejected at once and its key released.
+func TestRequestThatCannotMeetItsDeadlineIsRejectedAtOnce(t *testing.T) {
 	release := make(chan struct{})
-	e := newEntry(t, func(w http.ResponseWriter, _ *http.Request) {
+	e := newFixture(t, func(w http.ResponseWriter, _ *http.Request) {
 		<-release
 		_, _ = w.Write([]byte("done"))
 	})
@@ -214,10 +212,10 @@
 	require.Equal(t, door.OutcomeAnswered, outcome(r))
 }
 
-func TestCallerThatGoesAwayCancelsTheUpstream(t *testing.T) {
+func TestCallerDisconnectCancelsTheUpstreamRequest(t *testing.T) {
 	cancelled := make(chan struct{})
 	begun := make(chan struct{})
-	e := newEntry(t, func(_ http.ResponseWriter, r *http.Request) {
+	e := newFixture(t, func(_ http.ResponseWriter, r *http.Request) {
 		_, _ = io.ReadAll(r.Body)
 		close(begun)
 		<-r.Context().Done()
@@ -230,14 +228,14 @@
 		<-begun
 		cancel()
 	}()
-	_, err = http.DefaultClient.Do(r) //nolint:bodyclose // there is no answer
+	_, err = http.DefaultClient.Do(r) //nolint:bodyclose // there is no response
 	require.Error(t, err)
 	<-cancelled
 }
 
-func TestDeadlineShrinksOnTheWay(t *testing.T) {
+func TestForwardedTimeoutIsReduced(t *testing.T) {
 	seen := make(chan string, 1)
-	e := newEntry(t, func(_ http.ResponseWriter, r *http.Request) { seen <- r.Header.Get("Prefer") })
+	e := newFixture(t, func(_ http.ResponseWriter, r *http.Request) { seen <- r.Header.Get("Prefer") })
 	_, _, err := e.post("", "x", "Prefer", "wait=2")
 	require.NoError(t, err)
 	var wait float64
@@ -247,9 +245,9 @@
 	require.Greater(t, wait, 0.5)
 }
 
-func TestBadRequestsAreRefused(t *testing.T) {
+func TestBadRequestsAreRejected(t *testing.T) {
 	var runs atomic.Int32
-	e := newEntry(t, echo(&runs))
+	e := newFixture(t, echo(&runs))
 	for _, headers := range [][]string{{"Prefer", "wait=soon"}, {"Prefer", "wait=-1"}, {door.KeyHeader, strings.Repeat("k", 200)}} {
 		r, _, err := e.post("", "x", headers...)
 		require.NoError(t, err)
--- a/internal/request/door/exchange.go
+++ b/internal/request/door/exchange.go
@@ -15,49 +15,49 @@
 	"wasabideal/internal/request/keys"
 )
 
-// exchange is one request on its way through the door.
+// exchange is the state of one proxied request.
 type exchange struct {
-	writer   http.ResponseWriter
-	request  *http.Request
-	id       uint64
-	record   keys.Record
-	claimed  bool
-	repeats  bool
-	replays  bool
-	body     []byte
-	rest     io.Reader
-	deadline time.Time
-	arrived  time.Time
-	avoid    []string
+	writer     http.ResponseWriter
+	request    *http.Request
+	id         uint64
+	record     keys.Record
+	claimed    bool
+	idempotent bool
+	replayable bool
+	body       []byte
+	unreadBody io.Reader
+	deadline   time.Time
+	arrived    time.Time
+	excluded   []string
 }
 
-// BadRequestError says what is wrong with a request.
+// BadRequestError reports an invalid request.
 type BadRequestError struct{ Reason string }
 
 func (e *BadRequestError) Error() string { return e.Reason }
 
-func (d *Door) read(w http.ResponseWriter, r *http.Request) (*exchange, error) {
+func (d *Door) newExchange(w http.ResponseWriter, r *http.Request) (*exchange, error) {
 	now := d.settings.Clock()
 	x := &exchange{writer: w, request: r, arrived: now}
-	wait, err := waitOf(r)
+	timeout, err := parseTimeout(r)
 	if err != nil {
 		return nil, err
 	}
-	x.deadline = now.Add(wait)
+	x.deadline = now.Add(timeout)
 	key := r.Header.Get(KeyHeader)
 	if len(key) > keyLimit {
 		return nil, &BadRequestError{Reason: fmt.Sprintf("%s is longer than %d bytes", KeyHeader, keyLimit)}
 	}
 	x.body, err = io.ReadAll(io.LimitReader(r.Body, replayLimit+1))
 	if err != nil {
-		return nil, &BadRequestError{Reason: "body cannot be read: " + err.Error()}
+		return nil, &BadRequestError{Reason: "reading the request body failed: " + err.Error()}
 	}
-	x.replays = len(x.body) <= replayLimit
-	x.rest = r.Body
+	x.replayable = len(x.body) <= replayLimit
+	x.unreadBody = r.Body
 	d.mu.Lock()
-	x.repeats = key == "" && (d.repeatable || safe(r.Method))
-	d.next++
-	x.id = d.next
+	x.idempotent = key == "" && (d.repeatable || isIdempotent(r.Method))
+	d.lastID++
+	x.id = d.lastID
 	d.mu.Unlock()
 	x.record = keys.Record{
 		Service: d.settings.Service, Key: key, Attempt: fmt.Sprintf("%s/%d/%d", d.settings.Name, now.UnixNano(), x.id),
@@ -66,8 +66,8 @@
 	return x, nil
 }
 
-// safe methods may be sent again (RFC 9110, 9.2.2).
-func safe(method string) bool {
+// isIdempotent reports whether a method is idempotent (RFC 9110, 9.2.2).
+func isIdempotent(method string) bool {
 	switch method {
 	case http.MethodGet, http.MethodHead, http.MethodOptions, http.MethodPut, http.MethodDelete:
 		return true
@@ -75,8 +75,8 @@
 	return false
 }
 
-// waitOf reads how long the caller waits: Prefer: wait=SECONDS (RFC 7240, 4.3).
-func waitOf(r *http.Request) (time.Duration, error) {
+// parseTimeout returns the caller's timeout from Prefer: wait=SECONDS (RFC 7240, 4.3).
+func parseTimeout(r *http.Request) (time.Duration, error) {
 	for _, p := range strings.Split(r.Header.Get("Prefer"), ",") {
 		value, ok := strings.CutPrefix(strings.TrimSpace(p), "wait=")
 		if !ok {
@@ -84,14 +84,15 @@
 		}
 		seconds, err := strconv.ParseFloat(value, 64)
 		if err != nil || seconds <= 0 {
-			return 0, &BadRequestError{Reason: "Prefer: wait must be seconds above 0"}
+			return 0, &BadRequestError{Reason: "Prefer: wait must be a number of seconds greater than 0"}
 		}
-		return min(time.Duration(seconds*float64(time.Second)), longestWait), nil
+		return min(time.Duration(seconds*float64(time.Second)), maxTimeout), nil
 	}
-	return defaultWait, nil
+	return defaultTimeout, nil
 }
 
-// claim wins the right to send, or answers with what is known of the key.
+// claim claims the request's key, or responds with the outcome of the request that
+// holds it.
 func (d *Door) claim(ctx context.Context, x *exchange) bool {
 	result := d.claimer.Claim(ctx, x.record)
 	switch result.Outcome {
@@ -99,20 +100,20 @@
 		x.claimed = true
 		return true
 	case claimer.Taken:
-		d.answerTaken(x, result.Record)
+		d.respondTaken(x, result.Record)
 	case claimer.Refused:
-		d.notRun(x, result.Reason, unknownHint)
+		d.respondNotRun(x, result.Reason, defaultRetryAfter)
 	}
 	return false
 }
 
-func (d *Door) answerTaken(x *exchange, r keys.Record) {
+func (d *Door) respondTaken(x *exchange, r keys.Record) {
 	d.Counters.Repeated.Add(1)
 	h := x.writer.Header()
 	h.Set(RepeatHeader, "true")
 	switch {
 	case r.Fingerprint != x.record.Fingerprint:
-		http.Error(x.writer, "the key was used for another request", http.StatusUnprocessableEntity)
+		http.Error(x.writer, "the idempotency key was already used for a different request", http.StatusUnprocessableEntity)
 	case r.State == keys.Answered && r.Answer != nil && r.Answer.Whole:
 		h.Set(OutcomeHeader, OutcomeAnswered)
 		h.Set("Content-Type", r.Answer.ContentType)
@@ -120,26 +121,26 @@
 		_, _ = x.writer.Write(r.Answer.Body)
 	case r.State == keys.Answered:
 		h.Set(OutcomeHeader, OutcomeAnswered)
-		http.Error(x.writer, "the request ran; its answer was too long to keep", http.StatusConflict)
+		http.Error(x.writer, "the request ran, but its response was too large to store", http.StatusConflict)
 	default:
 		h.Set(OutcomeHeader, OutcomeUnknown)
 		h.Set("Retry-After", "1")
-		http.Error(x.writer, "a request with this key is under way or its fate is unknown", http.StatusConflict)
+		http.Error(x.writer, "a request with this idempotency key is in progress or its outcome is unknown", http.StatusConflict)
 	}
 }
 
-func (d *Door) notRun(x *exchange, reason string, after time.Duration) {
+func (d *Door) respondNotRun(x *exchange, reason string, retryAfter time.Duration) {
 	d.Counters.NotRun.Add(1)
 	h := x.writer.Header()
 	h.Set(OutcomeHeader, OutcomeNotRun)
-	h.Set("Retry-After", strconv.Itoa(int((after+time.Second-1)/time.Second)))
+	h.Set("Retry-After", strconv.Itoa(int((retryAfter+time.Second-1)/time.Second)))
 	http.Error(x.writer, "not run: "+reason, http.StatusServiceUnavailable)
 }
 
-func (d *Door) unknown(x *exchange, err error) {
+func (d *Door) respondUnknown(x *exchange, err error) {
 	d.Counters.Unknown.Add(1)
 	x.writer.Header().Set(OutcomeHeader, OutcomeUnknown)
-	http.Error(x.writer, "unknown: the request was sent and its answer was lost: "+err.Error(), http.StatusGatewayTimeout)
+	http.Error(x.writer, "unknown: the request was sent, but no response was received: "+err.Error(), http.StatusGatewayTimeout)
 }
 
-func (e *NoAddressError) Error() string { return "upstream " + e.Target + " has no door any more" }
+func (e *NoAddressError) Error() string { return "upstream " + e.Target + " has no HTTP address" }
