--- a/internal/request/homes/homes.go
+++ b/internal/request/homes/homes.go
@@ -9,49 +9,49 @@
 	"wasabideal/internal/flow/key"
 )
 
-// Upstream is a back end with its slots.
+// Upstream is a back end and the number of its slots.
 type Upstream struct {
 	Name  string
 	Slots int
 }
 
-// Homes is a division of slots.
-type Homes struct{ own map[string]map[string]int }
+// Homes counts the slots of each upstream that are assigned to each balancer.
+type Homes struct{ assigned map[string]map[string]int }
 
 type slot struct {
 	upstream string
 	hash     uint64
 }
 
-// New divides the slots evenly: each goes to its best-ranked balancer that has
-// fewer than the even part, rounded up.
+// New assigns the slots evenly by rendezvous hashing: each goes to its highest-ranked
+// balancer that has fewer than the even share, rounded up.
 func New(upstreams []Upstream, balancers []string) Homes {
-	h := Homes{own: map[string]map[string]int{}}
+	h := Homes{assigned: map[string]map[string]int{}}
 	seeds := make([]uint64, len(balancers))
 	for i, b := range balancers {
 		seeds[i] = xxhash.Sum64String(b)
-		h.own[b] = map[string]int{}
+		h.assigned[b] = map[string]int{}
 	}
-	slots := all(upstreams)
+	slots := sortedSlots(upstreams)
 	if len(balancers) == 0 || len(slots) == 0 {
 		return h
 	}
-	most := (len(slots) + len(balancers) - 1) / len(balancers)
-	held := make([]int, len(balancers))
+	share := (len(slots) + len(balancers) - 1) / len(balancers)
+	counts := make([]int, len(balancers))
 	for _, s := range slots {
 		best := -1
 		for i := range balancers {
-			if held[i] < most && (best < 0 || key.Mix(seeds[i]^s.hash) > key.Mix(seeds[best]^s.hash)) {
+			if counts[i] < share && (best < 0 || key.Mix(seeds[i]^s.hash) > key.Mix(seeds[best]^s.hash)) {
 				best = i
 			}
 		}
-		held[best]++
-		h.own[balancers[best]][s.upstream]++
+		counts[best]++
+		h.assigned[balancers[best]][s.upstream]++
 	}
 	return h
 }
 
-func all(upstreams []Upstream) []slot {
+func sortedSlots(upstreams []Upstream) []slot {
 	var slots []slot
 	for _, u := range upstreams {
 		for i := range u.Slots {
@@ -62,5 +62,5 @@
 	return slots
 }
 
-// Of returns the slots of an upstream that are a balancer's own.
-func (h Homes) Of(balancer, upstream string) int { return h.own[balancer][upstream] }
+// Of returns the number of an upstream's slots that are assigned to a balancer.
+func (h Homes) Of(balancer, upstream string) int { return h.assigned[balancer][upstream] }
