--- a/internal/request/claimer/claimer.go
+++ b/internal/request/claimer/claimer.go
@@ -12,41 +12,41 @@
 	"wasabideal/internal/request/keys"
 )
 
-// Memory is how a claimer reaches the balancers that remember keys.
+// Memory accesses the key stores of the balancers.
 type Memory interface {
 	Claim(ctx context.Context, m roster.Member, epoch uint64, r keys.Record) (keys.Record, error)
 	Release(ctx context.Context, m roster.Member, r keys.Record)
 	Finish(ctx context.Context, m roster.Member, r keys.Record)
 }
 
-// Outcome is how a claim ended.
+// Outcome is the outcome of a claim.
 type Outcome uint8
 
 // The outcomes of a claim.
 const (
-	// Granted: this attempt, and no other, may send.
+	// Granted means that this attempt, and no other, may send the request.
 	Granted Outcome = iota
-	// Taken: the key is in use; Record says by what.
+	// Taken means that another attempt holds the key; Result.Record is its record.
 	Taken
-	// Refused: no majority; nothing was sent and nothing will be.
+	// Refused means that no majority granted the claim; the request was not sent.
 	Refused
 )
 
-// Result is a claim's outcome.
+// Result is the outcome of a claim and the reason for it.
 type Result struct {
 	Outcome Outcome
 	Record  keys.Record
 	Reason  string
 }
 
-// Claimer makes claims under the newest roster.
+// Claimer claims keys under the newest roster.
 type Claimer struct {
 	memory  Memory
 	timeout time.Duration
 	view    func() roster.View
 }
 
-// New returns a claimer; timeout bounds each question.
+// New returns a Claimer; timeout bounds each call to a member.
 func New(m Memory, timeout time.Duration, view func() roster.View) *Claimer {
 	return &Claimer{memory: m, timeout: timeout, view: view}
 }
@@ -57,40 +57,40 @@
 	err    error
 }
 
-// Claim asks all members of all sets. It is granted by a majority of each set;
-// else every vote won is given back.
+// Claim requests the key from the members of all replica sets. It is granted by a
+// majority of each set; otherwise all votes are released.
 //
-// Two attempts cannot both win: majorities of one set share a member, and that
-// member keeps the first. A roster change keeps this: while the list before is
-// not settled, it must give its majority too.
+// Two attempts cannot both be granted: majorities of one set share a member, which
+// keeps the first. Until a roster change is settled, the previous set must agree too.
 func (c *Claimer) Claim(ctx context.Context, r keys.Record) Result {
 	v := c.view()
 	if len(v.Roster.Members) == 0 {
-		return Result{Outcome: Refused, Reason: "no roster of balancers is agreed yet"}
+		return Result{Outcome: Refused, Reason: "no roster of balancers has been committed yet"}
 	}
 	sets := v.Sets(roster.Slot(r.Service, r.Key))
-	votes := c.ask(ctx, v.Roster.Epoch, sets, r)
-	won := lo.PickBy(votes, func(_ string, x vote) bool { return x.err == nil && x.record.Attempt == r.Attempt })
-	if lo.EveryBy(sets, func(set []roster.Member) bool { return count(set, won) >= roster.Majority(set) }) {
+	votes := c.collectVotes(ctx, v.Roster.Epoch, sets, r)
+	granted := lo.PickBy(votes, func(_ string, x vote) bool { return x.err == nil && x.record.Attempt == r.Attempt })
+	if lo.EveryBy(sets, func(set []roster.Member) bool { return count(set, granted) >= roster.Majority(set) }) {
 		return Result{Outcome: Granted, Record: r}
 	}
 	c.release(ctx, votes, r)
 	return refusal(votes, r)
 }
 
-func count(set []roster.Member, won map[string]vote) int {
+func count(set []roster.Member, granted map[string]vote) int {
 	return lo.CountBy(set, func(m roster.Member) bool {
-		x, ok := won[m.Name]
+		x, ok := granted[m.Name]
 		return ok && x.member.Start == m.Start
 	})
 }
 
-// refusal tells the most that the votes say of why.
+// refusal returns the record with the most advanced state among the votes, or the
+// reason why there was no majority.
 func refusal(votes map[string]vote, r keys.Record) Result {
-	result := Result{Outcome: Refused, Reason: "no majority of the balancers that remember the key answered"}
+	result := Result{Outcome: Refused, Reason: "no majority of the balancers that store the key responded"}
 	for _, x := range votes {
 		if x.err != nil {
-			result.Reason = fmt.Sprintf("no majority for the key: %v", x.err)
+			result.Reason = fmt.Sprintf("no majority granted the key: %v", x.err)
 			continue
 		}
 		if x.record.Attempt != r.Attempt && x.record.State > result.Record.State {
@@ -103,7 +103,7 @@
 	return result
 }
 
-func (c *Claimer) ask(ctx context.Context, epoch uint64, sets [][]roster.Member, r keys.Record) map[string]vote {
+func (c *Claimer) collectVotes(ctx context.Context, epoch uint64, sets [][]roster.Member, r keys.Record) map[string]vote {
 	members := lo.UniqBy(lo.Flatten(sets), func(m roster.Member) string { return m.Name })
 	votes := make(chan vote, len(members))
 	for _, m := range members {
@@ -122,31 +122,31 @@
 	return all
 }
 
-// release gives back all votes, also of members whose answer came too late to
-// count. One that is not reached keeps its record: the
-// key then stays taken there, which refuses repeats but never runs one twice.
+// release releases all votes, including those of members whose response was late or
+// lost. An unreachable member keeps its record: the key stays taken there, which
+// rejects repeats but never runs one twice.
 func (c *Claimer) release(ctx context.Context, votes map[string]vote, r keys.Record) {
-	c.each(ctx, lo.MapToSlice(votes, func(_ string, x vote) roster.Member { return x.member }), func(ctx context.Context, m roster.Member) {
+	c.forEach(ctx, lo.MapToSlice(votes, func(_ string, x vote) roster.Member { return x.member }), func(ctx context.Context, m roster.Member) {
 		c.memory.Release(ctx, m, r)
 	})
 }
 
-// Release gives a granted claim back, for a request that surely did not run.
+// Release releases a granted claim of a request that did not run.
 func (c *Claimer) Release(ctx context.Context, r keys.Record) {
-	c.each(ctx, c.members(r), func(ctx context.Context, m roster.Member) { c.memory.Release(ctx, m, r) })
+	c.forEach(ctx, c.members(r), func(ctx context.Context, m roster.Member) { c.memory.Release(ctx, m, r) })
 }
 
-// Finish notes the answer wherever the key is remembered.
+// Finish stores the response at all members that store the key.
 func (c *Claimer) Finish(ctx context.Context, r keys.Record) {
-	c.each(ctx, c.members(r), func(ctx context.Context, m roster.Member) { c.memory.Finish(ctx, m, r) })
+	c.forEach(ctx, c.members(r), func(ctx context.Context, m roster.Member) { c.memory.Finish(ctx, m, r) })
 }
 
 func (c *Claimer) members(r keys.Record) []roster.Member {
 	return lo.UniqBy(lo.Flatten(c.view().Sets(roster.Slot(r.Service, r.Key))), func(m roster.Member) string { return m.Name })
 }
 
-// each calls all members at once, also when the caller of the request is gone.
-func (c *Claimer) each(ctx context.Context, ms []roster.Member, f func(context.Context, roster.Member)) {
+// forEach calls f for all members in parallel, even if ctx was cancelled by the caller.
+func (c *Claimer) forEach(ctx context.Context, ms []roster.Member, f func(context.Context, roster.Member)) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), c.timeout)
 	defer cancel()
 	var wg sync.WaitGroup
--- a/internal/request/claimer/claimer_test.go
+++ b/internal/request/claimer/claimer_test.go
@@ -26,7 +26,7 @@
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// group is balancers that remember keys, joined by a network that may part.
+// group simulates balancers that store keys and a network with partitions.
 type group struct {
 	now    time.Time
 	random *rand.Rand
@@ -35,7 +35,7 @@
 	keeper *keeper.Keeper
 	side   map[string]int
 	loss   float64
-	// sent counts how often a key was sent to an upstream, granted who may.
+	// sent counts the requests that were sent to an upstream, by key.
 	sent map[string]int
 }
 
@@ -44,7 +44,7 @@
 	keys    *keys.Keys
 	view    roster.View
 	moved   uint64
-	up      bool
+	running bool
 	leaving bool
 }
 
@@ -64,19 +64,19 @@
 	return g
 }
 
-// start begins a new life that remembers nothing.
+// start starts or restarts a node with an empty key store.
 func (g *group) start(n *node) {
 	n.member.Start++
 	n.keys = keys.New(window, 1000)
-	n.view, n.moved, n.up, n.leaving = roster.NewView(roster.Roster{}), 0, true, false
+	n.view, n.moved, n.running, n.leaving = roster.NewView(roster.Roster{}), 0, true, false
 }
 
-// run lets a second pass at a time: hellos, decisions, and the roster's spread.
-// The voters stand on side 0 of a partition.
+// run advances the time in steps of a second: heartbeats, roster decisions and the
+// distribution of the roster. The voters are on side 0 of a partition.
 func (g *group) run(d time.Duration) {
 	for end := g.now.Add(d); g.now.Before(end); g.now = g.now.Add(time.Second) {
 		for _, n := range g.nodes {
-			if n.up && g.side[n.member.Name] == 0 {
+			if n.running && g.side[n.member.Name] == 0 {
 				g.keeper.Hello(g.now, keeper.Hello{Member: n.member, Leaving: n.leaving, Moved: n.moved})
 			}
 		}
@@ -84,9 +84,9 @@
 			g.apply(*c)
 		}
 		for _, n := range g.nodes {
-			// The roster reaches balancers unevenly.
-			if n.up && g.side[n.member.Name] == 0 && g.random.Float64() < 0.7 {
-				g.follow(n)
+			// The roster reaches the balancers at different times.
+			if n.running && g.side[n.member.Name] == 0 && g.random.Float64() < 0.7 {
+				g.updateRoster(n)
 			}
 			n.keys.Expire(g.now)
 		}
@@ -101,7 +101,7 @@
 	g.roster = g.roster.WithMembers(c.Members)
 }
 
-func (g *group) follow(n *node) {
+func (g *group) updateRoster(n *node) {
 	if g.roster.Version > n.view.Roster.Version {
 		n.view = roster.NewView(g.roster)
 		n.keys.SetEpoch(g.roster.Epoch)
@@ -109,9 +109,9 @@
 	if n.moved >= n.view.Roster.Epoch {
 		return
 	}
-	for m, records := range n.keys.Moving(n.view, n.member) {
+	for m, records := range n.keys.Transfers(n.view, n.member) {
 		to := g.find(m)
-		if to == nil || !g.reach(n, to) {
+		if to == nil || !g.connected(n, to) {
 			return
 		}
 		to.keys.Merge(records)
@@ -121,20 +121,20 @@
 
 func (g *group) find(m roster.Member) *node {
 	i := slices.IndexFunc(g.nodes, func(n *node) bool { return n.member.Name == m.Name })
-	if i < 0 || g.nodes[i].member.Start != m.Start || !g.nodes[i].up {
+	if i < 0 || g.nodes[i].member.Start != m.Start || !g.nodes[i].running {
 		return nil
 	}
 	return g.nodes[i]
 }
 
-func (g *group) reach(a, b *node) bool { return g.side[a.member.Name] == g.side[b.member.Name] }
+func (g *group) connected(a, b *node) bool { return g.side[a.member.Name] == g.side[b.member.Name] }
 
-// LostError is a question that got no answer.
+// LostError reports a call without a response.
 type LostError struct{}
 
 func (LostError) Error() string { return "lost" }
 
-// memory is the way from one node to the others; questions or answers get lost.
+// memory calls other nodes on behalf of one; it drops requests and responses.
 type memory struct {
 	g    *group
 	from *node
@@ -144,7 +144,7 @@
 
 func (m memory) Claim(_ context.Context, x roster.Member, e uint64, r keys.Record) (keys.Record, error) {
 	to := m.g.find(x)
-	if to == nil || !m.g.reach(m.from, to) || m.lost() {
+	if to == nil || !m.g.connected(m.from, to) || m.lost() {
 		return keys.Record{}, LostError{}
 	}
 	answer, err := to.keys.Claim(m.g.now, e, r)
@@ -155,18 +155,19 @@
 }
 
 func (m memory) Release(_ context.Context, x roster.Member, r keys.Record) {
-	if to := m.g.find(x); to != nil && m.g.reach(m.from, to) && !m.lost() {
+	if to := m.g.find(x); to != nil && m.g.connected(m.from, to) && !m.lost() {
 		to.keys.Release(r.Service, r.Key, r.Attempt)
 	}
 }
 
 func (m memory) Finish(_ context.Context, x roster.Member, r keys.Record) {
-	if to := m.g.find(x); to != nil && m.g.reach(m.from, to) && !m.lost() {
+	if to := m.g.find(x); to != nil && m.g.connected(m.from, to) && !m.lost() {
 		to.keys.Finish(m.g.now, r)
 	}
 }
 
-// attempt claims a key at a node and, if granted, sends or surely does not.
+// attempt claims a key at a node and, if granted, sends the request or releases the
+// key.
 func (g *group) attempt(n *node, key string, number int, send bool) claimer.Outcome {
 	c := claimer.New(serial{memory{g, n}}, time.Second, func() roster.View { return n.view })
 	r := keys.Record{Service: service, Key: key, Attempt: fmt.Sprintf("%s/%d/%d", n.member.Name, n.member.Start, number)}
@@ -183,7 +184,7 @@
 	return result.Outcome
 }
 
-// serial makes the questions one after another, so that runs repeat.
+// serial serializes the calls, so that runs are reproducible.
 type serial struct{ memory }
 
 var lock = make(chan struct{}, 1)
@@ -206,8 +207,8 @@
 	s.memory.Finish(ctx, x, r)
 }
 
-// TestKeysRunAtMostOnce plays restarts, planned stops, partitions, loss and
-// changes of the roster while callers send the same keys through all balancers.
+// TestKeysRunAtMostOnce simulates restarts, planned stops, partitions, message loss
+// and roster changes while callers send the same keys through all balancers.
 func TestKeysRunAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := newGroup(rapid.Uint64().Draw(t, "seed"))
@@ -215,9 +216,9 @@
 			n := rapid.SampledFrom(g.nodes).Draw(t, "node")
 			switch rapid.IntRange(0, 9).Draw(t, "what") {
 			case 0:
-				n.up = false
+				n.running = false
 			case 1:
-				if !n.up {
+				if !n.running {
 					g.start(n)
 				}
 			case 2:
@@ -230,7 +231,7 @@
 				g.run(time.Duration(rapid.IntRange(1, 30).Draw(t, "seconds")) * time.Second)
 			default:
 				key := fmt.Sprintf("key-%d", rapid.IntRange(0, 3).Draw(t, "key"))
-				if n.up {
+				if n.running {
 					g.attempt(n, key, i, rapid.IntRange(0, 3).Draw(t, "send") > 0)
 				}
 			}
@@ -241,9 +242,9 @@
 	})
 }
 
-// Symptom: a nomination ran twice, once on each side of a partition. Events:
-// the group parts 2 to 3, the caller repeats the key on the other side. Cause:
-// each side taking its own live members for all there are.
+// Guards against a request that runs on both sides of a partition. The group splits
+// 2 to 3 and the caller repeats the key on the other side; a majority of the reachable
+// members is not a majority of the roster.
 func TestBothSidesOfAPartitionNeverRunOneKey(t *testing.T) {
 	g := newGroup(1)
 	g.side["b0"], g.side["b1"] = 1, 1
@@ -253,13 +254,12 @@
 		g.attempt(g.nodes[3], key, 2, true)
 		require.LessOrEqual(t, g.sent[key], 1)
 	}
-	require.NotEmpty(t, g.sent, "a side with a majority goes on serving")
+	require.NotEmpty(t, g.sent, "the side with a majority continues to serve")
 }
 
-// Symptom: a key ran again after a rolling restart. Events: each balancer in
-// turn leaves as planned and comes back empty, while the caller repeats. Cause:
-// keys that were not handed over before the next balancer left.
-func TestRollingRestartForgetsNoKey(t *testing.T) {
+// Guards against a key that runs again after a rolling restart. Each balancer in turn
+// leaves and returns empty; its keys must be copied before the next one leaves.
+func TestRollingRestartLosesNoKey(t *testing.T) {
 	g := newGroup(2)
 	for i := range 20 {
 		require.Equal(t, claimer.Granted, g.attempt(g.nodes[0], fmt.Sprint("key-", i), 1, true))
@@ -267,7 +267,7 @@
 	for _, n := range g.nodes {
 		n.leaving = true
 		g.run(10 * time.Second)
-		require.False(t, g.roster.Has(n.member), "the roster lets %s go", n.member.Name)
+		require.False(t, g.roster.Has(n.member), "the roster removes %s", n.member.Name)
 		require.True(t, g.roster.Settled())
 		g.start(n)
 		g.run(10 * time.Second)
@@ -277,11 +277,10 @@
 	}
 }
 
-// Symptom: a key ran twice after two of the three balancers that remembered it
-// crashed together. Events: both restart empty and are taken into the roster.
-// Cause: a majority of lives that remember nothing; until a window has passed,
-// such keys are refused.
-func TestLostMajorityRefusesUntilTheWindowIsOver(t *testing.T) {
+// Guards against a key that runs twice after two of the three balancers that stored it
+// crashed together. Both restart empty and rejoin the roster as a majority without
+// records; claims are refused until the window has passed.
+func TestLostMajorityRefusesClaimsDuringTheWindow(t *testing.T) {
 	g := newGroup(3)
 	key := "precious"
 	require.Equal(t, claimer.Granted, g.attempt(g.nodes[0], key, 1, true))
@@ -294,13 +293,13 @@
 		require.NotEqual(t, claimer.Granted, g.attempt(n, key, 10+i, true))
 	}
 	g.run(window + time.Minute)
-	require.True(t, g.roster.Settled(), "the roster is settled once the window is over")
+	require.True(t, g.roster.Settled(), "the roster is settled after the window")
 	require.Equal(t, claimer.Granted, g.attempt(g.nodes[0], "new", 20, true))
 }
 
-// Symptom: a flood of keys made an old one be forgotten, and it ran twice.
-// Cause: eviction inside the promised window; a full memory refuses instead.
-func TestFullMemoryRefuses(t *testing.T) {
+// Guards against a key that runs twice because a flood of keys evicted it inside the
+// window. A full store refuses new keys instead.
+func TestFullStoreRefusesNewKeys(t *testing.T) {
 	k := keys.New(window, 2)
 	for _, key := range []string{"a", "b"} {
 		_, err := k.Claim(epoch, 0, keys.Record{Key: key, Attempt: key})
--- a/internal/request/claimer/doc.go
+++ b/internal/request/claimer/doc.go
@@ -1,3 +1,3 @@
-// Package claimer wins the right to send a keyed request, from a majority of
-// the balancers that remember its key.
+// Package claimer obtains the exclusive right to send a request with a key, from a
+// majority of the balancers that store the key.
 package claimer
--- a/internal/request/keys/doc.go
+++ b/internal/request/keys/doc.go
@@ -1,5 +1,5 @@
-// Package keys remembers which request keys were used, for one balancer.
+// Package keys stores the request keys of one balancer.
 //
-// A record is made before a request is sent, and is only taken back by the
-// attempt that made it, when that attempt surely did not run.
+// A record is created before a request is sent. Only the attempt that created it may
+// release it, and only if the request did not run.
 package keys
--- a/internal/request/keys/keys.go
+++ b/internal/request/keys/keys.go
@@ -7,80 +7,80 @@
 	"wasabideal/internal/model/roster"
 )
 
-// State is what is known of a key's request.
+// State is the state of a key's request.
 type State uint8
 
-// The states of a key; a later one wins.
+// The states of a key; a later one overrides an earlier one.
 const (
-	// Claimed: an attempt has the right to send, and may have sent.
+	// Claimed means that an attempt may send the request, or already has.
 	Claimed State = iota + 1
-	// Answered: it ran, and Answer holds what was answered if that is short.
+	// Answered means that the request ran; Answer holds the response if it is short.
 	Answered
 )
 
-// Answer is an upstream's answer as far as it is kept.
+// Answer is the stored part of an upstream's response.
 type Answer struct {
 	Status      int
 	ContentType string
 	Body        []byte
-	// Whole is false for an answer that was too long to keep.
+	// Whole is false if the body was too large to store.
 	Whole bool
 }
 
-// Record is one key in use.
+// Record describes a key in use.
 type Record struct {
 	Service, Key string
-	// Attempt names who may take the record back.
+	// Attempt identifies the attempt that may release the record.
 	Attempt string
-	// Fingerprint is that of the request: another request may not use the key.
+	// Fingerprint is a hash of the request; a different request may not use the key.
 	Fingerprint uint64
 	State       State
 	Answer      *Answer
 	Made        time.Time
 }
 
-// FullError says that no more keys can be remembered: forgetting one inside
-// the promised window could let a request run twice.
+// FullError reports that the store is full. Evicting a key inside the window could
+// let a request run twice.
 type FullError struct{ Limit int }
 
 func (e *FullError) Error() string {
-	return fmt.Sprintf("%d request keys are in use within the window; raise MaxKeys or send less", e.Limit)
+	return fmt.Sprintf("limit of %d request keys reached; raise MaxKeys or reduce the request rate", e.Limit)
 }
 
-// EpochError says that a claim was made under another roster than is in force here.
+// EpochError reports a claim whose roster epoch differs from this balancer's.
 type EpochError struct{ Claim, Here uint64 }
 
 func (e *EpochError) Error() string {
-	return fmt.Sprintf("claim under epoch %d, this balancer is at %d", e.Claim, e.Here)
+	return fmt.Sprintf("claim has roster epoch %d, but this balancer is at epoch %d", e.Claim, e.Here)
 }
 
-// Keys holds records for a window of time; one goroutine owns it.
+// Keys stores records for a window of time. It is not safe for concurrent use.
 type Keys struct {
 	window  time.Duration
 	limit   int
 	epoch   uint64
-	records map[id]*Record
+	records map[recordKey]*Record
 }
 
-type id struct{ service, key string }
+type recordKey struct{ service, key string }
 
-// New returns an empty memory for limit keys.
+// New returns an empty store for at most limit keys.
 func New(window time.Duration, limit int) *Keys {
-	return &Keys{window: window, limit: limit, records: map[id]*Record{}}
+	return &Keys{window: window, limit: limit, records: map[recordKey]*Record{}}
 }
 
-// Len returns the number of keys remembered.
+// Len returns the number of stored keys.
 func (k *Keys) Len() int { return len(k.records) }
 
-// SetEpoch moves to a newer roster: claims under older ones are refused from now on.
+// SetEpoch sets the epoch of a newer roster; claims with an older epoch are refused.
 func (k *Keys) SetEpoch(epoch uint64) { k.epoch = max(k.epoch, epoch) }
 
-// Claim makes a record, or returns the one that is there.
+// Claim creates a record, or returns the existing one.
 func (k *Keys) Claim(now time.Time, epoch uint64, r Record) (Record, error) {
 	if epoch != k.epoch {
 		return Record{}, &EpochError{Claim: epoch, Here: k.epoch}
 	}
-	at := id{r.Service, r.Key}
+	at := recordKey{r.Service, r.Key}
 	if old, ok := k.records[at]; ok && now.Sub(old.Made) < k.window {
 		return *old, nil
 	}
@@ -92,17 +92,17 @@
 	return r, nil
 }
 
-// Release takes a record back that its own attempt made and did not use.
+// Release deletes a record that was created by the attempt and is still Claimed.
 func (k *Keys) Release(service, key, attempt string) {
-	at := id{service, key}
+	at := recordKey{service, key}
 	if r, ok := k.records[at]; ok && r.Attempt == attempt && r.State == Claimed {
 		delete(k.records, at)
 	}
 }
 
-// Finish notes the answer to a key's request.
+// Finish stores the response to a key's request.
 func (k *Keys) Finish(now time.Time, r Record) {
-	at := id{r.Service, r.Key}
+	at := recordKey{r.Service, r.Key}
 	if old, ok := k.records[at]; ok && old.Attempt != r.Attempt {
 		return
 	}
@@ -113,10 +113,10 @@
 	k.records[at] = &r
 }
 
-// Merge takes records that another balancer remembers.
+// Merge adds records from another balancer.
 func (k *Keys) Merge(rs []Record) {
 	for _, r := range rs {
-		at := id{r.Service, r.Key}
+		at := recordKey{r.Service, r.Key}
 		if old, ok := k.records[at]; !ok || r.State > old.State {
 			x := r
 			k.records[at] = &x
@@ -124,7 +124,7 @@
 	}
 }
 
-// Expire forgets what is older than the window.
+// Expire deletes records older than the window.
 func (k *Keys) Expire(now time.Time) {
 	for at, r := range k.records {
 		if now.Sub(r.Made) >= k.window {
@@ -133,16 +133,16 @@
 	}
 }
 
-// Moving returns, for each member, the records that it must remember under
-// the roster's new list and may lack.
-func (k *Keys) Moving(v roster.View, self roster.Member) map[roster.Member][]Record {
-	moving := map[roster.Member][]Record{}
+// Transfers returns, by member, the records that the member must store under the
+// current roster and may lack.
+func (k *Keys) Transfers(v roster.View, self roster.Member) map[roster.Member][]Record {
+	transfers := map[roster.Member][]Record{}
 	for _, r := range k.records {
 		for _, m := range v.Current(roster.Slot(r.Service, r.Key)) {
 			if m.Name != self.Name {
-				moving[m] = append(moving[m], *r)
+				transfers[m] = append(transfers[m], *r)
 			}
 		}
 	}
-	return moving
+	return transfers
 }
--- a/internal/request/memory/doc.go
+++ b/internal/request/memory/doc.go
@@ -1,3 +1,3 @@
-// Package memory serves a balancer's request keys to the others, reaches
-// theirs, and moves records when the roster changes.
+// Package memory serves a balancer's request keys over RPC, calls the key stores of
+// other balancers, and copies records when the roster changes.
 package memory
--- a/internal/request/memory/memory.go
+++ b/internal/request/memory/memory.go
@@ -20,20 +20,20 @@
 	finishMethod  = "Keys.Finish"
 	mergeMethod   = "Keys.Merge"
 
-	// mergeBatch bounds the records of one call.
-	mergeBatch   = 200
-	mergeTimeout = 3 * time.Second
-	movePause    = 300 * time.Millisecond
+	// mergeBatch is the largest number of records per call.
+	mergeBatch        = 200
+	mergeTimeout      = 3 * time.Second
+	moveRetryInterval = 300 * time.Millisecond
 )
 
-// wireClaim asks one life of a balancer about a key.
+// wireClaim is a call about one key. Start identifies the process that it is for.
 type wireClaim struct {
 	Start  uint64
 	Epoch  uint64
 	Record keys.Record
 }
 
-// wireMerge hands records over.
+// wireMerge copies records to the process that Start identifies.
 type wireMerge struct {
 	Start   uint64
 	Records []keys.Record
@@ -41,15 +41,15 @@
 
 type empty struct{}
 
-// OtherLifeError says that the address belongs to another life of the balancer,
-// which remembers nothing of the one asked.
+// OtherLifeError reports that the balancer was restarted and no longer has the records
+// of the addressed process.
 type OtherLifeError struct{ Asked, Here uint64 }
 
 func (e *OtherLifeError) Error() string {
-	return fmt.Sprintf("this balancer started at %d, asked was its life of %d", e.Here, e.Asked)
+	return fmt.Sprintf("this balancer was started at %d, but the call is for the process started at %d", e.Here, e.Asked)
 }
 
-// Settings of a memory.
+// Settings configures a Memory.
 type Settings struct {
 	Self   roster.Member
 	Window time.Duration
@@ -57,7 +57,7 @@
 	Clock  func() time.Time
 }
 
-// Memory is the keys of one balancer and the way to those of others.
+// Memory holds the keys of one balancer and calls the key stores of others.
 type Memory struct {
 	settings Settings
 	log      hclog.Logger
@@ -68,15 +68,15 @@
 	moved    uint64
 }
 
-// New returns an empty memory.
+// New returns a Memory without keys.
 func New(s Settings, p *pool.Pool, log hclog.Logger) *Memory {
 	return &Memory{settings: s, log: log, pool: p, keys: keys.New(s.Window, s.Limit), view: roster.NewView(roster.Roster{})}
 }
 
-// Serve adds the memory's methods to a server.
+// Serve registers the RPC methods with a server.
 func (m *Memory) Serve(s *rpc.Server, token string) {
 	rpc.Handle(s, claimMethod, token, func(_ context.Context, w wireClaim) (keys.Record, error) {
-		if err := m.checkLife(w.Start); err != nil {
+		if err := m.checkStart(w.Start); err != nil {
 			return keys.Record{}, err
 		}
 		return m.claim(w.Epoch, w.Record)
@@ -90,7 +90,7 @@
 		return empty{}, nil
 	})
 	rpc.Handle(s, mergeMethod, token, func(_ context.Context, w wireMerge) (empty, error) {
-		if err := m.checkLife(w.Start); err != nil {
+		if err := m.checkStart(w.Start); err != nil {
 			return empty{}, err
 		}
 		m.mu.Lock()
@@ -100,7 +100,7 @@
 	})
 }
 
-func (m *Memory) checkLife(start uint64) error {
+func (m *Memory) checkStart(start uint64) error {
 	if start != m.settings.Self.Start {
 		return &OtherLifeError{Asked: start, Here: m.settings.Self.Start}
 	}
@@ -129,7 +129,7 @@
 	return x.Name == m.settings.Self.Name && x.Start == m.settings.Self.Start
 }
 
-// Claim asks a member for a key.
+// Claim claims a key at a member.
 func (m *Memory) Claim(ctx context.Context, x roster.Member, epoch uint64, r keys.Record) (keys.Record, error) {
 	if m.isSelf(x) {
 		return m.claim(epoch, r)
@@ -137,62 +137,62 @@
 	return pool.Call[wireClaim, keys.Record](ctx, m.pool, x.Rpc.String(), claimMethod, wireClaim{Start: x.Start, Epoch: epoch, Record: r})
 }
 
-// Release gives a key back at a member.
+// Release releases a key at a member.
 func (m *Memory) Release(ctx context.Context, x roster.Member, r keys.Record) {
 	if m.isSelf(x) {
 		m.release(r)
 		return
 	}
-	m.tell(ctx, x, releaseMethod, r)
+	m.call(ctx, x, releaseMethod, r)
 }
 
-// Finish notes an answer at a member.
+// Finish stores a response at a member.
 func (m *Memory) Finish(ctx context.Context, x roster.Member, r keys.Record) {
 	if m.isSelf(x) {
 		m.finish(r)
 		return
 	}
-	m.tell(ctx, x, finishMethod, r)
+	m.call(ctx, x, finishMethod, r)
 }
 
-func (m *Memory) tell(ctx context.Context, x roster.Member, method string, r keys.Record) {
+func (m *Memory) call(ctx context.Context, x roster.Member, method string, r keys.Record) {
 	if _, err := pool.Call[wireClaim, empty](ctx, m.pool, x.Rpc.String(), method, wireClaim{Start: x.Start, Record: r}); err != nil {
-		m.log.Debug("key not told", "Member", x.Name, "Method", method, "Error", err)
+		m.log.Debug("key update failed", "Member", x.Name, "Method", method, "Error", err)
 	}
 }
 
-// View returns the newest roster's view.
+// View returns the view of the newest roster.
 func (m *Memory) View() roster.View {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.view
 }
 
-// Moved returns the epoch up to which all records here are copied.
+// Moved returns the latest epoch for which all records of this balancer are copied.
 func (m *Memory) Moved() uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.moved
 }
 
-// Len returns the number of keys remembered.
+// Len returns the number of stored keys.
 func (m *Memory) Len() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.keys.Len()
 }
 
-// Expire forgets keys older than the window.
+// Expire deletes keys older than the window.
 func (m *Memory) Expire() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.keys.Expire(m.settings.Clock())
 }
 
-// SetRoster moves to a newer roster, and reports whether it is newer.
+// SetRoster adopts a roster and reports whether it is newer.
 //
-// Claims under older epochs are refused from here on, and only then are the
-// records copied: none can slip in between.
+// It refuses claims with an older epoch before the records are copied, so that the
+// copy misses none.
 func (m *Memory) SetRoster(r roster.Roster) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -204,12 +204,12 @@
 	return true
 }
 
-// Move copies the records to those that must remember them under the newest
-// roster, until that is done or the context ends.
+// Move copies the records to the members that must store them under the newest
+// roster, until all are copied or ctx ends.
 func (m *Memory) Move(ctx context.Context) {
 	for ctx.Err() == nil {
-		v, moving := m.moving()
-		if v.Roster.Settled() || m.moveAll(ctx, moving) {
+		v, transfers := m.transfers()
+		if v.Roster.Settled() || m.copyAll(ctx, transfers) {
 			m.mu.Lock()
 			m.moved = max(m.moved, v.Roster.Epoch)
 			m.mu.Unlock()
@@ -217,29 +217,29 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(movePause):
+		case <-time.After(moveRetryInterval):
 		}
 	}
 }
 
-func (m *Memory) moving() (roster.View, map[roster.Member][]keys.Record) {
+func (m *Memory) transfers() (roster.View, map[roster.Member][]keys.Record) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.view, m.keys.Moving(m.view, m.settings.Self)
+	return m.view, m.keys.Transfers(m.view, m.settings.Self)
 }
 
-// moveAll copies to every member; one that is not reached is tried again, or
-// leaves the roster.
-func (m *Memory) moveAll(ctx context.Context, moving map[roster.Member][]keys.Record) bool {
+// copyAll copies records to their members and reports whether all calls succeeded.
+// Move retries failed members until they respond or leave the roster.
+func (m *Memory) copyAll(ctx context.Context, transfers map[roster.Member][]keys.Record) bool {
 	done := true
-	for x, records := range moving {
+	for x, records := range transfers {
 		for len(records) > 0 {
 			n := min(len(records), mergeBatch)
 			call, cancel := context.WithTimeout(ctx, mergeTimeout)
 			_, err := pool.Call[wireMerge, empty](call, m.pool, x.Rpc.String(), mergeMethod, wireMerge{Start: x.Start, Records: records[:n]})
 			cancel()
 			if err != nil {
-				m.log.Debug("keys not moved", "Member", x.Name, "Error", err)
+				m.log.Debug("copying keys failed", "Member", x.Name, "Error", err)
 				done = false
 				break
 			}
