--- a/internal/request/dispatch/dispatch.go
+++ b/internal/request/dispatch/dispatch.go
@@ -8,137 +8,137 @@
 	"time"
 )
 
-// Settings bound one service's dispatch at one balancer.
+// Settings limits the requests of one service at one balancer.
 type Settings struct {
-	// SlotLimit caps requests in flight per upstream, whatever it announces.
+	// SlotLimit is the maximum number of requests in flight per upstream, even if the
+	// upstream announces more slots.
 	SlotLimit int
-	// QueueLimit caps requests that wait.
+	// QueueLimit is the maximum number of queued requests.
 	QueueLimit int
-	// RetryPercent is the retry budget as a share of first attempts.
+	// RetryPercent is the retry budget in percent of first attempts.
 	RetryPercent int
 }
 
-// Target is an upstream that takes requests.
+// Target is an upstream that accepts requests.
 type Target struct {
 	Name  string
 	Slots int
-	// Share is 1 for a warm upstream, less while it starts cold.
+	// Share is the part of the slots in use: 1, or less during a slow start.
 	Share float64
-	// Home is set where this balancer is the slot's own: balancers divide the
-	// slots among themselves, so that they meet at one slot only under load.
+	// Home is the number of slots assigned to this balancer. The assignment keeps
+	// balancers from competing for a slot, except under load.
 	Home int
 }
 
-// Request is one that wants an upstream.
+// Request is a request that needs an upstream.
 type Request struct {
 	ID       uint64
 	Deadline time.Time
 	// Priority orders the queue; a higher one goes first.
 	Priority int
-	// Avoid names upstreams that refused or failed this request.
+	// Avoid lists the upstreams that rejected or failed this request.
 	Avoid []string
 	// Since is when the request arrived; Offer sets it where it is zero.
 	Since time.Time
 }
 
-// NotRunError says, at once, that a request was given up unrun.
+// NotRunError reports that a request was rejected and did not run.
 type NotRunError struct {
 	Reason string
-	// RetryAfter is when the caller should come back.
+	// RetryAfter is the time after which the caller should retry.
 	RetryAfter time.Duration
 }
 
 func (e *NotRunError) Error() string { return "not run: " + e.Reason }
 
-// The reasons for giving a request up.
+// The reasons for rejecting a request.
 const (
-	ReasonNoUpstream = "no upstream takes requests"
+	ReasonNoUpstream = "no upstream is available"
 	ReasonQueueFull  = "queue is full"
-	ReasonDeadline   = "deadline comes before a slot can be free"
-	ReasonPushedOut  = "requests of higher priority fill the queue"
+	ReasonDeadline   = "deadline expires before a slot is available"
+	ReasonDisplaced  = "displaced from the queue by a request of higher priority"
 )
 
-// Decision sends a request to a target, or gives it up.
+// Decision assigns a request to a target, or rejects it if Err is set.
 type Decision struct {
 	ID     uint64
 	Target string
 	Err    *NotRunError
 }
 
-// Result is how an attempt ended.
+// Result is the result of an attempt.
 type Result uint8
 
 // The results of an attempt.
 const (
 	Answered Result = iota
-	// Shed: the upstream refused the request unrun.
+	// Shed means that the upstream rejected the request without running it.
 	Shed
-	// Failed: no answer, or one that says that the upstream is broken.
+	// Failed means that there was no response, or a server error.
 	Failed
-	// Cancelled: the caller went away; nothing is learned.
+	// Cancelled means that the caller disconnected; it says nothing about the upstream.
 	Cancelled
 )
 
 type target struct {
 	Target
-	outstanding int
-	shedUntil   time.Time
-	shedStreak  int
-	failures    int
-	ejectedTo   time.Time
-	ejections   int
-	known       bool
+	outstanding  int
+	shedUntil    time.Time
+	shedStreak   int
+	failures     int
+	ejectedUntil time.Time
+	ejections    int
+	listed       bool
 }
 
 const (
-	// shedMemory is how long a refusal is remembered at first, in mean service times.
-	shedMemory = 0.5
-	// shedStreakLimit bounds the doubling of that memory.
+	// shedBackoff is the backoff after the first rejection, in mean service times.
+	shedBackoff = 0.5
+	// shedStreakLimit limits how often the backoff doubles.
 	shedStreakLimit = 3
-	// borrowAfter is the wait, in mean service times, from which a request may
-	// try slots that are another balancer's.
-	borrowAfter     = 0.3
-	failuresToEject = 3
-	ejectFor        = 2 * time.Second
-	ejectLimit      = 5
-	// keepShare is the part of a pool that is never ejected.
-	keepShare   = 0.5
-	meanWeight  = 0.05
-	firstMean   = 20 * time.Millisecond
-	leastMean   = time.Millisecond
-	budgetLimit = 10.0
-	budgetStart = 3.0
-	// patience is the mean service times that a queue estimate may be wrong by.
-	leastRetryAfter = 100 * time.Millisecond
+	// borrowAfter is the queueing time, in mean service times, after which a request
+	// may use slots assigned to other balancers.
+	borrowAfter          = 0.3
+	failuresToEject      = 3
+	ejectionTime         = 2 * time.Second
+	maxEjectionDoublings = 5
+	// minUsableShare is the share of the pool that is never ejected.
+	minUsableShare = 0.5
+	meanWeight     = 0.05
+	initialMean    = 20 * time.Millisecond
+	minMean        = time.Millisecond
+	budgetLimit    = 10.0
+	initialBudget  = 3.0
+	minRetryAfter  = 100 * time.Millisecond
 )
 
-// Dispatch is the state of one service at one balancer; one goroutine owns it.
+// Dispatch schedules the requests of one service. It is not safe for concurrent use.
 type Dispatch struct {
-	settings Settings
-	random   *rand.Rand
-	targets  map[string]*target
-	order    []*target
-	queue    []Request
-	mean     time.Duration
-	budget   float64
+	settings        Settings
+	random          *rand.Rand
+	targets         map[string]*target
+	ordered         []*target
+	queue           []Request
+	meanServiceTime time.Duration
+	retryBudget     float64
 }
 
-// New returns a dispatch without targets.
+// New returns a Dispatch without targets.
 func New(s Settings, seed uint64) *Dispatch {
 	return &Dispatch{
 		settings: s, random: rand.New(rand.NewPCG(seed, 5)), targets: map[string]*target{},
-		mean: firstMean, budget: budgetStart,
+		meanServiceTime: initialMean, retryBudget: initialBudget,
 	}
 }
 
-// SetSettings takes the limits of another preset.
+// SetSettings replaces the limits.
 func (d *Dispatch) SetSettings(s Settings) { d.settings = s }
 
-// SetTargets replaces the upstreams that take requests; those that are gone
-// keep their requests in flight.
+// SetTargets replaces the upstreams that accept requests. Requests in flight at a
+// removed upstream continue.
 func (d *Dispatch) SetTargets(ts []Target) {
 	for _, t := range d.targets {
-		t.known = false
+		t.listed = false
 	}
 	for _, x := range ts {
 		t := d.targets[x.Name]
@@ -146,91 +146,91 @@
 			t = &target{}
 			d.targets[x.Name] = t
 		}
-		t.Target, t.known = x, true
+		t.Target, t.listed = x, true
 	}
-	d.order = d.order[:0]
+	d.ordered = d.ordered[:0]
 	for name, t := range d.targets {
-		if !t.known && t.outstanding == 0 {
+		if !t.listed && t.outstanding == 0 {
 			delete(d.targets, name)
 			continue
 		}
-		if t.known {
-			d.order = append(d.order, t)
+		if t.listed {
+			d.ordered = append(d.ordered, t)
 		}
 	}
-	slices.SortFunc(d.order, func(a, b *target) int { return cmp.Compare(a.Name, b.Name) })
+	slices.SortFunc(d.ordered, func(a, b *target) int { return cmp.Compare(a.Name, b.Name) })
 }
 
-// Queued returns the number of requests that wait.
+// Queued returns the number of queued requests.
 func (d *Dispatch) Queued() int { return len(d.queue) }
 
-// Offer takes a new request: it is sent, waits, or is given up at once.
+// Offer sends, queues or rejects a new request.
 func (d *Dispatch) Offer(now time.Time, r Request) []Decision {
 	if r.Since.IsZero() {
 		r.Since = now
 	}
-	d.budget = min(d.budget+float64(d.settings.RetryPercent)/100, budgetLimit)
+	d.retryBudget = min(d.retryBudget+float64(d.settings.RetryPercent)/100, budgetLimit)
 	return d.place(now, r)
 }
 
-// MayRetry takes one retry after a failure out of the budget; without one, a
-// pool that lost most of its upstreams would be kept down by repeats.
+// MayRetry takes one retry from the budget and reports whether there was one. Without
+// a budget, retries would keep a pool overloaded that lost most of its upstreams.
 func (d *Dispatch) MayRetry() bool {
-	if d.budget < 1 {
+	if d.retryBudget < 1 {
 		return false
 	}
-	d.budget--
+	d.retryBudget--
 	return true
 }
 
-// Again offers a request anew after a shed or failed attempt.
-func (d *Dispatch) Again(now time.Time, r Request) []Decision { return d.place(now, r) }
+// Retry sends, queues or rejects a request after a shed or failed attempt.
+func (d *Dispatch) Retry(now time.Time, r Request) []Decision { return d.place(now, r) }
 
 func (d *Dispatch) place(now time.Time, r Request) []Decision {
-	if len(d.order) == 0 {
-		return d.giveUp(r, ReasonNoUpstream)
+	if len(d.ordered) == 0 {
+		return d.reject(r, ReasonNoUpstream)
 	}
 	if len(d.queue) == 0 {
 		if t := d.pick(now, r); t != nil {
 			return []Decision{d.send(r, t)}
 		}
 	}
-	if d.hopeless(now, r) {
-		return d.giveUp(r, ReasonDeadline)
+	if d.missesDeadline(now, r) {
+		return d.reject(r, ReasonDeadline)
 	}
 	return d.enqueue(r)
 }
 
-// hopeless says that the queue before the request will take longer than its
-// deadline leaves; it is told now, so that its caller can go elsewhere.
-func (d *Dispatch) hopeless(now time.Time, r Request) bool {
-	before := 0
+// missesDeadline reports whether the request cannot finish before its deadline, given
+// the queue ahead of it. Rejecting it at once lets the caller use another server.
+func (d *Dispatch) missesDeadline(now time.Time, r Request) bool {
+	ahead := 0
 	for _, q := range d.queue {
 		if q.Priority >= r.Priority {
-			before++
+			ahead++
 		}
 	}
-	return now.Add(d.wait(before) + d.mean).After(r.Deadline)
+	return now.Add(d.estimateWait(ahead) + d.meanServiceTime).After(r.Deadline)
 }
 
-// wait estimates the time until n queued requests are gone: this balancer's own
-// part of the slots serves them.
-func (d *Dispatch) wait(n int) time.Duration {
+// estimateWait estimates how long the slots assigned to this balancer take to serve the
+// queued requests.
+func (d *Dispatch) estimateWait(queued int) time.Duration {
 	slots := 0
-	for _, t := range d.order {
+	for _, t := range d.ordered {
 		slots += max(t.Home, 0)
 	}
-	return d.mean * time.Duration(n) / time.Duration(max(slots, 1))
+	return d.meanServiceTime * time.Duration(queued) / time.Duration(max(slots, 1))
 }
 
 func (d *Dispatch) enqueue(r Request) []Decision {
-	var given []Decision
+	var rejected []Decision
 	if len(d.queue) >= d.settings.QueueLimit {
 		last := len(d.queue) - 1
 		if last < 0 || d.queue[last].Priority >= r.Priority {
-			return d.giveUp(r, ReasonQueueFull)
+			return d.reject(r, ReasonQueueFull)
 		}
-		given = d.giveUp(d.queue[last], ReasonPushedOut)
+		rejected = d.reject(d.queue[last], ReasonDisplaced)
 		d.queue = d.queue[:last]
 	}
 	at, _ := slices.BinarySearchFunc(d.queue, r, func(q, r Request) int {
@@ -243,11 +243,11 @@
 		return -1
 	})
 	d.queue = slices.Insert(d.queue, at, r)
-	return given
+	return rejected
 }
 
-func (d *Dispatch) giveUp(r Request, reason string) []Decision {
-	after := max(d.wait(len(d.queue))+d.mean, leastRetryAfter)
+func (d *Dispatch) reject(r Request, reason string) []Decision {
+	after := max(d.estimateWait(len(d.queue))+d.meanServiceTime, minRetryAfter)
 	return []Decision{{ID: r.ID, Err: &NotRunError{Reason: reason, RetryAfter: after}}}
 }
 
@@ -256,7 +256,7 @@
 	return Decision{ID: r.ID, Target: t.Name}
 }
 
-// Done notes how an attempt ended, and sends what may go next.
+// Done records the result of an attempt and dispatches queued requests.
 func (d *Dispatch) Done(now time.Time, name string, result Result, took time.Duration) []Decision {
 	t := d.targets[name]
 	if t == nil {
@@ -266,7 +266,7 @@
 	switch result {
 	case Answered:
 		t.shedStreak, t.failures, t.ejections = 0, 0, 0
-		d.mean = max(time.Duration((1-meanWeight)*float64(d.mean)+meanWeight*float64(took)), leastMean)
+		d.meanServiceTime = max(time.Duration((1-meanWeight)*float64(d.meanServiceTime)+meanWeight*float64(took)), minMean)
 	case Shed:
 		d.shed(now, t)
 	case Failed:
@@ -276,13 +276,14 @@
 	return d.Tick(now)
 }
 
-// Tick gives up requests whose time is over and sends those that may go.
+// Tick rejects queued requests that can no longer meet their deadline and sends those
+// for which a slot is free.
 func (d *Dispatch) Tick(now time.Time) []Decision {
 	var out []Decision
 	for i := 0; i < len(d.queue); {
 		r := d.queue[i]
-		if now.Add(d.mean).After(r.Deadline) || len(d.order) == 0 {
-			out = append(out, d.giveUp(r, ReasonDeadline)...)
+		if now.Add(d.meanServiceTime).After(r.Deadline) || len(d.ordered) == 0 {
+			out = append(out, d.reject(r, ReasonDeadline)...)
 			d.queue = slices.Delete(d.queue, i, i+1)
 			continue
 		}
@@ -300,12 +301,12 @@
 	return out
 }
 
-// Withdraw takes a waiting request back whose caller is gone.
-func (d *Dispatch) Withdraw(id uint64) {
+// Cancel removes a queued request whose caller disconnected.
+func (d *Dispatch) Cancel(id uint64) {
 	d.queue = slices.DeleteFunc(d.queue, func(r Request) bool { return r.ID == id })
 }
 
-// String tells the state in one line, for logs.
+// String formats the state for logs.
 func (d *Dispatch) String() string {
-	return fmt.Sprintf("queued %d, targets %d, mean %s, budget %.1f", len(d.queue), len(d.order), d.mean, d.budget)
+	return fmt.Sprintf("queued %d, targets %d, mean %s, budget %.1f", len(d.queue), len(d.ordered), d.meanServiceTime, d.retryBudget)
 }
--- a/internal/request/dispatch/doc.go
+++ b/internal/request/dispatch/doc.go
@@ -1,5 +1,6 @@
-// Package dispatch decides which upstream runs a request, and when.
+// Package dispatch selects the upstream of a request and queues requests that must
+// wait.
 //
-// It trusts what this balancer sees itself: outstanding requests, refusals,
-// failures and latency. Load reports of upstreams are not used, they lag or lie.
+// It relies on what this balancer measures: outstanding requests, rejections, failures
+// and latency. Load reports of upstreams are not used; they can be late or wrong.
 package dispatch
--- a/internal/request/dispatch/experiment_test.go
+++ b/internal/request/dispatch/experiment_test.go
@@ -18,45 +18,46 @@
 	"wasabideal/internal/request/homes"
 )
 
-// hop is the time between a balancer and an upstream, one way.
+// hop is the one-way latency between a balancer and an upstream.
 var hop = flag.Duration("hop", 1500*time.Microsecond, "latency of the comparison")
 
 var experiment = flag.Bool("experiment", false, "print the comparison with baselines")
 
 const (
-	balancers   = 9
-	slots       = 2
-	serviceTime = 50 * time.Millisecond
-	patience    = time.Second
-	simulated   = 60 * time.Second
+	balancers       = 9
+	slots           = 2
+	serviceTime     = 50 * time.Millisecond
+	requestTimeout  = time.Second
+	defaultLifetime = 60 * time.Second
 )
 
-// policy is what a balancer does with requests; the reducer or a baseline.
+// policy schedules the requests of one balancer: this package or a baseline.
 type policy interface {
 	offer(now time.Time, id uint64, deadline time.Time) []dispatch.Decision
 	done(now time.Time, name string, r dispatch.Result, took time.Duration) []dispatch.Decision
-	again(now time.Time, id uint64, deadline time.Time, avoid []string) []dispatch.Decision
+	retry(now time.Time, id uint64, deadline time.Time, avoid []string) []dispatch.Decision
 	tick(now time.Time) []dispatch.Decision
 	targets(ts []dispatch.Target)
 }
 
-type ours struct{ d *dispatch.Dispatch }
+type scheduler struct{ d *dispatch.Dispatch }
 
-func (o ours) offer(now time.Time, id uint64, deadline time.Time) []dispatch.Decision {
-	return o.d.Offer(now, dispatch.Request{ID: id, Deadline: deadline})
+func (s scheduler) offer(now time.Time, id uint64, deadline time.Time) []dispatch.Decision {
+	return s.d.Offer(now, dispatch.Request{ID: id, Deadline: deadline})
 }
 
-func (o ours) done(now time.Time, name string, r dispatch.Result, took time.Duration) []dispatch.Decision {
-	return o.d.Done(now, name, r, took)
+func (s scheduler) done(now time.Time, name string, r dispatch.Result, took time.Duration) []dispatch.Decision {
+	return s.d.Done(now, name, r, took)
 }
 
-func (o ours) again(now time.Time, id uint64, deadline time.Time, avoid []string) []dispatch.Decision {
-	return o.d.Again(now, dispatch.Request{ID: id, Deadline: deadline, Avoid: avoid, Since: deadline.Add(-patience)})
+func (s scheduler) retry(now time.Time, id uint64, deadline time.Time, avoid []string) []dispatch.Decision {
+	return s.d.Retry(now, dispatch.Request{ID: id, Deadline: deadline, Avoid: avoid, Since: deadline.Add(-requestTimeout)})
 }
-func (o ours) tick(now time.Time) []dispatch.Decision { return o.d.Tick(now) }
-func (o ours) targets(ts []dispatch.Target)           { o.d.SetTargets(ts) }
+func (s scheduler) tick(now time.Time) []dispatch.Decision { return s.d.Tick(now) }
+func (s scheduler) targets(ts []dispatch.Target)           { s.d.SetTargets(ts) }
 
-// simple sends at once to the upstream that choose names; no queue, no memory.
+// simple is a baseline without a queue: it sends each request at once to the upstream
+// that choose returns.
 type simple struct {
 	names       []string
 	outstanding map[string]int
@@ -71,7 +72,7 @@
 	return []dispatch.Decision{{ID: id, Target: name}}
 }
 
-func (s *simple) again(now time.Time, id uint64, deadline time.Time, _ []string) []dispatch.Decision {
+func (s *simple) retry(now time.Time, id uint64, deadline time.Time, _ []string) []dispatch.Decision {
 	return s.offer(now, id, deadline)
 }
 
@@ -104,7 +105,7 @@
 	return best
 }
 
-// world is upstreams with two slots and a short queue of their own behind nine balancers.
+// world simulates nine balancers and upstreams with two slots each.
 type world struct {
 	now       time.Time
 	random    *rand.Rand
@@ -112,29 +113,29 @@
 	sequence  int
 	policies  []policy
 	upstreams []*backend
-	result    tally
+	result    totals
 	deadlines map[uint64]time.Time
 	avoid     map[uint64][]string
 	arrived   map[uint64]time.Time
-	tries     map[uint64]int
+	attempts  map[uint64]int
 	lifetime  time.Duration
 }
 
 type backend struct {
-	name   string
-	busy   int
-	slow   float64
-	lies   bool
-	gone   bool
-	cold   time.Time
-	integr float64
-	since  time.Time
+	name        string
+	busy        int
+	slowdown    float64
+	failing     bool
+	removed     bool
+	startedAt   time.Time
+	busySeconds float64
+	since       time.Time
 }
 
-type tally struct {
+type totals struct {
 	offered, answered, notRun, unknown, sent int
 	latencies                                []time.Duration
-	// recovery is the answers by second, for storms.
+	// bySecond counts the responses per second of the run.
 	bySecond map[int]int
 }
 
@@ -164,28 +165,28 @@
 func newWorld(upstreams int, build func(i int) policy) *world {
 	w := &world{
 		now: epoch, random: rand.New(rand.NewPCG(9, 9)), deadlines: map[uint64]time.Time{}, avoid: map[uint64][]string{},
-		arrived: map[uint64]time.Time{}, tries: map[uint64]int{}, lifetime: simulated,
+		arrived: map[uint64]time.Time{}, attempts: map[uint64]int{}, lifetime: defaultLifetime,
 	}
 	w.result.bySecond = map[int]int{}
 	for i := range upstreams {
-		w.upstreams = append(w.upstreams, &backend{name: fmt.Sprintf("u%02d", i), slow: 1, since: epoch, cold: epoch.Add(-time.Hour)})
+		w.upstreams = append(w.upstreams, &backend{name: fmt.Sprintf("u%02d", i), slowdown: 1, since: epoch, startedAt: epoch.Add(-time.Hour)})
 	}
 	for i := range balancers {
 		w.policies = append(w.policies, build(i))
 	}
-	w.retarget()
+	w.updateTargets()
 	return w
 }
 
-// retarget tells the balancers which upstreams take work, and divides the slots.
-func (w *world) retarget() {
+// updateTargets updates the upstreams and the slot assignment at all balancers.
+func (w *world) updateTargets() {
 	var names []string
 	for i := range w.policies {
 		names = append(names, fmt.Sprintf("b%d", i))
 	}
 	var ups []homes.Upstream
 	for _, u := range w.upstreams {
-		if !u.gone {
+		if !u.removed {
 			ups = append(ups, homes.Upstream{Name: u.name, Slots: slots})
 		}
 	}
@@ -193,10 +194,10 @@
 	for i, p := range w.policies {
 		var ts []dispatch.Target
 		for _, u := range w.upstreams {
-			if u.gone {
+			if u.removed {
 				continue
 			}
-			share := math.Min(1, 0.1+0.9*w.now.Sub(u.cold).Seconds()/10)
+			share := math.Min(1, 0.1+0.9*w.now.Sub(u.startedAt).Seconds()/10)
 			ts = append(ts, dispatch.Target{Name: u.name, Slots: slots, Share: share, Home: h.Of(names[i], u.name)})
 		}
 		p.targets(ts)
@@ -216,15 +217,15 @@
 		b := w.random.IntN(balancers)
 		x := id
 		w.result.offered++
-		w.deadlines[x], w.arrived[x] = w.now.Add(patience), w.now
-		w.carry(b, w.policies[b].offer(w.now, x, w.deadlines[x]))
+		w.deadlines[x], w.arrived[x] = w.now.Add(requestTimeout), w.now
+		w.deliver(b, w.policies[b].offer(w.now, x, w.deadlines[x]))
 		w.after(time.Duration(w.random.ExpFloat64()/rate*float64(time.Second)), arrive)
 	}
 	w.after(0, arrive)
 	var tick func()
 	tick = func() {
 		for i, p := range w.policies {
-			w.carry(i, p.tick(w.now))
+			w.deliver(i, p.tick(w.now))
 		}
 		w.after(10*time.Millisecond, tick)
 	}
@@ -236,7 +237,7 @@
 	}
 }
 
-func (w *world) carry(b int, ds []dispatch.Decision) {
+func (w *world) deliver(b int, ds []dispatch.Decision) {
 	for _, d := range ds {
 		if d.Err != nil {
 			w.result.notRun++
@@ -254,22 +255,22 @@
 }
 
 func (u *backend) account(now time.Time) {
-	u.integr += float64(u.busy) * now.Sub(u.since).Seconds()
+	u.busySeconds += float64(u.busy) * now.Sub(u.since).Seconds()
 	u.since = now
 }
 
 func (w *world) arrive(b int, d dispatch.Decision, begin time.Time) {
 	u := w.find(d.Target)
 	switch {
-	case u.lies:
+	case u.failing:
 		w.after(*hop, func() { w.finish(b, d, dispatch.Failed, begin) })
 	case u.busy >= slots:
 		w.after(*hop, func() { w.finish(b, d, dispatch.Shed, begin) })
 	default:
 		u.account(w.now)
 		u.busy++
-		factor := u.slow
-		if w.now.Sub(u.cold) < 5*time.Second {
+		factor := u.slowdown
+		if w.now.Sub(u.startedAt) < 5*time.Second {
 			factor *= 4
 		}
 		took := time.Duration(w.random.ExpFloat64() * factor * float64(serviceTime))
@@ -281,10 +282,10 @@
 	}
 }
 
-const triesLimit = 24
+const maxAttempts = 24
 
 func (w *world) finish(b int, d dispatch.Decision, r dispatch.Result, begin time.Time) {
-	w.carry(b, w.policies[b].done(w.now, d.Target, r, w.now.Sub(begin)))
+	w.deliver(b, w.policies[b].done(w.now, d.Target, r, w.now.Sub(begin)))
 	switch r {
 	case dispatch.Answered:
 		if w.now.After(w.deadlines[d.ID]) {
@@ -297,17 +298,17 @@
 	case dispatch.Failed:
 		w.result.unknown++
 	default:
-		w.tries[d.ID]++
-		if w.tries[d.ID] >= triesLimit || w.now.After(w.deadlines[d.ID]) {
+		w.attempts[d.ID]++
+		if w.attempts[d.ID] >= maxAttempts || w.now.After(w.deadlines[d.ID]) {
 			w.result.notRun++
 			return
 		}
 		w.avoid[d.ID] = []string{d.Target}
-		w.carry(b, w.policies[b].again(w.now, d.ID, w.deadlines[d.ID], w.avoid[d.ID]))
+		w.deliver(b, w.policies[b].retry(w.now, d.ID, w.deadlines[d.ID], w.avoid[d.ID]))
 	}
 }
 
-func (t *tally) percentile(p float64) time.Duration {
+func (t *totals) percentile(p float64) time.Duration {
 	if len(t.latencies) == 0 {
 		return 0
 	}
@@ -315,23 +316,24 @@
 	return t.latencies[min(int(p*float64(len(t.latencies))), len(t.latencies)-1)].Round(time.Millisecond)
 }
 
-// imbalance is the busiest upstream's busy slots over the mean, for those that answer.
+// imbalance returns the busy time of the busiest upstream divided by the mean, over
+// upstreams that are neither removed, failing nor slow.
 func (w *world) imbalance() float64 {
 	most, sum, n := 0.0, 0.0, 0.0
 	for _, u := range w.upstreams {
-		if u.gone || u.lies || u.slow > 1 {
+		if u.removed || u.failing || u.slowdown > 1 {
 			continue
 		}
 		u.account(w.now)
-		most = max(most, u.integr)
-		sum += u.integr
+		most = max(most, u.busySeconds)
+		sum += u.busySeconds
 		n++
 	}
 	return most / (sum / n)
 }
 
-func newOurs(i int) policy {
-	return ours{dispatch.New(dispatch.Settings{SlotLimit: slots, QueueLimit: 50, RetryPercent: 10}, uint64(i))}
+func newScheduler(i int) policy {
+	return scheduler{dispatch.New(dispatch.Settings{SlotLimit: slots, QueueLimit: 50, RetryPercent: 10}, uint64(i))}
 }
 
 func baseline(choose func(*simple) string) func(int) policy {
@@ -340,28 +342,28 @@
 	}
 }
 
-var contenders = []struct {
+var strategies = []struct {
 	name string
 	make func(int) policy
 }{
-	{"wasabideal", newOurs},
+	{"wasabideal", newScheduler},
 	{"random", baseline(random)},
 	{"round robin", baseline(roundRobin)},
 	{"least outstanding", baseline(leastOutstanding)},
 }
 
-// disturb adds a cold start, a drain, a slow upstream and one that fails all.
+// disturb adds a cold start, a drain, a slow upstream and one that fails all requests.
 func (w *world) disturb() {
-	w.upstreams[0].slow = 3
-	w.upstreams[1].lies = true
-	w.after(20*time.Second, func() { w.upstreams[2].gone = true; w.retarget() })
-	w.after(30*time.Second, func() { w.upstreams[2].gone, w.upstreams[2].cold = false, w.now; w.retarget() })
+	w.upstreams[0].slowdown = 3
+	w.upstreams[1].failing = true
+	w.after(20*time.Second, func() { w.upstreams[2].removed = true; w.updateTargets() })
+	w.after(30*time.Second, func() { w.upstreams[2].removed, w.upstreams[2].startedAt = false, w.now; w.updateTargets() })
 	for s := 31; s < 45; s++ {
-		w.after(time.Duration(s)*time.Second, w.retarget)
+		w.after(time.Duration(s)*time.Second, w.updateTargets)
 	}
 }
 
-// TestComparison prints goodput and latency against baselines; run it by
+// TestComparison prints goodput and latency against baselines; run it with
 // go test ./internal/request/dispatch -run Comparison -experiment -v.
 func TestComparison(t *testing.T) {
 	if !*experiment {
@@ -371,7 +373,7 @@
 	_, _ = fmt.Fprintln(out, "SCENE\tLOAD\tPOLICY\tGOODPUT\tP50\tP99\tP99.9\tNOTRUN\tUNKNOWN\tSENT PER REQUEST\tIMBALANCE")
 	for _, scene := range []string{"quiet", "disturbed"} {
 		for _, load := range []float64{0.5, 0.8, 0.95, 1.1, 1.3} {
-			for _, c := range contenders {
+			for _, c := range strategies {
 				w := newWorld(15, c.make)
 				if scene == "disturbed" {
 					w.disturb()
@@ -389,19 +391,16 @@
 	}
 }
 
-// TestStormEndsWithinFiveSeconds takes 70 % of the pool away for 20 s.
-//
-// Symptom: after a pool came back, goodput stayed low. Events: 30 % of the
-// upstreams serve for 20 s, then all. Cause: queues full of requests whose
-// deadline is over, and repeats that keep the upstreams busy.
-func TestStormEndsWithinFiveSeconds(t *testing.T) {
-	w := newWorld(15, newOurs)
-	part := func(gone bool) func() {
+// Guards against low goodput after a pool recovers. For 20 s only 30 % of the upstreams
+// serve; queues fill with expired requests and retries keep the upstreams busy.
+func TestGoodputRecoversWithinFiveSeconds(t *testing.T) {
+	w := newWorld(15, newScheduler)
+	part := func(removed bool) func() {
 		return func() {
 			for _, u := range w.upstreams[:10] {
-				u.gone = gone
+				u.removed = removed
 			}
-			w.retarget()
+			w.updateTargets()
 		}
 	}
 	w.after(10*time.Second, part(true))
@@ -413,14 +412,11 @@
 	require.GreaterOrEqual(t, float64(w.result.bySecond[40]), 0.9*rate)
 }
 
-// TestLyingUpstreamAttractsNoWork has one upstream that fails all at once.
-//
-// Symptom: most requests failed though one upstream of 15 was broken. Events:
-// it answers errors at once, so it always looks idle. Cause: choosing by idle
-// slots alone.
-func TestLyingUpstreamAttractsNoWork(t *testing.T) {
-	w := newWorld(15, newOurs)
-	w.upstreams[3].lies = true
+// Guards against one broken upstream of 15 that attracts most requests: it returns
+// errors at once, so it always appears idle to a selection by idle slots.
+func TestFailingUpstreamAttractsNoRequests(t *testing.T) {
+	w := newWorld(15, newScheduler)
+	w.upstreams[3].failing = true
 	w.lifetime = 20 * time.Second
 	w.run(300)
 	require.Less(t, float64(w.result.unknown)/float64(w.result.offered), 0.03)
--- a/internal/request/dispatch/target.go
+++ b/internal/request/dispatch/target.go
@@ -5,17 +5,18 @@
 	"time"
 )
 
-// limit is the requests that this balancer may have in flight at an upstream.
+// limit returns the number of requests that this balancer may have in flight at an
+// upstream.
 func (d *Dispatch) limit(t *target) int {
 	n := min(t.Slots, d.settings.SlotLimit)
 	return max(int(float64(n)*t.Share+0.5), 1)
 }
 
-// pick takes a free home slot first, and else the better of two others that
-// did not refuse lately.
+// pick returns an upstream with a free slot assigned to this balancer. If there is none,
+// it returns the less loaded of two random upstreams without a recent rejection.
 func (d *Dispatch) pick(now time.Time, r Request) *target {
-	free := make([]*target, 0, len(d.order))
-	for _, t := range d.order {
+	free := make([]*target, 0, len(d.ordered))
+	for _, t := range d.ordered {
 		if d.usable(now, t) && t.outstanding < d.limit(t) && !slices.Contains(r.Avoid, t.Name) {
 			free = append(free, t)
 		}
@@ -29,14 +30,14 @@
 	if len(home) > 0 {
 		return home[d.random.IntN(len(home))]
 	}
-	if now.Sub(r.Since) < time.Duration(borrowAfter*float64(d.mean)) {
+	if now.Sub(r.Since) < time.Duration(borrowAfter*float64(d.meanServiceTime)) {
 		return nil
 	}
-	rested := slices.DeleteFunc(free, func(t *target) bool { return now.Before(t.shedUntil) })
-	if len(rested) == 0 {
+	available := slices.DeleteFunc(free, func(t *target) bool { return now.Before(t.shedUntil) })
+	if len(available) == 0 {
 		return nil
 	}
-	a, b := rested[d.random.IntN(len(rested))], rested[d.random.IntN(len(rested))]
+	a, b := available[d.random.IntN(len(available))], available[d.random.IntN(len(available))]
 	if load(b) < load(a) {
 		return b
 	}
@@ -47,35 +48,35 @@
 	return (float64(t.outstanding) + float64(t.shedStreak)) / (float64(max(t.Slots, 1)) * t.Share)
 }
 
-func (d *Dispatch) usable(now time.Time, t *target) bool { return !now.Before(t.ejectedTo) }
+func (d *Dispatch) usable(now time.Time, t *target) bool { return !now.Before(t.ejectedUntil) }
 
-// shed remembers a refusal: others' requests fill the upstream, and asking
-// again before one ends is in vain. The memory grows with each refusal in a
-// row, and is jittered so that balancers do not come back together.
+// shed starts a backoff after a rejection: the upstream is full of other balancers'
+// requests until one of them ends. The backoff grows with consecutive rejections, and
+// jitter prevents balancers from retrying at the same time.
 func (d *Dispatch) shed(now time.Time, t *target) {
 	t.shedStreak = min(t.shedStreak+1, shedStreakLimit)
-	rest := shedMemory * float64(d.mean) * float64(int(1)<<(t.shedStreak-1))
-	t.shedUntil = now.Add(time.Duration(rest * (0.5 + d.random.Float64())))
+	backoff := shedBackoff * float64(d.meanServiceTime) * float64(int(1)<<(t.shedStreak-1))
+	t.shedUntil = now.Add(time.Duration(backoff * (0.5 + d.random.Float64())))
 }
 
-// failed ejects an upstream after failures in a row, but never so many that
-// less than half of the pool is left: then the fault is likelier elsewhere.
+// failed ejects an upstream after consecutive failures, unless less than half of the
+// pool would remain: the fault is then probably not in the upstreams.
 func (d *Dispatch) failed(now time.Time, t *target) {
 	t.failures++
 	if t.failures < failuresToEject {
 		return
 	}
-	out := 1
-	for _, o := range d.order {
+	ejected := 1
+	for _, o := range d.ordered {
 		if o != t && !d.usable(now, o) {
-			out++
+			ejected++
 		}
 	}
-	if float64(len(d.order)-out) < keepShare*float64(len(d.order)) {
+	if float64(len(d.ordered)-ejected) < minUsableShare*float64(len(d.ordered)) {
 		return
 	}
-	t.ejectedTo = now.Add(ejectFor << min(t.ejections, ejectLimit))
+	t.ejectedUntil = now.Add(ejectionTime << min(t.ejections, maxEjectionDoublings))
 	t.ejections++
-	// One answer or failure after the rest decides again.
+	// The next failure ejects the upstream again; a response clears the count.
 	t.failures = failuresToEject - 1
 }
--- a/internal/request/door/door.go
+++ b/internal/request/door/door.go
@@ -197,7 +197,7 @@
 func (d *Door) retry(x *exchange) chan dispatch.Decision {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.await(x, d.dispatch.Again(d.settings.Clock(), d.dispatchRequest(x)))
+	return d.await(x, d.dispatch.Retry(d.settings.Clock(), d.dispatchRequest(x)))
 }
 
 func (d *Door) await(x *exchange, ds []dispatch.Decision) chan dispatch.Decision {
@@ -216,7 +216,7 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.dispatch.Withdraw(x.id)
+	d.dispatch.Cancel(x.id)
 	delete(d.waiting, x.id)
 	select {
 	case decision := <-w:
