--- a/internal/member/registrar/doc.go
+++ b/internal/member/registrar/doc.go
@@ -1,2 +1,3 @@
-// Package registrar tells the leading voter that a balancer remembers keys.
+// Package registrar registers a balancer as a store of request keys with the leader of
+// the voters.
 package registrar
--- a/internal/member/registrar/registrar.go
+++ b/internal/member/registrar/registrar.go
@@ -13,26 +13,26 @@
 
 type empty struct{}
 
-// Registrar says hello until its context ends.
+// Registrar sends heartbeats to the leader of the voters.
 type Registrar struct {
-	voters []string
-	every  time.Duration
-	pool   *pool.Pool
-	hello  func() keeper.Hello
-	last   int
+	voters   []string
+	interval time.Duration
+	pool     *pool.Pool
+	hello    func() keeper.Hello
+	leader   int
 }
 
-// New returns a registrar that asks the voters in turn for the leading one.
-func New(voters []string, every time.Duration, p *pool.Pool, hello func() keeper.Hello) *Registrar {
-	return &Registrar{voters: voters, every: every, pool: p, hello: hello}
+// New returns a Registrar; hello returns the content of the next heartbeat.
+func New(voters []string, interval time.Duration, p *pool.Pool, hello func() keeper.Hello) *Registrar {
+	return &Registrar{voters: voters, interval: interval, pool: p, hello: hello}
 }
 
-// Run says hello at a steady pace.
+// Run sends heartbeats at a fixed interval until ctx ends.
 func (r *Registrar) Run(ctx context.Context) {
-	t := time.NewTicker(r.every)
+	t := time.NewTicker(r.interval)
 	defer t.Stop()
 	for {
-		r.say(ctx)
+		r.register(ctx)
 		select {
 		case <-ctx.Done():
 			return
@@ -41,16 +41,17 @@
 	}
 }
 
-// say tells the voter that led last, and the others if it does not lead now.
-func (r *Registrar) say(ctx context.Context) {
+// register sends a heartbeat to the last known leader, then to the other voters until
+// one accepts it.
+func (r *Registrar) register(ctx context.Context) {
 	h := r.hello()
 	for i := range r.voters {
-		at := (r.last + i) % len(r.voters)
+		candidate := (r.leader + i) % len(r.voters)
 		call, cancel := context.WithTimeout(ctx, callTimeout)
-		_, err := pool.Call[keeper.Hello, empty](call, r.pool, r.voters[at], voter.HelloMethod, h)
+		_, err := pool.Call[keeper.Hello, empty](call, r.pool, r.voters[candidate], voter.HelloMethod, h)
 		cancel()
 		if err == nil {
-			r.last = at
+			r.leader = candidate
 			return
 		}
 	}
