--- a/internal/balancer/reducer/fuzz_test.go
+++ b/internal/balancer/reducer/fuzz_test.go
@@ -23,7 +23,7 @@
 	f.Fuzz(func(_ *testing.T, b []byte) {
 		var out effect.List
 		if len(b) > 0 && b[0] == swim.Kind {
-			b = stamp.Close(append([]byte(nil), b...))
+			b = stamp.Sign(append([]byte(nil), b...))
 		}
 		_ = n.reducer.Reduce(s.now, event.Event{Kind: event.PeerDatagram, From: from, Data: b}, &out)
 	})
--- a/internal/balancer/reducer/reducer.go
+++ b/internal/balancer/reducer/reducer.go
@@ -40,7 +40,7 @@
 	router          *router.Router
 	swim            *swim.Swim
 	registry        *registry.Registry
-	busy            *busy.Busy
+	busy            *busy.Tracker
 	follower        *follower.Follower
 	peers           map[netip.AddrPort]bool
 	swimVersion     uint64
@@ -150,7 +150,7 @@
 	case event.StopPlanned:
 		r.leave(now)
 	case event.Stopped:
-		r.swim.Goodbye(now, out)
+		r.swim.Leave(now, out)
 	}
 	// Both are asked: each forgets that it was urgent.
 	members, upstreams := r.swim.TakeUrgent(), r.registry.TakeUrgent()
@@ -259,7 +259,7 @@
 	if r.drained || r.leavingSince.IsZero() || now.Sub(r.leavingSince) < leaveNotice {
 		return
 	}
-	if r.router.Repaired() && !r.busy.Any(now) {
+	if r.router.Repaired() && !r.busy.AnyRepairing(now) {
 		r.drained = true
 		out.Add(effect.Effect{Kind: effect.Drained})
 	}
--- a/internal/member/busy/busy.go
+++ b/internal/member/busy/busy.go
@@ -6,44 +6,44 @@
 	"wasabideal/internal/member/swim"
 )
 
-// flagBusy is the news of a balancer that makes copies; no news is the other.
+// flagBusy is the payload of a balancer that creates replicas; others send none.
 const flagBusy = 1
 
-// Busy keeps the latest news of each balancer; one goroutine owns it.
-type Busy struct {
-	own   func() bool
-	keep  time.Duration
-	heard map[string]time.Time
+// Tracker holds the balancers that reported repairs. It is not safe for concurrent use.
+type Tracker struct {
+	repairing func() bool
+	expiry    time.Duration
+	reported  map[string]time.Time
 }
 
-// New returns a rider that reports what own returns, and believes others for keep.
-func New(own func() bool, keep time.Duration) *Busy {
-	return &Busy{own: own, keep: keep, heard: map[string]time.Time{}}
+// New returns a Tracker that reports the result of own; a report expires after keep.
+func New(repairing func() bool, expiry time.Duration) *Tracker {
+	return &Tracker{repairing: repairing, expiry: expiry, reported: map[string]time.Time{}}
 }
 
-// Any says whether another balancer makes copies, as far as is known.
-func (b *Busy) Any(now time.Time) bool {
-	for name, at := range b.heard {
-		if now.Sub(at) > b.keep {
-			delete(b.heard, name)
+// AnyRepairing reports whether another balancer is known to create replicas.
+func (t *Tracker) AnyRepairing(now time.Time) bool {
+	for name, at := range t.reported {
+		if now.Sub(at) > t.expiry {
+			delete(t.reported, name)
 		}
 	}
-	return len(b.heard) > 0
+	return len(t.reported) > 0
 }
 
-// Load tells whether this balancer makes copies.
-func (b *Busy) Load(time.Time, int) []byte {
-	if b.own() {
+// Load returns the payload that reports whether this balancer creates replicas.
+func (t *Tracker) Load(time.Time, int) []byte {
+	if t.repairing() {
 		return []byte{flagBusy}
 	}
 	return nil
 }
 
-// Unload notes another balancer's news.
-func (b *Busy) Unload(now time.Time, from swim.Member, news []byte) {
+// Unload records the payload of another balancer.
+func (t *Tracker) Unload(now time.Time, from swim.Member, news []byte) {
 	if len(news) == 1 && news[0] == flagBusy {
-		b.heard[from.Name] = now
+		t.reported[from.Name] = now
 		return
 	}
-	delete(b.heard, from.Name)
+	delete(t.reported, from.Name)
 }
--- a/internal/member/busy/doc.go
+++ b/internal/member/busy/doc.go
@@ -1,2 +1,2 @@
-// Package busy lets balancers know which others still make missing copies.
+// Package busy tracks which other balancers still create missing replicas of flows.
 package busy
--- a/internal/member/seal/doc.go
+++ b/internal/member/seal/doc.go
@@ -1,2 +1,2 @@
-// Package seal proves that a datagram comes from a process with the group's token.
+// Package seal authenticates datagrams between processes that share a group's token.
 package seal
--- a/internal/member/swim/doc.go
+++ b/internal/member/swim/doc.go
@@ -1,6 +1,7 @@
-// Package swim keeps the list of balancers in a group by probing, after SWIM
-// (Das, Gupta, Motivala, 2002), at a cost that does not grow with the group.
+// Package swim maintains the members of a group of balancers with the SWIM protocol
+// (Das, Gupta, Motivala, 2002). Its cost per balancer does not grow with the group.
 //
-// Each tick probes one member, directly and then through others; a silent one
-// is suspected, may refute, and is dead after a while. News rides on probes.
+// Every second tick probes one member, directly and then through others. A member that
+// does not respond is suspected, may refute, and is declared dead after a timeout.
+// Updates are piggybacked on probes.
 package swim
--- a/internal/member/swim/member.go
+++ b/internal/member/swim/member.go
@@ -8,10 +8,10 @@
 	"wasabideal/internal/flow/key"
 )
 
-// State is what the group thinks of a member.
+// State is the state of a member.
 type State uint8
 
-// The states, a later one overriding an earlier one of the same incarnation.
+// The states; a later one overrides an earlier one of the same incarnation.
 const (
 	Alive State = iota
 	Suspect
@@ -21,31 +21,31 @@
 
 var stateNames = [...]string{"Alive", "Suspect", "Dead", "Left"}
 
-// String gives the state's name as it stands in JSON and logs.
+// String returns the name of the state, as used in JSON and logs.
 func (s State) String() string { return stateNames[min(int(s), len(stateNames)-1)] }
 
-// Member is one balancer as the news about it says.
+// Member is an update about one balancer.
 type Member struct {
 	_       struct{} `cbor:",toarray"`
 	Name    string
 	Zone    string
 	Address netip.AddrPort
-	// Start tells lives apart: it is the time a process began, in nanoseconds.
+	// Start identifies a process: it is its start time in nanoseconds.
 	Start uint64
-	// Incarnation is raised by the member itself to refute news about it.
+	// Incarnation is incremented by the member itself to refute an update about it.
 	Incarnation uint64
 	State       State
-	// Passive members own no flows: they are joining, or in a planned stop.
+	// Passive members own no flows: they are joining or leaving.
 	Passive bool
 }
 
-// WithState returns the member in another state.
+// WithState returns the member with another state.
 func (m Member) WithState(s State) Member {
 	m.State = s
 	return m
 }
 
-func (m Member) newer(o Member) bool {
+func (m Member) supersedes(o Member) bool {
 	if m.Start != o.Start {
 		return m.Start > o.Start
 	}
@@ -55,7 +55,8 @@
 	return m.State > o.State
 }
 
-// digest sums a member's news; equal lists have equal sums in any order.
+// digest returns a hash of the member. The sum of the digests of a list does not depend
+// on its order.
 func (m Member) digest() uint64 {
 	flags := uint64(m.State) << 1
 	if m.Passive {
--- a/internal/member/swim/message.go
+++ b/internal/member/swim/message.go
@@ -14,12 +14,12 @@
 const (
 	kindPing messageKind = iota
 	kindAck
-	kindPingFor
+	kindPingRequest
 	kindJoin
 	kindSync
 )
 
-// message is the wire form of all gossip.
+// message is the wire format of all gossip messages.
 type message struct {
 	_      struct{} `cbor:",toarray"`
 	Kind   messageKind
@@ -32,41 +32,41 @@
 }
 
 const (
-	// headReserve is the room a message needs beside its riders.
-	headReserve = 420
-	// minimumRiders is the budget that a probe always has.
-	minimumRiders = 160
-	syncMembers   = 16
+	// headerReserve is the space reserved for a message without its riders.
+	headerReserve = 420
+	// minRiderBytes is the space for riders that a probe has even without a budget.
+	minRiderBytes  = 160
+	membersPerSync = 16
 )
 
-// send fills in news and riders as the byte budget allows.
+// send adds updates and riders to m and sends it. The byte budget limits the riders.
 //
-// Probes go out even when the budget is spent: silence would look like death.
+// Probes are sent even without a budget, or the balancer would appear dead.
 func (s *Swim) send(now time.Time, to netip.AddrPort, m message, out *effect.List) {
 	m.From = s.self
 	m.Digest = s.digest()
-	m.News = append(m.News, s.news()...)
+	m.News = append(m.News, s.pendingUpdates()...)
 	if m.Kind == kindPing || m.Kind == kindAck || m.Kind == kindSync {
-		room := min(datagramLimit-headReserve, max(int(s.budget)-headReserve, minimumRiders))
+		space := min(datagramLimit-headerReserve, max(int(s.budget)-headerReserve, minRiderBytes))
 		for _, r := range s.riders {
-			news := r.Load(now, room)
-			room -= len(news)
-			m.Riders = append(m.Riders, news)
+			payload := r.Load(now, space)
+			space -= len(payload)
+			m.Riders = append(m.Riders, payload)
 		}
 	}
 	b, err := cbor.Marshal(m)
 	if err != nil {
-		out.Add(effect.Effect{Kind: effect.Alarm, Text: "gossip cannot be encoded: " + err.Error()})
+		out.Add(effect.Effect{Kind: effect.Alarm, Text: "encoding a gossip message failed: " + err.Error()})
 		return
 	}
-	data := s.seal.Close(append([]byte{Kind}, b...))
+	data := s.seal.Sign(append([]byte{Kind}, b...))
 	s.budget -= float64(len(data) + overhead)
 	s.Counters.Sent++
 	s.Counters.SentBytes += uint64(len(data) + overhead)
 	out.Add(effect.Effect{Kind: effect.ToPeer, To: to, Data: data})
 }
 
-// Receive takes one gossip datagram.
+// Receive processes one gossip datagram.
 func (s *Swim) Receive(now time.Time, from netip.AddrPort, datagram []byte, out *effect.List) {
 	m, ok := s.decode(datagram)
 	if !ok || m.From.Name == s.self.Name {
@@ -75,24 +75,24 @@
 	}
 	s.Counters.Received++
 	s.Counters.ReceivedBytes += uint64(len(datagram) + overhead)
-	s.hear(now, m.From)
+	s.merge(now, m.From)
 	if p := s.peers[m.From.Name]; p != nil && m.Kind == kindAck {
 		s.setDirect(p, true)
 	}
 	for _, n := range m.News {
-		s.hear(now, n)
+		s.merge(now, n)
 	}
 	for i, r := range s.riders {
 		if i < len(m.Riders) {
 			r.Unload(now, m.From, m.Riders[i])
 		}
 	}
-	s.answer(now, from, m, out)
+	s.reply(now, from, m, out)
 }
 
 func (s *Swim) decode(datagram []byte) (message, bool) {
 	var m message
-	b, err := s.seal.Open(datagram)
+	b, err := s.seal.Verify(datagram)
 	if err != nil || len(b) < 1 {
 		return m, false
 	}
@@ -103,27 +103,27 @@
 	return m, valid
 }
 
-func (s *Swim) answer(now time.Time, from netip.AddrPort, m message, out *effect.List) {
+func (s *Swim) reply(now time.Time, from netip.AddrPort, m message, out *effect.List) {
 	switch m.Kind {
 	case kindPing:
 		a := message{Kind: kindAck, Number: m.Number}
 		if m.Digest != s.digest() {
-			a.News = s.rotate(newsPerMessage / 2)
+			a.News = s.nextMembers(newsPerMessage / 2)
 		}
-		// A suspect learns of it here, and its next words refute it.
+		// Tells a suspected member that it is suspected, so that it can refute.
 		if p := s.peers[m.From.Name]; p != nil && p.State != Alive {
 			a.News = append(a.News, p.Member)
 		}
 		s.send(now, from, a, out)
 	case kindAck:
-		s.acked(now, m, out)
-	case kindPingFor:
-		s.number++
-		s.relayed[s.number] = relayedProbe{origin: from, number: m.Number, sent: now}
-		s.send(now, m.Target, message{Kind: kindPing, Number: s.number}, out)
+		s.handleAck(now, m, out)
+	case kindPingRequest:
+		s.sequence++
+		s.relayed[s.sequence] = relayedProbe{origin: from, sequence: m.Number, sent: now}
+		s.send(now, m.Target, message{Kind: kindPing, Number: s.sequence}, out)
 	case kindJoin:
-		for range max((len(s.peers)+syncMembers-1)/syncMembers, 1) {
-			s.send(now, from, message{Kind: kindSync, News: s.rotate(syncMembers)}, out)
+		for range max((len(s.peers)+membersPerSync-1)/membersPerSync, 1) {
+			s.send(now, from, message{Kind: kindSync, News: s.nextMembers(membersPerSync)}, out)
 		}
 	case kindSync:
 		if m.Number != 0 {
@@ -132,11 +132,12 @@
 	}
 }
 
-// acked ends a probe, or passes the answer to whom the probe was made for.
-func (s *Swim) acked(now time.Time, m message, out *effect.List) {
+// handleAck completes a probe. The ack of an indirect probe is forwarded to the member
+// that requested the probe.
+func (s *Swim) handleAck(now time.Time, m message, out *effect.List) {
 	if r, ok := s.relayed[m.Number]; ok {
 		delete(s.relayed, m.Number)
-		s.send(now, r.origin, message{Kind: kindSync, Number: r.number, News: []Member{m.From}}, out)
+		s.send(now, r.origin, message{Kind: kindSync, Number: r.sequence, News: []Member{m.From}}, out)
 		return
 	}
 	delete(s.probes, m.Number)
--- a/internal/member/swim/probe.go
+++ b/internal/member/swim/probe.go
@@ -8,11 +8,11 @@
 	"wasabideal/internal/core/effect"
 )
 
-// nextTarget walks all members in a random order renewed at each round, so
-// that each is probed within two rounds at the latest.
+// nextTarget returns the next member in a random order that is shuffled each round, so
+// that every member is probed at least once within two rounds.
 func (s *Swim) nextTarget() (Member, bool) {
 	if s.ticks%(probeEvery*reviveEvery) == 0 {
-		if dead := s.sorted(func(p *peer) bool { return p.State == Dead }); len(dead) > 0 {
+		if dead := s.sortedPeers(func(p *peer) bool { return p.State == Dead }); len(dead) > 0 {
 			return dead[s.random.IntN(len(dead))].Member, true
 		}
 	}
@@ -31,19 +31,19 @@
 	return Member{}, false
 }
 
-func (s *Swim) sorted(keep func(*peer) bool) []*peer {
+func (s *Swim) sortedPeers(match func(*peer) bool) []*peer {
 	var ps []*peer
 	for _, name := range slices.Sorted(maps.Keys(s.peers)) {
-		if p := s.peers[name]; keep(p) {
+		if p := s.peers[name]; match(p) {
 			ps = append(ps, p)
 		}
 	}
 	return ps
 }
 
-// pick returns up to n live members other than the named one, at random.
-func (s *Swim) pick(n int, except string) []Member {
-	ps := s.sorted(func(p *peer) bool { return p.State == Alive && p.Name != except })
+// randomPeers returns up to n random live members other than the named one.
+func (s *Swim) randomPeers(n int, except string) []Member {
+	ps := s.sortedPeers(func(p *peer) bool { return p.State == Alive && p.Name != except })
 	s.random.Shuffle(len(ps), func(i, j int) { ps[i], ps[j] = ps[j], ps[i] })
 	ms := make([]Member, 0, n)
 	for _, p := range ps[:min(n, len(ps))] {
@@ -53,12 +53,12 @@
 }
 
 func (s *Swim) probe(now time.Time, m Member, out *effect.List) {
-	s.number++
-	s.probes[s.number] = probe{target: m.Name, sent: now}
-	s.send(now, m.Address, message{Kind: kindPing, Number: s.number}, out)
+	s.sequence++
+	s.probes[s.sequence] = probe{target: m.Name, sent: now}
+	s.send(now, m.Address, message{Kind: kindPing, Number: s.sequence}, out)
 }
 
-func (s *Swim) ageProbes(now time.Time, out *effect.List) {
+func (s *Swim) expireProbes(now time.Time, out *effect.List) {
 	for _, n := range slices.Sorted(maps.Keys(s.probes)) {
 		p := s.probes[n]
 		t := s.peers[p.target]
@@ -72,8 +72,8 @@
 			p.indirect = true
 			s.probes[n] = p
 			s.setDirect(t, false)
-			for _, m := range s.pick(indirectProbers, p.target) {
-				s.send(now, m.Address, message{Kind: kindPingFor, Number: n, Target: t.Address}, out)
+			for _, m := range s.randomPeers(indirectProbers, p.target) {
+				s.send(now, m.Address, message{Kind: kindPingRequest, Number: n, Target: t.Address}, out)
 			}
 		}
 	}
@@ -94,5 +94,5 @@
 		return
 	}
 	s.Counters.Suspicions++
-	s.set(now, p.WithState(Suspect))
+	s.store(now, p.WithState(Suspect))
 }
--- a/internal/member/swim/swim.go
+++ b/internal/member/swim/swim.go
@@ -12,38 +12,38 @@
 	"wasabideal/internal/member/seal"
 )
 
-// Kind is the first byte of every gossip datagram on the peer port.
+// Kind is the first byte of every gossip datagram.
 const Kind = 2
 
-// Rider is news of another package that travels on probes.
+// Rider is a source of payloads of other packages that are piggybacked on probes.
 type Rider interface {
-	// Load returns news of at most budget bytes.
+	// Load returns a payload of at most budget bytes.
 	Load(now time.Time, budget int) []byte
-	// Unload takes the news that from sent; it ignores what it cannot read.
+	// Unload processes a payload sent by from; it ignores invalid payloads.
 	Unload(now time.Time, from Member, news []byte)
 }
 
-// Settings bound the probing; all times must be at least a tick apart.
+// Settings configures a Swim. The durations must differ by at least one tick.
 type Settings struct {
 	Self  Member
 	Seeds []netip.AddrPort
 	Token string
-	// Group keeps groups that share the token apart.
+	// Group separates groups that share a token.
 	Group string
 	Seed  uint64
-	// IndirectAfter is the silence after which others are asked to probe.
+	// IndirectAfter is the time without an ack after which indirect probes are sent.
 	IndirectAfter time.Duration
-	// SuspectAfter is the silence after which a probed member is suspected.
+	// SuspectAfter is the time without an ack after which a member is suspected.
 	SuspectAfter time.Duration
-	// DeadAfter is how long a suspect may refute.
+	// DeadAfter is the time in which a suspected member may refute.
 	DeadAfter time.Duration
-	// ForgetAfter is how long a dead member is looked for.
+	// ForgetAfter is the time after which a dead member is removed.
 	ForgetAfter time.Duration
-	// BytesPerSecond bounds what probes and their riders send.
+	// BytesPerSecond is the byte budget of probes and riders.
 	BytesPerSecond int
 }
 
-// Counters are running totals of the probing.
+// Counters holds the totals since the start.
 type Counters struct {
 	Sent, SentBytes, Received, ReceivedBytes, Refused, Suspicions, Deaths, Refutations uint64
 }
@@ -51,25 +51,25 @@
 const (
 	indirectProbers = 2
 	newsPerMessage  = 6
-	// datagramLimit keeps gossip within one packet of an ordinary network.
+	// datagramLimit keeps gossip below the usual MTU, to avoid fragmentation.
 	datagramLimit = 1200
-	// overhead is what IPv4 and UDP headers add to each datagram.
+	// overhead is the size of the IPv4 and UDP headers.
 	overhead = 28
-	// joinEvery is the number of ticks between questions to unknown seeds.
+	// joinEvery is the number of ticks between join messages to unknown seeds.
 	joinEvery = 2
 	// probeEvery is the number of ticks between probes.
 	probeEvery = 2
-	// pushFanout is the number of members that urgent news goes to.
+	// pushFanout is the number of members that receive a push.
 	pushFanout = 3
-	// reviveEvery is the number of probes between probes of a dead member.
+	// reviveEvery is the interval of probes of dead members, in probes.
 	reviveEvery = 4
 )
 
 type peer struct {
 	Member
-	since  time.Time
-	told   int
-	direct bool
+	since         time.Time
+	transmissions int
+	direct        bool
 }
 
 type probe struct {
@@ -78,37 +78,37 @@
 	indirect bool
 }
 
-// Swim is the membership of one balancer; one goroutine owns it.
+// Swim is the protocol instance of one balancer. It is not safe for concurrent use.
 type Swim struct {
-	settings Settings
-	seal     seal.Seal
-	self     Member
-	peers    map[string]*peer
-	order    []string
-	fresh    []*peer
-	urgent   bool
-	sum      uint64
-	next     int
-	ticks    uint64
-	number   uint32
-	probes   map[uint32]probe
-	relayed  map[uint32]relayedProbe
-	random   *rand.Rand
-	riders   []Rider
-	budget   float64
-	lastTick time.Time
-	version  uint64
-	rotation int
-	Counters Counters
+	settings     Settings
+	seal         seal.Signer
+	self         Member
+	peers        map[string]*peer
+	order        []string
+	updates      []*peer
+	urgentChange bool
+	digestSum    uint64
+	next         int
+	ticks        uint64
+	sequence     uint32
+	probes       map[uint32]probe
+	relayed      map[uint32]relayedProbe
+	random       *rand.Rand
+	riders       []Rider
+	budget       float64
+	lastTick     time.Time
+	version      uint64
+	rotation     int
+	Counters     Counters
 }
 
 type relayedProbe struct {
-	origin netip.AddrPort
-	number uint32
-	sent   time.Time
+	origin   netip.AddrPort
+	sequence uint32
+	sent     time.Time
 }
 
-// New returns a membership that knows itself only.
+// New returns a Swim whose only member is itself.
 func New(s Settings, riders ...Rider) *Swim {
 	return &Swim{
 		settings: s, seal: seal.New(s.Token, s.Group), self: s.Self,
@@ -117,13 +117,13 @@
 	}
 }
 
-// Version changes whenever Members, Reachable or Isolated may have.
+// Version changes whenever Members, Unreachable or Isolated may have changed.
 func (s *Swim) Version() uint64 { return s.version }
 
-// Self returns this balancer as it tells others of itself.
+// Self returns the member that this balancer announces for itself.
 func (s *Swim) Self() Member { return s.self }
 
-// Members returns this balancer and all that are not dead or gone, by name.
+// Members returns this balancer and all alive or suspected members, sorted by name.
 func (s *Swim) Members() []Member {
 	ms := []Member{s.self}
 	for _, p := range s.peers {
@@ -135,7 +135,7 @@
 	return ms
 }
 
-// All returns every member known, the dead included, by name.
+// All returns all known members, including dead ones, sorted by name.
 func (s *Swim) All() []Member {
 	ms := []Member{s.self}
 	for _, p := range s.peers {
@@ -145,8 +145,8 @@
 	return ms
 }
 
-// Unreachable returns the members that do not answer this balancer, and those
-// that others suspect: packets go around them before they count as dead.
+// Unreachable returns the members that do not respond to this balancer or are
+// suspected. Packets are routed around them before they are declared dead.
 func (s *Swim) Unreachable() map[netip.AddrPort]bool {
 	u := map[netip.AddrPort]bool{}
 	for _, p := range s.peers {
@@ -157,63 +157,64 @@
 	return u
 }
 
-// Isolated says that no more of the group is in sight, this balancer included,
-// than is lost or was never heard though it is a seed: it is then likelier that
-// this balancer is cut off than that all of them died.
+// Isolated reports whether at least as many members are dead or unknown seeds as are
+// reachable, including this balancer. It is then more likely that this balancer is
+// partitioned than that all of them failed.
 func (s *Swim) Isolated() bool {
-	lost, inSight := len(s.unknownSeeds()), 1
+	unreachable, reachable := len(s.unknownSeeds()), 1
 	for _, p := range s.peers {
 		switch p.State {
 		case Dead:
-			lost++
+			unreachable++
 		case Alive, Suspect:
-			inSight++
+			reachable++
 		case Left:
 		}
 	}
-	return lost >= inSight
+	return unreachable >= reachable
 }
 
 func (s *Swim) unknownSeeds() []netip.AddrPort {
-	return slices.DeleteFunc(slices.Clone(s.settings.Seeds), s.knows)
+	return slices.DeleteFunc(slices.Clone(s.settings.Seeds), s.isKnown)
 }
 
-// SetPassive tells the group whether this balancer owns flows.
+// SetPassive announces whether this balancer owns flows.
 func (s *Swim) SetPassive(passive bool) {
 	s.self.Passive = passive
 	s.self.Incarnation++
 	s.version++
 }
 
-// Goodbye tells a few members that this balancer is gone now.
-func (s *Swim) Goodbye(now time.Time, out *effect.List) {
+// Leave announces to a few members that this balancer has left.
+func (s *Swim) Leave(now time.Time, out *effect.List) {
 	s.self.State = Left
 	s.self.Incarnation++
-	for _, m := range s.pick(indirectProbers+1, "") {
+	for _, m := range s.randomPeers(indirectProbers+1, "") {
 		s.send(now, m.Address, message{Kind: kindAck}, out)
 	}
 }
 
-// TakeUrgent says, once, whether a member came, went, is suspected or refuted:
-// until all have heard, some send packets to where they are lost.
+// TakeUrgent reports whether a member joined, left, failed, was suspected or refuted
+// since the last call. Until all balancers know, some send packets that are lost.
 func (s *Swim) TakeUrgent() bool {
-	u := s.urgent
-	s.urgent = false
+	u := s.urgentChange
+	s.urgentChange = false
 	return u
 }
 
-// MayPush says whether the byte budget has room: when many upstreams come at
-// once, a push for each would send ten times what control may use.
+// MayPush reports whether the byte budget allows a push. When many upstreams join at
+// once, a push for each would exceed the budget ten times.
 func (s *Swim) MayPush() bool { return s.budget > 0 }
 
-// Push tells a few members at once what would else wait for the next probes.
+// Push sends updates to a few members without waiting for the next probes.
 func (s *Swim) Push(now time.Time, out *effect.List) {
-	for _, m := range s.pick(pushFanout, "") {
+	for _, m := range s.randomPeers(pushFanout, "") {
 		s.send(now, m.Address, message{Kind: kindSync}, out)
 	}
 }
 
-// Tick probes the next member and ages suspicions; call it at a steady pace.
+// Tick probes the next member and expires suspicions. It must be called at a fixed
+// interval.
 func (s *Swim) Tick(now time.Time, out *effect.List) {
 	if !s.lastTick.IsZero() {
 		s.budget += now.Sub(s.lastTick).Seconds() * float64(s.settings.BytesPerSecond)
@@ -221,8 +222,8 @@
 	s.budget = min(s.budget, float64(s.settings.BytesPerSecond))
 	s.lastTick = now
 	s.ticks++
-	s.ageProbes(now, out)
-	s.ageMembers(now)
+	s.expireProbes(now, out)
+	s.expireMembers(now)
 	s.join(now, out)
 	if s.ticks%probeEvery != 0 {
 		return
@@ -232,11 +233,11 @@
 	}
 }
 
-// join asks a seed that is not known for the group.
+// join sends a join message to an unknown seed.
 //
-// Asking only while alone is not enough: two balancers that start together and
-// meet each other first would stay an island, and both islands would take
-// themselves for the first rank of the same flows.
+// It is not enough to do so without any known member: two balancers that start together
+// and discover each other first would remain a separate group, and both groups would
+// claim the first rank for the same flows.
 func (s *Swim) join(now time.Time, out *effect.List) {
 	if s.ticks%joinEvery != 0 {
 		return
@@ -248,7 +249,7 @@
 	s.send(now, unknown[s.random.IntN(len(unknown))], message{Kind: kindJoin}, out)
 }
 
-func (s *Swim) knows(a netip.AddrPort) bool {
+func (s *Swim) isKnown(a netip.AddrPort) bool {
 	if a == s.self.Address {
 		return true
 	}
@@ -260,40 +261,40 @@
 	return false
 }
 
-func (s *Swim) ageMembers(now time.Time) {
-	for _, p := range s.sorted(func(p *peer) bool { return p.State != Alive }) {
+func (s *Swim) expireMembers(now time.Time) {
+	for _, p := range s.sortedPeers(func(p *peer) bool { return p.State != Alive }) {
 		age := now.Sub(p.since)
 		switch {
 		case p.State == Suspect && age > s.settings.DeadAfter:
 			s.Counters.Deaths++
-			s.set(now, p.WithState(Dead))
+			s.store(now, p.WithState(Dead))
 		case p.State >= Dead && age > s.settings.ForgetAfter:
-			s.sum -= p.digest()
+			s.digestSum -= p.digest()
 			delete(s.peers, p.Name)
 			s.version++
 		}
 	}
 }
 
-// set takes news that is newer than what is known.
-func (s *Swim) set(now time.Time, m Member) {
+// store stores a member that supersedes the known one.
+func (s *Swim) store(now time.Time, m Member) {
 	old := s.peers[m.Name]
 	p := &peer{Member: m, since: now, direct: true}
 	if old != nil && old.Start == m.Start {
 		p.direct = old.direct
 	}
 	if old != nil {
-		s.sum -= old.digest()
+		s.digestSum -= old.digest()
 	}
-	s.urgent = s.urgent || m.State != Alive || old == nil || old.State != Alive || old.Passive != m.Passive
-	s.sum += p.digest()
+	s.urgentChange = s.urgentChange || m.State != Alive || old == nil || old.State != Alive || old.Passive != m.Passive
+	s.digestSum += p.digest()
 	s.peers[m.Name] = p
-	s.fresh = append(s.fresh, p)
+	s.updates = append(s.updates, p)
 	s.version++
 }
 
-// hear merges news about any member, and refutes wrong news about oneself.
-func (s *Swim) hear(now time.Time, m Member) {
+// merge merges an update about a member, and refutes a wrong one about this balancer.
+func (s *Swim) merge(now time.Time, m Member) {
 	if m.Name == s.self.Name {
 		s.refute(m)
 		return
@@ -302,8 +303,8 @@
 	if old == nil && m.State >= Dead {
 		return
 	}
-	if old == nil || m.newer(old.Member) {
-		s.set(now, m)
+	if old == nil || m.supersedes(old.Member) {
+		s.store(now, m)
 	}
 }
 
@@ -315,25 +316,27 @@
 	s.Counters.Refutations++
 }
 
-// retellLimit is how often news is told on, enough to reach all with high probability.
-func (s *Swim) retellLimit() int { return 3 * bits.Len(uint(len(s.peers)+1)) }
+// retransmitLimit is the number of transmissions after which an update has reached all
+// members with high probability.
+func (s *Swim) retransmitLimit() int { return 3 * bits.Len(uint(len(s.peers)+1)) }
 
-// news picks what to tell next: the least told first.
-func (s *Swim) news() []Member {
-	limit := s.retellLimit()
-	s.fresh = slices.DeleteFunc(s.fresh, func(p *peer) bool { return p.told >= limit || s.peers[p.Name] != p })
-	slices.SortStableFunc(s.fresh, func(a, b *peer) int { return cmp.Compare(a.told, b.told) })
+// pendingUpdates returns the updates to send next, the least transmitted first.
+func (s *Swim) pendingUpdates() []Member {
+	limit := s.retransmitLimit()
+	s.updates = slices.DeleteFunc(s.updates, func(p *peer) bool { return p.transmissions >= limit || s.peers[p.Name] != p })
+	slices.SortStableFunc(s.updates, func(a, b *peer) int { return cmp.Compare(a.transmissions, b.transmissions) })
 	ms := make([]Member, 0, newsPerMessage)
-	for _, p := range s.fresh[:min(newsPerMessage, len(s.fresh))] {
-		p.told++
+	for _, p := range s.updates[:min(newsPerMessage, len(s.updates))] {
+		p.transmissions++
 		ms = append(ms, p.Member)
 	}
 	return ms
 }
 
-// rotate picks known members in turn for one whose list differs from ours.
-func (s *Swim) rotate(n int) []Member {
-	ps := s.sorted(func(*peer) bool { return true })
+// nextMembers returns the next n known members in turn, for a member whose digest
+// differs.
+func (s *Swim) nextMembers(n int) []Member {
+	ps := s.sortedPeers(func(*peer) bool { return true })
 	ms := make([]Member, 0, n)
 	for range min(n, len(ps)) {
 		s.rotation = (s.rotation + 1) % len(ps)
@@ -342,5 +345,5 @@
 	return ms
 }
 
-// digest sums all news known here, kept up to date as news comes.
-func (s *Swim) digest() uint64 { return s.sum + s.self.digest() }
+// digest returns the incrementally updated sum of the digests of all members.
+func (s *Swim) digest() uint64 { return s.digestSum + s.self.digest() }
