--- a/internal/core/effect/doc.go
+++ b/internal/core/effect/doc.go
@@ -1,2 +1,2 @@
-// Package effect describes what the edges must do, as data.
+// Package effect defines the outputs of a balancer's reducer, as data.
 package effect
--- a/internal/core/effect/effect.go
+++ b/internal/core/effect/effect.go
@@ -2,7 +2,7 @@
 
 import "net/netip"
 
-// Kind says which edge carries an effect out.
+// Kind identifies the type of an effect.
 type Kind string
 
 // The effects of a balancer's reducer.
@@ -13,13 +13,13 @@
 	ToPeer Kind = "ToPeer"
 	// Fetch asks another balancer for a newer configuration.
 	Fetch Kind = "Fetch"
-	// Drained says that every flow held here has its copies elsewhere.
+	// Drained reports that every flow of this balancer is replicated elsewhere.
 	Drained Kind = "Drained"
-	// Alarm reports something an operator should know.
+	// Alarm reports a problem to the operators.
 	Alarm Kind = "Alarm"
 )
 
-// Effect is one thing for an edge to do.
+// Effect is one output that the I/O layer must perform.
 type Effect struct {
 	Kind Kind
 	To   netip.AddrPort `json:",omitzero"`
@@ -27,25 +27,26 @@
 	Text string         `json:",omitempty"`
 }
 
-// List collects the effects of one event in memory that the next event reuses.
+// List collects the effects of one event. Its memory is reused for the next event, so
+// that packets of known flows cause no allocations.
 //
-// An edge must carry the effects out before it reduces the next event: the
-// data of a packet is overwritten then. This keeps a hit free of allocations.
+// The effects must be performed before the next event is reduced, which overwrites
+// their data.
 type List struct {
 	Effects []Effect
 	arena   []byte
 }
 
-// Reset empties the list and keeps its memory.
+// Reset empties the list and keeps its capacity.
 func (l *List) Reset() {
 	l.Effects = l.Effects[:0]
 	l.arena = l.arena[:0]
 }
 
-// Add appends an effect whose data the list does not own.
+// Add appends an effect without copying its data.
 func (l *List) Add(e Effect) { l.Effects = append(l.Effects, e) }
 
-// Build appends an effect whose data is the concatenation of head and body.
+// Build appends an effect whose data is a copy of head followed by body.
 func (l *List) Build(kind Kind, to netip.AddrPort, head, body []byte) {
 	start := len(l.arena)
 	l.arena = append(l.arena, head...)
--- a/internal/core/event/doc.go
+++ b/internal/core/event/doc.go
@@ -1,2 +1,2 @@
-// Package event describes what happens to a balancer, as data.
+// Package event defines the inputs of a balancer's reducer, as data.
 package event
--- a/internal/core/event/event.go
+++ b/internal/core/event/event.go
@@ -8,36 +8,37 @@
 	"wasabideal/internal/model/upstream"
 )
 
-// Kind says what happened.
+// Kind identifies the type of an event.
 type Kind string
 
 // The events of a balancer.
 const (
-	// FabricDatagram is a GUE datagram that the fabric handed to this balancer.
+	// FabricDatagram is a GUE datagram from the network fabric.
 	FabricDatagram Kind = "FabricDatagram"
 	// PeerDatagram is a datagram on the peer port.
 	PeerDatagram Kind = "PeerDatagram"
-	// Ticked happens at a steady pace.
+	// Ticked occurs at a fixed interval.
 	Ticked Kind = "Ticked"
-	// Announced is an upstream's own announcement.
+	// Announced is an announcement by an upstream.
 	Announced Kind = "Announced"
-	// Offered is a configuration from control or from a peer.
+	// Offered is a configuration from a control voter or a peer.
 	Offered Kind = "Offered"
-	// Evacuated is orders for availability zones from control or from a peer.
+	// Evacuated is a set of zone evacuations from a control voter or a peer.
 	Evacuated Kind = "Evacuated"
-	// StopPlanned begins the hand-over of all flows.
+	// StopPlanned starts a planned stop: the balancer hands over all flows.
 	StopPlanned Kind = "StopPlanned"
-	// Stopped ends it: this balancer says goodbye.
+	// Stopped completes a planned stop: the balancer leaves the group.
 	Stopped Kind = "Stopped"
 )
 
-// Event is one thing that happened.
+// Event is one input of the reducer.
 type Event struct {
 	Kind     Kind
 	From     netip.AddrPort     `json:",omitzero"`
 	Data     []byte             `json:",omitempty"`
 	Upstream *upstream.Upstream `json:",omitempty"`
-	// TokenSha256 is the hex digest of the token shown: a trace holds no secret.
+	// TokenSha256 is the hex digest of the presented token, so that a trace contains
+	// no secret.
 	TokenSha256   string                       `json:",omitempty"`
 	Configuration *configuration.Configuration `json:",omitempty"`
 	Evacuations   *evacuation.Evacuations      `json:",omitempty"`
