--- a/internal/balancer/trace/doc.go
+++ b/internal/balancer/trace/doc.go
@@ -1,2 +1,2 @@
-// Package trace records a balancer's events as JSON lines and reads them back.
+// Package trace records a balancer's events as JSON lines and replays them.
 package trace
--- a/internal/balancer/trace/trace.go
+++ b/internal/balancer/trace/trace.go
@@ -12,24 +12,25 @@
 	"wasabideal/internal/core/event"
 )
 
-// lineLimit bounds one line: a datagram and its frame.
+// lineLimit is the maximum length of a line, which holds a datagram in JSON.
 const lineLimit = 1 << 20
 
-// line is one line of a trace: the settings first, then events.
+// line is one line of a trace. The first line holds the settings, the others an event
+// each.
 type line struct {
 	Now      time.Time
 	Settings *reducer.Settings `json:",omitempty"`
 	Event    *event.Event      `json:",omitempty"`
 }
 
-// outcome is one effect as replay prints it.
-type outcome struct {
+// outputLine is a line of Replay's output: an effect or an error.
+type outputLine struct {
 	Now    time.Time
 	Effect effect.Effect
 	Error  string `json:",omitempty"`
 }
 
-// MalformedError says which line of a trace cannot be read.
+// MalformedError reports a line of a trace that cannot be replayed.
 type MalformedError struct {
 	Line  int
 	Cause error
@@ -42,24 +43,24 @@
 // Unwrap returns the cause.
 func (e *MalformedError) Unwrap() error { return e.Cause }
 
-// NoSettingsError says that a trace does not begin with settings.
+// NoSettingsError reports that a trace does not start with the settings.
 type NoSettingsError struct{}
 
 func (NoSettingsError) Error() string { return "the first line must hold Settings" }
 
-// Writer appends a balancer's events to a stream.
+// Writer writes a balancer's events to a stream.
 type Writer struct{ encoder *json.Encoder }
 
-// NewWriter returns a writer on a stream.
+// NewWriter returns a Writer to w.
 func NewWriter(w io.Writer) *Writer { return &Writer{encoder: json.NewEncoder(w)} }
 
-// Begin writes the settings; the group's token is left out, it is a secret.
+// Begin writes the settings without the group's token, which is a secret.
 func (w *Writer) Begin(now time.Time, s reducer.Settings) error {
 	s.Swim.Token = ""
 	return w.write(line{Now: now, Settings: &s})
 }
 
-// Write appends one event.
+// Write writes one event.
 func (w *Writer) Write(now time.Time, e event.Event) error {
 	return w.write(line{Now: now, Event: &e})
 }
@@ -71,14 +72,14 @@
 	return nil
 }
 
-// Replay reduces a trace again and prints its effects as JSON lines; token is
-// the group's, without which sealed gossip is refused.
+// Replay reduces the events of a trace and writes their effects as JSON lines. Without
+// the group's token, signed gossip is rejected.
 func Replay(in io.Reader, out io.Writer, token string) error {
 	s := bufio.NewScanner(in)
 	s.Buffer(make([]byte, 0, 1<<16), lineLimit)
-	p := player{encoder: json.NewEncoder(out), token: token}
+	r := replayer{encoder: json.NewEncoder(out), token: token}
 	for n := 1; s.Scan(); n++ {
-		if err := p.play(s.Bytes()); err != nil {
+		if err := r.replay(s.Bytes()); err != nil {
 			return &MalformedError{Line: n, Cause: err}
 		}
 	}
@@ -88,32 +89,32 @@
 	return nil
 }
 
-type player struct {
+type replayer struct {
 	encoder *json.Encoder
 	token   string
 	reducer *reducer.Reducer
 }
 
-func (p *player) play(b []byte) error {
+func (r *replayer) replay(b []byte) error {
 	var l line
 	if err := json.Unmarshal(b, &l); err != nil {
 		return fmt.Errorf("decode line: %w", err)
 	}
 	if l.Settings != nil {
-		l.Settings.Swim.Token = p.token
-		p.reducer = reducer.New(*l.Settings, l.Now)
+		l.Settings.Swim.Token = r.token
+		r.reducer = reducer.New(*l.Settings, l.Now)
 		return nil
 	}
-	if p.reducer == nil || l.Event == nil {
+	if r.reducer == nil || l.Event == nil {
 		return NoSettingsError{}
 	}
 	var effects effect.List
-	failed := p.reducer.Reduce(l.Now, *l.Event, &effects)
-	if failed != nil {
-		return p.encoder.Encode(outcome{Now: l.Now, Error: failed.Error()})
+	reduceErr := r.reducer.Reduce(l.Now, *l.Event, &effects)
+	if reduceErr != nil {
+		return r.encoder.Encode(outputLine{Now: l.Now, Error: reduceErr.Error()})
 	}
 	for _, e := range effects.Effects {
-		if err := p.encoder.Encode(outcome{Now: l.Now, Effect: e}); err != nil {
+		if err := r.encoder.Encode(outputLine{Now: l.Now, Effect: e}); err != nil {
 			return fmt.Errorf("print effect: %w", err)
 		}
 	}
--- a/internal/balancer/trace/trace_test.go
+++ b/internal/balancer/trace/trace_test.go
@@ -31,7 +31,7 @@
 
 const tokenDigest = "1f8f21a1b5bb4e4de6e1a4c1d8f7ad1a0f0c9bd0ce1b6a2a1f3f2b0f0d3c5c11"
 
-// recorder feeds a reducer and records what it is fed.
+// recorder feeds events to a reducer and records them.
 type recorder struct {
 	t       *testing.T
 	now     time.Time
@@ -53,8 +53,9 @@
 	r.feed(event.Event{Kind: event.FabricDatagram, Data: append(h[:len(h):len(h)], p...)})
 }
 
-// record plays one balancer's day: a configuration, an upstream announced with a
-// wrong token and then the right one, flows, garbage, a stale configuration.
+// record returns the trace of one balancer: a configuration, an upstream announced with
+// a wrong and then the right token, flows, invalid datagrams, a stale configuration and
+// a planned stop.
 func record(t *testing.T) []byte {
 	settings := reducer.Settings{
 		Router: router.Settings{
@@ -100,7 +101,7 @@
 	return b.Bytes()
 }
 
-// TestReplayGivesTheRecordedEffects replays a kept trace byte for byte.
+// TestReplayGivesTheRecordedEffects compares the replay of a stored trace byte for byte.
 func TestReplayGivesTheRecordedEffects(t *testing.T) {
 	if *update {
 		require.NoError(t, os.WriteFile("testdata/day.jsonl", record(t), 0o600))
@@ -115,10 +116,10 @@
 	want, err := os.ReadFile("testdata/day.effects.jsonl")
 	require.NoError(t, err)
 	require.Equal(t, string(want), effects.String())
-	require.Equal(t, string(recorded), string(record(t)), "recording is as steady as replaying")
+	require.Equal(t, string(recorded), string(record(t)), "recording must be deterministic")
 }
 
-func TestBrokenTraceNamesItsLine(t *testing.T) {
+func TestMalformedErrorReportsTheLine(t *testing.T) {
 	for text, line := range map[string]int{
 		"not json\n":                            1,
 		`{"Now":"2026-01-01T00:00:00Z"}` + "\n": 1,
