--- a/internal/balancer/reducer/changes_test.go
+++ b/internal/balancer/reducer/changes_test.go
@@ -8,7 +8,7 @@
 	"wasabideal/internal/model/upstream"
 )
 
-// leave stops a balancer in the planned way; the fabric forgets it when it ends.
+// leave performs a planned stop of a balancer; the fabric removes it afterwards.
 func (f *fleet) leave(n *node) {
 	f.reduce(n, event.Event{Kind: event.StopPlanned})
 	var wait func()
@@ -43,14 +43,15 @@
 	return found
 }
 
-// usePreset reaches the balancers unevenly: each within the next two seconds.
+// usePreset changes the preset. The balancers receive it at different times within two
+// seconds.
 func (f *fleet) usePreset(name string) {
 	f.config = f.config.WithPreset(name).WithRevision(f.config.Revision + 1)
 	c := f.config
 	for i, name := range f.order {
 		n := f.nodes[name]
 		if i%4 == 3 {
-			// This one hears of it by gossip only.
+			// This balancer learns of it by gossip only.
 			continue
 		}
 		f.after(time.Duration(i)*200*time.Millisecond, func() {
@@ -59,16 +60,16 @@
 	}
 }
 
-// partition cuts a zone off in both directions for a while.
+// partition isolates a zone in both directions for d.
 func (f *fleet) partition(zone string, d time.Duration) {
 	f.cut = func(from, to string) bool {
 		return slices.Contains(f.site.zones, from) && slices.Contains(f.site.zones, to) && (from == zone) != (to == zone)
 	}
-	f.partedUntil = f.now.Add(d + 4*time.Second)
+	f.partitionedUntil = f.now.Add(d + 4*time.Second)
 	f.after(d, func() { f.cut = nil })
 }
 
-// setSpill puts a SpillPercent in force on all balancers.
+// setSpill sets SpillPercent at all balancers.
 func (f *fleet) setSpill(percent int) {
 	c := f.config.WithRevision(f.config.Revision + 1)
 	c.Presets = slices.Clone(c.Presets)
--- a/internal/balancer/reducer/doc.go
+++ b/internal/balancer/reducer/doc.go
@@ -1,5 +1,6 @@
-// Package reducer is the one reducer of a balancer: all events in, effects out.
+// Package reducer implements a balancer as a state machine that turns events into
+// effects.
 //
-// It has no I/O, no clock and no randomness of its own, so that a recorded
-// trace of events replays to the same effects.
+// It performs no I/O and reads no clock or random source, so that the replay of a
+// recorded trace produces the same effects.
 package reducer
--- a/internal/balancer/reducer/experiment_test.go
+++ b/internal/balancer/reducer/experiment_test.go
@@ -23,13 +23,13 @@
 
 var experimentFlows = flag.Int("experiment", 0, "flows of the comparison with baselines; 0 skips it")
 
-// baseline picks an upstream for a packet from what one balancer knows.
+// baseline selects an upstream for a packet from the state of one balancer.
 type baseline func(f *fleet, n *node, c *caller, flags tcpFlags, pool []upstream.Upstream) int
 
 func (f *fleet) routeBaseline(n *node, c *caller, flags tcpFlags, data []byte) {
 	pool := n.reducer.Serving(f.now, c.name)
 	if i := f.baseline(f, n, c, flags, pool); i >= 0 {
-		f.carryOut(n, effect.Effect{Kind: effect.ToUpstream, To: pool[i].Address, Data: data})
+		f.perform(n, effect.Effect{Kind: effect.ToUpstream, To: pool[i].Address, Data: data})
 	}
 }
 
@@ -38,7 +38,7 @@
 	return uint64(b[0])<<40 | uint64(b[1])<<32 | uint64(b[2])<<24 | uint64(b[3])<<16 | uint64(a.Port())
 }
 
-// policy returns the index of the candidate for a flow's hash, or -1 for none.
+// policy returns the index of the candidate for a flow's hash, or -1 without candidates.
 type policy func(hash uint64, pool []choice.Candidate) int
 
 func byPolicy(p policy) baseline {
@@ -57,7 +57,7 @@
 	return x ^ x>>33
 }
 
-// rendezvous takes the best-ranked candidate whatever its load.
+// rendezvous selects the highest-ranked candidate regardless of its load.
 func rendezvous(hash uint64, pool []choice.Candidate) int {
 	best, score := -1, uint64(0)
 	for i := range pool {
@@ -68,7 +68,7 @@
 	return best
 }
 
-// modulo takes the candidate at the hash modulo the pool's size.
+// modulo selects the candidate at the hash modulo the size of the pool.
 func modulo(hash uint64, pool []choice.Candidate) int {
 	if len(pool) == 0 {
 		return -1
@@ -76,12 +76,13 @@
 	return int(hash % uint64(len(pool)))
 }
 
-// randomWithTable is a balancer that remembers its own openings only.
+// randomWithTable selects at random and stores only the flows that a balancer opened
+// itself.
 func randomWithTable(f *fleet, n *node, c *caller, flags tcpFlags, pool []upstream.Upstream) int {
 	if len(pool) == 0 {
 		return -1
 	}
-	if a, ok := n.remembered[c.source]; ok && !flags.SYN {
+	if a, ok := n.flowTable[c.source]; ok && !flags.SYN {
 		for i, u := range pool {
 			if u.Address == a {
 				return i
@@ -89,7 +90,7 @@
 		}
 	}
 	i := f.random.IntN(len(pool))
-	n.remembered[c.source] = pool[i].Address
+	n.flowTable[c.source] = pool[i].Address
 	return i
 }
 
@@ -104,14 +105,14 @@
 }
 
 var scenarios = []struct {
-	name string
-	play func(f *fleet)
+	name  string
+	apply func(f *fleet)
 }{
 	{"nothing", func(*fleet) {}},
 	{"one death", func(f *fleet) { f.nodes["b004"].alive = false }},
-	{"double death 1 s apart", func(f *fleet) { f.doubleDeath(time.Second) }},
-	{"double death 5 s apart", func(f *fleet) { f.doubleDeath(5 * time.Second) }},
-	{"double death 20 s apart", func(f *fleet) { f.doubleDeath(20 * time.Second) }},
+	{"double death 1 s apart", func(f *fleet) { f.doubleFailure(time.Second) }},
+	{"double death 5 s apart", func(f *fleet) { f.doubleFailure(5 * time.Second) }},
+	{"double death 20 s apart", func(f *fleet) { f.doubleFailure(20 * time.Second) }},
 	{"join", func(f *fleet) { f.addNode(20, f.site.zones[1]) }},
 	{"planned stop", func(f *fleet) { f.leave(f.nodes["b004"]) }},
 	{"drain", func(f *fleet) { f.drain(f.anyUpstream()) }},
@@ -119,12 +120,12 @@
 	{"partition 10 s", func(f *fleet) { f.partition(f.site.zones[2], 10*time.Second) }},
 }
 
-func (f *fleet) doubleDeath(between time.Duration) {
+func (f *fleet) doubleFailure(interval time.Duration) {
 	f.nodes["b004"].alive = false
-	f.after(between, func() { f.nodes["b005"].alive = false })
+	f.after(interval, func() { f.nodes["b005"].alive = false })
 }
 
-// TestComparison prints what each strategy costs under each change; run it by
+// TestComparison prints the broken flows of each strategy for each change; run it with
 // go test ./internal/balancer/reducer -run Comparison -experiment 30000 -v.
 func TestComparison(t *testing.T) {
 	if *experimentFlows == 0 {
@@ -144,7 +145,7 @@
 			f.openFlows(*experimentFlows, "orders", 10*time.Second, 8*time.Second)
 			before := f.imbalance("orders")
 			bytes, from := f.peerBytes, f.now
-			sc.play(f)
+			sc.apply(f)
 			f.run(30 * time.Second)
 			rate := float64(f.peerBytes-bytes) / f.now.Sub(from).Seconds() / float64(size.balancers)
 			_, _ = fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%.4f\t%d\t%.3f\t%.0f\n", sc.name, st.name, f.established, f.broken,
--- a/internal/balancer/reducer/failures_test.go
+++ b/internal/balancer/reducer/failures_test.go
@@ -16,10 +16,10 @@
 
 var steps = flag.Int("steps", 12, "random steps of each run")
 
-// Symptom: balancers disagreed on who is first for a flow for minutes. Events:
-// all start together; two meet each other before any seed answers. Cause:
-// seeds were asked only while nobody was known, so the two stayed an island.
-func TestBalancersThatStartTogetherFormOneGroup(t *testing.T) {
+// Guards against balancers that disagree for minutes on the first rank of a flow. All
+// start together, and two discover each other before a seed responds. If seeds are
+// contacted only while no member is known, the two remain a separate group.
+func TestSimultaneousStartFormsOneGroup(t *testing.T) {
 	for seed := range uint64(20) {
 		f := newFleet(seed)
 		for i := range 9 {
@@ -32,8 +32,8 @@
 	}
 }
 
-// Symptom: a caller's feed ended when a balancer did. Events: each kind of
-// planned change, one after the other, among 600 open flows.
+// Guards against flows that end with a planned change: each kind in turn, with 600 open
+// flows.
 func TestPlannedChangesBreakNoFlow(t *testing.T) {
 	f := suez(5)
 	f.openFlows(600, "orders", time.Second, time.Second)
@@ -43,32 +43,31 @@
 	f.run(5 * time.Second)
 	f.leave(f.nodes["b004"])
 	f.run(15 * time.Second)
-	require.False(t, f.nodes["b004"].alive, "the planned stop ends")
+	require.False(t, f.nodes["b004"].alive, "the planned stop completes")
 	f.drain(f.anyUpstream())
 	f.run(5 * time.Second)
 	require.Zero(t, f.broken)
 	require.Zero(t, f.misdelivered)
 }
 
-// Symptom: an upstream that drains got new flows for seconds. Events: it
-// announces Draining to one balancer while flows are opened at a steady pace.
-// Cause: news that waits for the next probes.
-func TestDrainEndsNewWorkWithinASecond(t *testing.T) {
+// Guards against new flows to a draining upstream. It announces Draining to one balancer
+// while flows are opened; updates that wait for the next probes take seconds.
+func TestDrainEndsNewFlowsWithinASecond(t *testing.T) {
 	f := suez(6)
 	f.openFlows(500, "orders", time.Second, time.Second)
 	u := f.anyUpstream()
 	begin := f.now
 	f.drain(u)
 	f.openFlows(3000, "orders", 3*time.Second, 10*time.Second)
-	require.Less(t, f.newWork[u.Address].Sub(begin), time.Second)
+	require.Less(t, f.lastNewFlow[u.Address].Sub(begin), time.Second)
 	require.NotEmpty(t, u.connections)
 	require.Zero(t, f.broken)
 }
 
-// Symptom: packets of bunker orders reached the notes' upstream. Events: an
-// upstream of orders dies, its address is announced for notes, and its flows
-// go on sending. Cause: knowing an upstream by its address alone.
-func TestReusedAddressInheritsNoFlows(t *testing.T) {
+// Guards against packets that reach an upstream of another service. An upstream of
+// orders fails, its address is announced for notes and its flows continue to send; an
+// address alone does not identify an upstream.
+func TestReusedAddressReceivesNoOldFlows(t *testing.T) {
 	f := suez(7)
 	f.openFlows(600, "orders", time.Second, 500*time.Millisecond)
 	u := f.anyUpstream()
@@ -76,8 +75,8 @@
 	u.alive = false
 	b := &backend{alive: true, connections: map[string]bool{}, Upstream: u.Upstream}
 	b.Service, b.Incarnation, b.Sequence = "notes", uint64(f.now.UnixNano()), 0
-	// The new process listens only once its announcement was taken.
-	f.reduce(f.near(b.Zone), event.Event{Kind: event.Announced, Upstream: &b.Upstream, TokenSha256: upstreamTokenDigest})
+	// The new process listens only after its announcement was accepted.
+	f.reduce(f.pickNode(b.Zone), event.Event{Kind: event.Announced, Upstream: &b.Upstream, TokenSha256: upstreamTokenDigest})
 	f.run(time.Second)
 	f.upstreams[u.Address] = b
 	f.announce(b)
@@ -87,12 +86,12 @@
 	for _, n := range f.nodes {
 		foreign += n.reducer.Status(f.now).Router.Foreign
 	}
-	require.NotZero(t, foreign, "packets of the old flows were held back")
+	require.NotZero(t, foreign, "packets of the old flows were dropped")
 }
 
-// Symptom: a withdrawn upstream got new flows minutes later. Events: gossip
-// that still calls it ready arrives late. Cause: forgetting the withdrawal.
-func TestLateGossipDoesNotReviveAWithdrawnUpstream(t *testing.T) {
+// Guards against new flows to a withdrawn upstream. Gossip that lists it as ready
+// arrives late, so the withdrawal must be kept.
+func TestLateGossipDoesNotRestoreAWithdrawnUpstream(t *testing.T) {
 	f := suez(8)
 	u := f.anyUpstream()
 	old := u.Upstream
@@ -108,10 +107,10 @@
 	}
 }
 
-// Symptom: flows broke when a balancer was restarted quickly. Events: it
-// comes back under its name before anyone missed it, with an empty table.
-// Cause: taking the new life for the old, which held copies.
-func TestRestartUnderTheSameNameHoldsNothing(t *testing.T) {
+// Guards against broken flows after a fast restart of a balancer. It returns under the
+// same name with an empty table before its failure is detected, and must not be treated
+// as the old process, which held replicas.
+func TestFastRestartBreaksNoFlow(t *testing.T) {
 	f := suez(9)
 	f.openFlows(600, "orders", time.Second, time.Second)
 	for _, name := range []string{"b001", "b005"} {
@@ -121,10 +120,9 @@
 	require.Zero(t, f.broken)
 }
 
-// Symptom: feeds were forgotten while a flood of openings came in. Events:
-// 600 feeds, then 20,000 openings that are never confirmed. Cause: one limit
-// for both.
-func TestFloodOfOpeningsSparesFeeds(t *testing.T) {
+// Guards against a SYN flood that evicts established flows: 600 flows, then 20,000 SYNs
+// that are never confirmed. Half-open flows need a limit of their own.
+func TestSYNFloodEvictsNoFlow(t *testing.T) {
 	f := newFleet(10)
 	f.maxFlows = 1000
 	for i := range 3 {
@@ -136,20 +134,20 @@
 	f.openFlows(600, "orders", time.Second, time.Second)
 	for i := range 20_000 {
 		flood := &caller{source: sourceOf(1<<20 + i), service: f.config.Services[0].Addresses[0], name: "orders"}
-		f.after(time.Duration(i)*100*time.Microsecond, func() { f.spray(flood, tcpFlags{SYN: true}) })
+		f.after(time.Duration(i)*100*time.Microsecond, func() { f.sendPacket(flood, tcpFlags{SYN: true}) })
 	}
 	f.run(10 * time.Second)
 	require.Zero(t, f.broken)
 	for _, n := range f.nodes {
 		s := n.reducer.Status(f.now)
 		require.LessOrEqual(t, s.Openings, 250)
-		require.NotZero(t, s.Router.TableFull, "openings over the limit are refused and counted")
+		require.NotZero(t, s.Router.TableFull, "SYNs over the limit are dropped and counted")
 	}
 }
 
-// Symptom: one balancer could not reach another, and a part of the packets
-// was lost for good. Events: packets from b001 to b004 vanish, all others
-// arrive. Cause: insisting on a first rank that others still hear.
+// Guards against permanent loss when one balancer cannot reach another. Packets from
+// b001 to b004 are lost, all others arrive, so b004 remains a member; b001 must not
+// depend on it as the first rank of a flow.
 func TestOneWayReachabilityBreaksNoFlow(t *testing.T) {
 	f := suez(11)
 	f.openFlows(600, "orders", time.Second, time.Second)
@@ -159,10 +157,10 @@
 	require.Len(t, f.nodes["b002"].reducer.Members(), 9, "b004 stays a member")
 }
 
-// Symptom: flows broke as a partition healed. Events: a zone is cut off, both
-// sides open flows and go on; then packets of all flows reach all balancers.
-// Cause: first ranks that never heard of the other side's flows.
-func TestBothSidesOfAPartitionKeepTheirFlows(t *testing.T) {
+// Guards against flows that break when a partition ends. Both sides open flows; then
+// packets of all flows reach all balancers, and the first rank of a flow may not have
+// received it from the other side.
+func TestFlowsOfBothSidesSurviveAPartition(t *testing.T) {
 	f := suez(12)
 	f.openFlows(300, "orders", time.Second, time.Second)
 	f.partition("Ismailia", 10*time.Second)
@@ -174,7 +172,7 @@
 	require.Zero(t, f.broken)
 }
 
-// TestGarbageIsDroppedAndCounted feeds random bytes to both ports.
+// TestGarbageIsDroppedAndCounted sends random bytes to both ports.
 func TestGarbageIsDroppedAndCounted(t *testing.T) {
 	f := suez(13)
 	n := f.nodes["b000"]
@@ -193,12 +191,12 @@
 	require.NotZero(t, n.reducer.Status(f.now).Refused)
 }
 
-// TestRandomChanges plays random changes one after another, at most one
-// unplanned loss at a time, with loss, repeats and reordering on the network.
+// TestRandomChanges applies random changes in sequence, with at most one unplanned
+// failure at a time and loss, duplication and reordering on the network.
 //
-// Flows that are being opened while a partition lasts, or in the four seconds
-// after, are left out: where the opening is repeated, the fabric may hand it to
-// both sides, and each opens the flow. Flows established before must survive.
+// Flows opened during a partition, or in the four seconds after it, are excluded: the
+// fabric may deliver a retransmitted SYN to both sides, and each opens the flow. All
+// other flows must survive.
 func TestRandomChanges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := suez(rapid.Uint64().Draw(t, "seed"))
@@ -214,8 +212,8 @@
 		f.loss = 0
 		f.run(20 * time.Second)
 		for _, c := range f.callers {
-			if !c.parted {
-				require.NotEqual(t, broken, c.state, "%s broken: %s", c.source, c.brokenBy)
+			if !c.duringPartition {
+				require.NotEqual(t, broken, c.state, "%s broken: %s", c.source, c.breakReason)
 			}
 		}
 	})
--- a/internal/balancer/reducer/fleet_test.go
+++ b/internal/balancer/reducer/fleet_test.go
@@ -31,7 +31,7 @@
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// fleet joins several reducers by a network with virtual time.
+// fleet simulates balancers, upstreams and callers on a network with virtual time.
 type fleet struct {
 	now       time.Time
 	random    *rand.Rand
@@ -44,21 +44,21 @@
 	callers   []*caller
 	config    configuration.Configuration
 	cut       func(from, to string) bool
-	// partedUntil is when all balancers surely agree on the members again.
-	partedUntil time.Time
-	loss        float64
-	duplicate   float64
-	jitter      time.Duration
-	maxFlows    int
-	repair      int
-	lost        router.LostPolicy
-	sticky      bool
-	site        site
+	// partitionedUntil is the time after which all balancers agree on the members again.
+	partitionedUntil time.Time
+	loss             float64
+	duplicate        float64
+	jitter           time.Duration
+	maxFlows         int
+	repair           int
+	lost             router.LostPolicy
+	sticky           bool
+	site             site
 	// baseline replaces the reducer's routing in comparisons.
 	baseline baseline
 
 	broken, misdelivered, resets, established int
-	newWork                                   map[netip.AddrPort]time.Time
+	lastNewFlow                               map[netip.AddrPort]time.Time
 	peerBytes                                 uint64
 }
 
@@ -70,11 +70,11 @@
 	alive      bool
 	start      uint64
 	drained    bool
-	// remembered are the flows of a baseline with a table of its own.
-	remembered map[netip.AddrPort]netip.AddrPort
+	// flowTable is the flow table of a baseline: upstreams by caller.
+	flowTable map[netip.AddrPort]netip.AddrPort
 }
 
-// backend stands in for an upstream's kernel: it knows its own connections.
+// backend simulates the kernel of an upstream and its connections.
 type backend struct {
 	upstream.Upstream
 	alive       bool
@@ -82,18 +82,18 @@
 }
 
 type caller struct {
-	source   netip.AddrPort
-	service  netip.AddrPort
-	name     string
-	upstream netip.AddrPort
-	state    callerState
-	since    time.Time
-	retry    time.Duration
-	number   int
-	every    time.Duration
-	brokenBy string
-	// parted is set for a flow that was opened while a partition lasted.
-	parted bool
+	source      netip.AddrPort
+	service     netip.AddrPort
+	name        string
+	upstream    netip.AddrPort
+	state       callerState
+	since       time.Time
+	retry       time.Duration
+	number      int
+	every       time.Duration
+	breakReason string
+	// duringPartition marks a flow that was opened during a partition.
+	duringPartition bool
 }
 
 type callerState int
@@ -134,7 +134,7 @@
 	f := &fleet{
 		now: epoch, random: rand.New(rand.NewPCG(seed, 1)), nodes: map[string]*node{},
 		byPeer: map[netip.AddrPort]*node{}, upstreams: map[netip.AddrPort]*backend{},
-		newWork: map[netip.AddrPort]time.Time{}, maxFlows: 20000, repair: 100, site: suezSite, lost: router.LostCandidate,
+		lastNewFlow: map[netip.AddrPort]time.Time{}, maxFlows: 20000, repair: 100, site: suezSite, lost: router.LostCandidate,
 	}
 	digest := upstreamTokenDigest
 	f.config = configuration.Configuration{
@@ -179,10 +179,10 @@
 	f.startNode(n)
 }
 
-// startNode begins a new life of a node, with nothing remembered.
+// startNode starts or restarts a node with empty state.
 func (f *fleet) startNode(n *node) {
 	n.alive, n.drained = true, false
-	n.remembered = map[netip.AddrPort]netip.AddrPort{}
+	n.flowTable = map[netip.AddrPort]netip.AddrPort{}
 	n.start = uint64(f.now.UnixNano()) + uint64(n.number)
 	var seeds []netip.AddrPort
 	for _, name := range f.order {
@@ -222,11 +222,11 @@
 	var out effect.List
 	_ = n.reducer.Reduce(f.now, e, &out)
 	for _, x := range out.Effects {
-		f.carryOut(n, x)
+		f.perform(n, x)
 	}
 }
 
-func (f *fleet) carryOut(n *node, x effect.Effect) {
+func (f *fleet) perform(n *node, x effect.Effect) {
 	switch x.Kind {
 	case effect.ToPeer:
 		to := f.byPeer[x.To]
@@ -237,7 +237,7 @@
 			f.peerBytes += uint64(len(x.Data) + 28)
 		}
 		data := append([]byte(nil), x.Data...)
-		f.carry(n.zone, to.zone, n.name, to.name, func() {
+		f.deliver(n.zone, to.zone, n.name, to.name, func() {
 			f.reduce(to, event.Event{Kind: event.PeerDatagram, From: n.peer, Data: data})
 		})
 	case effect.ToUpstream:
@@ -246,12 +246,12 @@
 		if u == nil {
 			return
 		}
-		f.carry(n.zone, u.Zone, n.name, u.Address.String(), func() { f.arrive(u, data) })
+		f.deliver(n.zone, u.Zone, n.name, u.Address.String(), func() { f.receive(u, data) })
 	case effect.Fetch:
 		if to := f.byPeer[x.To]; to != nil {
-			f.carry(n.zone, to.zone, n.name, to.name, func() {
+			f.deliver(n.zone, to.zone, n.name, to.name, func() {
 				c := to.reducer.Status(f.now).Configuration
-				f.carry(to.zone, n.zone, to.name, n.name, func() {
+				f.deliver(to.zone, n.zone, to.name, n.name, func() {
 					f.reduce(n, event.Event{Kind: event.Offered, Configuration: &c})
 				})
 			})
@@ -261,8 +261,9 @@
 	}
 }
 
-// carry delivers after the latency between zones, unless cut or lost.
-func (f *fleet) carry(fromZone, toZone, from, to string, run func()) {
+// deliver delivers a message after the network latency, unless it is lost or the link is
+// cut.
+func (f *fleet) deliver(fromZone, toZone, from, to string, run func()) {
 	if f.cut != nil && (f.cut(fromZone, toZone) || f.cut(from, to)) || f.random.Float64() < f.loss {
 		return
 	}
@@ -289,7 +290,7 @@
 	return b
 }
 
-// announce sends announcements until the backend dies or is replaced.
+// announce sends announcements until the backend fails or is replaced.
 func (f *fleet) announce(b *backend) {
 	if !b.alive || f.upstreams[b.Address] != b {
 		return
@@ -303,15 +304,15 @@
 		b.Sequence++
 	}
 	u := b.Upstream
-	n := f.near(b.Zone)
+	n := f.pickNode(b.Zone)
 	if n == nil || f.cut != nil && f.cut(b.Zone, n.zone) {
 		return
 	}
 	f.reduce(n, event.Event{Kind: event.Announced, Upstream: &u, TokenSha256: upstreamTokenDigest})
 }
 
-// near picks a live balancer, of the zone if it has any.
-func (f *fleet) near(zone string) *node {
+// pickNode returns a random live balancer, preferably of the zone.
+func (f *fleet) pickNode(zone string) *node {
 	var same, all []*node
 	for _, name := range f.order {
 		if n := f.nodes[name]; n.alive {
@@ -330,7 +331,7 @@
 	return all[f.random.IntN(len(all))]
 }
 
-// call opens a flow that then sends a packet every so often.
+// call opens a flow that then sends a packet per interval.
 func (f *fleet) call(i int, service string, every time.Duration) *caller {
 	s, _ := f.config.Service(service)
 	c := &caller{
@@ -350,8 +351,8 @@
 	if c.state != dialling {
 		return
 	}
-	c.parted = c.parted || f.now.Before(f.partedUntil)
-	f.spray(c, tcpFlags{SYN: true})
+	c.duringPartition = c.duringPartition || f.now.Before(f.partitionedUntil)
+	f.sendPacket(c, tcpFlags{SYN: true})
 	f.after(c.retry, func() { f.dial(c) })
 	c.retry *= 2
 }
@@ -375,13 +376,13 @@
 	return b.Bytes()
 }
 
-// spray hands a packet to any live balancer, as the fabric does.
-func (f *fleet) spray(c *caller, flags tcpFlags) {
+// sendPacket delivers a packet to a random live balancer, as the fabric does.
+func (f *fleet) sendPacket(c *caller, flags tcpFlags) {
 	var n *node
 	if f.sticky {
 		n = f.stickyNode(c)
 	} else {
-		n = f.near("")
+		n = f.pickNode("")
 	}
 	if n == nil {
 		return
@@ -408,8 +409,8 @@
 	return live[int(c.source.Port())%len(live)]
 }
 
-// arrive is the upstream's kernel: it accepts, answers or resets.
-func (f *fleet) arrive(b *backend, data []byte) {
+// receive processes a packet at an upstream, which accepts, responds or resets.
+func (f *fleet) receive(b *backend, data []byte) {
 	inner, err := gue.Inner(data)
 	if err != nil || !b.alive {
 		return
@@ -433,7 +434,7 @@
 	case p.Opening:
 		if !b.connections[id] {
 			b.connections[id] = true
-			f.newWork[b.Address] = f.now
+			f.lastNewFlow[b.Address] = f.now
 		}
 		f.after(3*time.Millisecond, func() { f.accepted(c, b) })
 	case b.connections[id]:
@@ -460,41 +461,41 @@
 	}
 	c.state, c.upstream = open, b.Address
 	f.established++
-	f.talk(c)
+	f.startExchange(c)
 }
 
-func (f *fleet) talk(c *caller) {
+func (f *fleet) startExchange(c *caller) {
 	if c.state != open {
 		return
 	}
 	c.state, c.since, c.retry = waiting, f.now, firstRetry
 	c.number++
-	f.ask(c, c.number)
+	f.sendRequest(c, c.number)
 }
 
-func (f *fleet) ask(c *caller, number int) {
+func (f *fleet) sendRequest(c *caller, number int) {
 	if c.state != waiting || c.number != number {
 		return
 	}
 	if f.now.Sub(c.since) > callerTimeout {
-		f.breaks(c, "timeout")
+		f.markBroken(c, "timeout")
 		return
 	}
-	f.spray(c, tcpFlags{ACK: true})
-	f.after(c.retry, func() { f.ask(c, number) })
+	f.sendPacket(c, tcpFlags{ACK: true})
+	f.after(c.retry, func() { f.sendRequest(c, number) })
 	c.retry = min(2*c.retry, 2*time.Second)
 }
 
 func (f *fleet) answered(c *caller, b *backend) {
 	if c.upstream != b.Address {
-		f.breaks(c, "answer of another upstream")
+		f.markBroken(c, "response of another upstream")
 		return
 	}
 	if c.state != waiting {
 		return
 	}
 	c.state = open
-	f.after(c.every, func() { f.talk(c) })
+	f.after(c.every, func() { f.startExchange(c) })
 }
 
 func (f *fleet) reset(c *caller, b *backend) {
@@ -502,18 +503,19 @@
 		return
 	}
 	f.resets++
-	f.breaks(c, "reset by "+b.Address.String())
+	f.markBroken(c, "reset by "+b.Address.String())
 }
 
-func (f *fleet) breaks(c *caller, why string) {
+func (f *fleet) markBroken(c *caller, why string) {
 	if c.state == broken || c.state == closed {
 		return
 	}
-	c.state, c.brokenBy = broken, why
+	c.state, c.breakReason = broken, why
 	f.broken++
 }
 
-// imbalance returns max over mean of open flows per live upstream of a service.
+// imbalance returns the maximum divided by the mean of the open flows per live upstream
+// of a service.
 func (f *fleet) imbalance(service string) float64 {
 	counts := map[netip.AddrPort]int{}
 	for a, b := range f.upstreams {
@@ -554,7 +556,7 @@
 	}
 )
 
-// suez builds nine balancers in three zones before 15 and 4 upstreams.
+// suez returns a fleet of nine balancers in three zones with 15 and 4 upstreams.
 func suez(seed uint64) *fleet { return newSite(suezSite, seed, 20000) }
 
 func newSite(s site, seed uint64, maxFlows int) *fleet {
@@ -574,7 +576,7 @@
 	return f
 }
 
-// open opens n flows over d, and lets them settle.
+// openFlows opens n flows, evenly spread over a duration, and waits a second.
 func (f *fleet) openFlows(n int, service string, over, every time.Duration) {
 	base := len(f.callers)
 	for i := range n {
--- a/internal/balancer/reducer/pool_test.go
+++ b/internal/balancer/reducer/pool_test.go
@@ -13,13 +13,10 @@
 	"wasabideal/internal/model/upstream"
 )
 
-// TestQuietPoolsDoNotFlap holds all balancers' pools against what is announced.
-//
-// Symptom: with nothing happening, some balancer's pool lacked an upstream for
-// a moment, and flows routed by hash alone broke. Events: renewals were told
-// twice by each balancer and some balancers missed three in a row. Cause: too
-// few tellings for the lease's three renewals.
-func TestQuietPoolsDoNotFlap(t *testing.T) {
+// Guards against a stable pool that loses an upstream for a moment at one balancer, which
+// breaks flows routed by hash alone. Each balancer sent a renewal twice, and some missed
+// the three renewals of a lease in a row.
+func TestStablePoolsDoNotFlap(t *testing.T) {
 	short := 0
 	for seed := range uint64(5) {
 		f := suez(seed)
@@ -33,12 +30,12 @@
 			}
 		}
 	}
-	require.Zero(t, short, "balancer-moments with a pool that lacks an upstream")
+	require.Zero(t, short, "samples of a balancer's pool that lacks an upstream")
 }
 
-// Symptom: new flows and requests went to a zone that operators had emptied.
-// Events: a zone is evacuated and taken back while flows are open; an older order comes late.
-// Cause: none yet; the own zone's upstreams are taken first.
+// Guards against new flows and requests to an evacuated zone. A zone is evacuated and
+// restored while flows are open, and an older evacuation arrives late. The fault has not
+// been observed; balancers prefer upstreams of their own zone.
 func TestEvacuatedZoneLeavesThePool(t *testing.T) {
 	f := suez(9)
 	f.openFlows(300, "orders", time.Second, time.Second)
@@ -48,21 +45,21 @@
 		return lo.CountBy(n.reducer.Serving(f.now, "orders"), func(u upstream.Upstream) bool { return u.Zone == "Adabiya" })
 	}
 	var out effect.List
-	order := func(e evacuation.Evacuations) {
+	apply := func(e evacuation.Evacuations) {
 		for _, n := range f.nodes {
 			require.NoError(t, n.reducer.Reduce(f.now, event.Event{Kind: event.Evacuated, Evacuations: &e}, &out))
 		}
 	}
-	order(first)
+	apply(first)
 	for _, n := range f.nodes {
 		require.Zero(t, inZone(n))
 		require.Equal(t, []string{"Adabiya"}, n.reducer.Status(f.now).Evacuated)
 	}
 	f.run(3 * time.Second)
-	require.Zero(t, f.broken, "open flows stay")
-	order(second)
-	order(first)
+	require.Zero(t, f.broken, "open flows survive")
+	apply(second)
+	apply(first)
 	for _, n := range f.nodes {
-		require.NotZero(t, inZone(n), "an older order changes nothing")
+		require.NotZero(t, inZone(n), "an older evacuation is ignored")
 	}
 }
--- a/internal/balancer/reducer/reducer.go
+++ b/internal/balancer/reducer/reducer.go
@@ -19,28 +19,29 @@
 	"wasabideal/internal/wire/relay"
 )
 
-// Settings configure a reducer and the parts it is made of.
+// Settings configures a Reducer and its components.
 type Settings struct {
 	Router   router.Settings
 	Swim     swim.Settings
 	Registry registry.Settings
-	// Group is the balancers that share flows; services of others are not served.
+	// Group names the balancers that share flows. Services of other groups are not
+	// served.
 	Group string
-	// Source is where peers may fetch this balancer's configuration.
+	// Source is the address from which peers fetch this balancer's configuration.
 	Source netip.AddrPort
-	// BusyKeep is how long a peer's news that it makes copies counts.
+	// BusyKeep is the time after which a peer's report of repairs expires.
 	BusyKeep time.Duration
-	// FetchEvery bounds how often a newer configuration is asked for.
+	// FetchEvery is the minimum interval between fetches of a newer configuration.
 	FetchEvery time.Duration
 }
 
-// Reducer is the state of one balancer; one goroutine owns it.
+// Reducer is the state machine of one balancer. It is not safe for concurrent use.
 type Reducer struct {
 	settings        Settings
 	router          *router.Router
 	swim            *swim.Swim
 	registry        *registry.Registry
-	busy            *busy.Tracker
+	repairs         *busy.Tracker
 	follower        *follower.Follower
 	peers           map[netip.AddrPort]bool
 	swimVersion     uint64
@@ -48,24 +49,24 @@
 	lastFetch       time.Time
 	leavingSince    time.Time
 	drained         bool
-	urgent          bool
+	pushPending     bool
 	ranked          bool
-	rankedAt        time.Time
-	begun           time.Time
+	lastRank        time.Time
+	startedAt       time.Time
 	joining         bool
-	refused         uint64
+	rejected        uint64
 }
 
-// New returns a reducer at the given time.
+// New returns a Reducer that starts at the given time.
 func New(s Settings, now time.Time) *Reducer {
-	r := &Reducer{settings: s, peers: map[netip.AddrPort]bool{}, begun: now}
+	r := &Reducer{settings: s, peers: map[netip.AddrPort]bool{}, startedAt: now}
 	r.joining = len(s.Swim.Seeds) > 0
 	s.Swim.Self.Passive = r.joining
 	r.router = router.New(s.Router, now)
 	r.registry = registry.New(s.Registry)
-	r.busy = busy.New(func() bool { return !r.router.Repaired() }, s.BusyKeep)
+	r.repairs = busy.New(func() bool { return !r.router.Repaired() }, s.BusyKeep)
 	r.follower = follower.New(s.Source)
-	r.swim = swim.New(s.Swim, r.follower, r.busy, r.registry)
+	r.swim = swim.New(s.Swim, r.follower, r.repairs, r.registry)
 	if r.joining {
 		r.router.SetJoining(router.Newborn)
 	}
@@ -73,7 +74,7 @@
 	return r
 }
 
-// Status is what a balancer says of itself to operators.
+// Status is the state of a balancer as reported to operators.
 type Status struct {
 	Name        string
 	Zone        string
@@ -88,103 +89,105 @@
 	Refused     uint64
 	Members     []swim.Member
 	Upstreams   []upstream.Upstream
-	// Evacuated are the availability zones that take no new flows.
+	// Evacuated lists the availability zones that receive no new flows.
 	Evacuated     []string
 	Router        router.Counters
 	Swim          swim.Counters
 	Configuration configuration.Configuration `json:"-"`
 }
 
-// Status returns the state that operators see.
+// Status returns the current status.
 func (r *Reducer) Status(now time.Time) Status {
 	c := r.follower.Current()
 	return Status{
 		Name: r.settings.Router.Self, Zone: r.settings.Router.Zone,
 		Revision: c.Revision, InForce: c.InForce, RevisionAge: r.follower.Age(now),
 		Isolated: r.swim.Isolated(), Leaving: !r.leavingSince.IsZero(), Drained: r.drained,
-		Flows: r.router.Flows(), Openings: r.router.Openings(), Refused: r.refused,
+		Flows: r.router.Flows(), Openings: r.router.Openings(), Refused: r.rejected,
 		Members: r.swim.All(), Upstreams: r.registry.All(), Evacuated: r.registry.Evacuations().Names(),
 		Router: r.router.Counters, Swim: r.swim.Counters, Configuration: c,
 	}
 }
 
-// BadInput returns the datagrams that were malformed, unsealed or from strangers.
+// BadInput returns the number of datagrams that were malformed, unsigned or from
+// non-members.
 func (r *Reducer) BadInput() uint64 {
-	return r.refused + r.router.Counters.Malformed + r.swim.Counters.Refused
+	return r.rejected + r.router.Counters.Malformed + r.swim.Counters.Refused
 }
 
-// Serving returns the upstreams that take new work of a service.
+// Serving returns the upstreams that accept new flows and requests of a service.
 func (r *Reducer) Serving(now time.Time, service string) []upstream.Upstream {
 	return r.registry.Serving(now, service)
 }
 
-// Share returns the part of a warm upstream's load that the address should get.
+// Share returns the share of a full upstream's load that an upstream should receive; it
+// is below 1 during a slow start.
 func (r *Reducer) Share(now time.Time, a netip.AddrPort) float64 { return r.registry.Share(now, a) }
 
-// Evacuations returns the orders for availability zones in force here.
+// Evacuations returns the zone evacuations in force at this balancer.
 func (r *Reducer) Evacuations() evacuation.Evacuations { return r.registry.Evacuations() }
 
-// Configuration returns the configuration in force here.
+// Configuration returns the configuration in force at this balancer.
 func (r *Reducer) Configuration() configuration.Configuration { return r.follower.Current() }
 
-// Members returns the members that are not dead or gone.
+// Members returns this balancer and all alive or suspected members.
 func (r *Reducer) Members() []swim.Member { return r.swim.Members() }
 
-// Reduce applies one event and appends what must be done; the error answers
-// an announcement that was refused.
+// Reduce applies an event and appends its effects to out. The error reports a rejected
+// announcement.
 func (r *Reducer) Reduce(now time.Time, e event.Event, out *effect.List) error {
 	var err error
 	switch e.Kind {
 	case event.FabricDatagram:
-		r.fabric(now, e.Data, out)
+		r.reduceFabric(now, e.Data, out)
 	case event.PeerDatagram:
-		r.peer(now, e, out)
+		r.reducePeer(now, e, out)
 	case event.Ticked:
-		r.tick(now, out)
+		r.reduceTick(now, out)
 	case event.Announced:
 		err = r.registry.Announce(now, *e.Upstream, e.TokenSha256)
 	case event.Offered:
-		r.offer(now, *e.Configuration)
+		r.reduceOffer(now, *e.Configuration)
 	case event.Evacuated:
 		r.registry.SetEvacuations(*e.Evacuations)
 	case event.StopPlanned:
-		r.leave(now)
+		r.startLeaving(now)
 	case event.Stopped:
 		r.swim.Leave(now, out)
 	}
-	// Both are asked: each forgets that it was urgent.
+	// Both calls are needed, because each resets a flag.
 	members, upstreams := r.swim.TakeUrgent(), r.registry.TakeUrgent()
-	r.urgent = r.urgent || members || upstreams
-	if r.urgent && r.swim.MayPush() {
-		r.urgent = false
+	r.pushPending = r.pushPending || members || upstreams
+	if r.pushPending && r.swim.MayPush() {
+		r.pushPending = false
 		r.swim.Push(now, out)
 	}
-	r.spread(now)
+	r.propagate(now)
 	return err
 }
 
-func (r *Reducer) fabric(now time.Time, datagram []byte, out *effect.List) {
+func (r *Reducer) reduceFabric(now time.Time, datagram []byte, out *effect.List) {
 	packet, err := gue.Inner(datagram)
 	if err != nil {
-		r.refused++
+		r.rejected++
 		return
 	}
 	r.router.Packet(now, packet, out)
 }
 
-func (r *Reducer) peer(now time.Time, e event.Event, out *effect.List) {
+func (r *Reducer) reducePeer(now time.Time, e event.Event, out *effect.List) {
 	if len(e.Data) == 0 {
-		r.refused++
+		r.rejected++
 		return
 	}
 	if e.Data[0] == swim.Kind {
 		r.swim.Receive(now, e.From, e.Data, out)
 		return
 	}
-	// Anything but sealed gossip is taken from members only: a stray sender
-	// could otherwise plant flows.
+	// Unsigned datagrams are accepted from members only; any other sender could
+	// otherwise inject flows.
 	if !r.peers[e.From] {
-		r.refused++
+		r.rejected++
 		return
 	}
 	switch e.Data[0] {
@@ -195,14 +198,14 @@
 	case router.BatchAckKind:
 		r.router.BatchAck(e.From, e.Data)
 	default:
-		r.refused++
+		r.rejected++
 	}
 }
 
-func (r *Reducer) tick(now time.Time, out *effect.List) {
+func (r *Reducer) reduceTick(now time.Time, out *effect.List) {
 	r.join(now)
 	r.swim.Tick(now, out)
-	r.rank(now)
+	r.updateRanking(now)
 	r.registry.Tick(now)
 	r.router.Tick(now, out)
 	if from, behind := r.follower.Behind(); behind && now.Sub(r.lastFetch) >= r.settings.FetchEvery {
@@ -212,17 +215,17 @@
 	r.checkDrained(now, out)
 }
 
-func (r *Reducer) offer(now time.Time, c configuration.Configuration) {
+func (r *Reducer) reduceOffer(now time.Time, c configuration.Configuration) {
 	if !r.follower.Offer(now, c) {
 		return
 	}
-	// The follower keeps the whole, for those that follow this balancer.
-	mine := c.ForGroup(r.settings.Group)
-	r.router.SetConfiguration(mine)
-	r.registry.SetConfiguration(mine)
+	// The follower keeps the complete configuration for balancers that fetch it.
+	served := c.ForGroup(r.settings.Group)
+	r.router.SetConfiguration(served)
+	r.registry.SetConfiguration(served)
 }
 
-func (r *Reducer) leave(now time.Time) {
+func (r *Reducer) startLeaving(now time.Time) {
 	if r.leavingSince.IsZero() {
 		r.leavingSince = now
 		r.swim.SetPassive(true)
@@ -230,19 +233,19 @@
 }
 
 const (
-	// joinAfter is the time in which a balancer that begins hears of its group.
-	// Until then it owns no flow: one that opened flows as if alone was never
-	// asked for them, since the others ranked it nowhere.
+	// joinAfter is the time in which a starting balancer discovers its group. Until
+	// then it owns no flows: the others do not rank it, so they would never ask it
+	// for flows that it opened.
 	joinAfter = 1500 * time.Millisecond
-	// matureAfter is when a balancer that still knows no other is alone indeed.
-	matureAfter = 5 * time.Second
+	// aloneAfter is the time after which a balancer without known peers is alone.
+	aloneAfter = 5 * time.Second
 )
 
 func (r *Reducer) join(now time.Time) {
-	age := now.Sub(r.begun)
+	age := now.Sub(r.startedAt)
 	switch {
 	case !r.joining:
-	case age >= matureAfter:
+	case age >= aloneAfter:
 		r.joining = false
 		r.router.SetJoining(router.Joined)
 	case age >= joinAfter && r.swim.Self().Passive && r.leavingSince.IsZero():
@@ -251,25 +254,25 @@
 	}
 }
 
-// leaveNotice is the time for the group to hear of a planned stop before
-// the hand-over may count as complete.
-const leaveNotice = 2 * time.Second
+// minLeaveTime is the minimum duration of a planned stop, in which the group learns of
+// it.
+const minLeaveTime = 2 * time.Second
 
 func (r *Reducer) checkDrained(now time.Time, out *effect.List) {
-	if r.drained || r.leavingSince.IsZero() || now.Sub(r.leavingSince) < leaveNotice {
+	if r.drained || r.leavingSince.IsZero() || now.Sub(r.leavingSince) < minLeaveTime {
 		return
 	}
-	if r.router.Repaired() && !r.busy.AnyRepairing(now) {
+	if r.router.Repaired() && !r.repairs.AnyRepairing(now) {
 		r.drained = true
 		out.Add(effect.Effect{Kind: effect.Drained})
 	}
 }
 
-// spread hands what one part learned to the others.
-func (r *Reducer) spread(now time.Time) {
+// propagate passes changes of the members and the upstreams to the other components.
+func (r *Reducer) propagate(now time.Time) {
 	if v := r.swim.Version(); v != r.swimVersion {
 		r.swimVersion = v
-		r.admitPeers()
+		r.updatePeers()
 		r.ranked = false
 	}
 	if v := r.registry.Version(); v != r.registryVersion {
@@ -281,8 +284,9 @@
 	}
 }
 
-// admitPeers takes datagrams from all that are members now.
-func (r *Reducer) admitPeers() {
+// updatePeers updates the accepted sender addresses and the routing to the current
+// members.
+func (r *Reducer) updatePeers() {
 	ms := r.swim.Members()
 	r.peers = make(map[netip.AddrPort]bool, len(ms))
 	zones := map[string]bool{}
@@ -295,16 +299,16 @@
 	r.router.SetUnreachable(r.swim.Unreachable())
 }
 
-// rankPause is the least time between two rankings.
-const rankPause = 500 * time.Millisecond
+// minRankInterval is the minimum interval between two rankings.
+const minRankInterval = 500 * time.Millisecond
 
-// rank ranks the members at once after a quiet time, and else after a pause:
-// when many come together, each arrival would otherwise rank all slots anew.
-func (r *Reducer) rank(now time.Time) {
-	if r.ranked || now.Sub(r.rankedAt) < rankPause {
+// updateRanking updates the ranking of the members, at most once per minRankInterval:
+// when many join at once, each would otherwise cause a new ranking of all slots.
+func (r *Reducer) updateRanking(now time.Time) {
+	if r.ranked || now.Sub(r.lastRank) < minRankInterval {
 		return
 	}
-	r.ranked, r.rankedAt = true, now
+	r.ranked, r.lastRank = true, now
 	ms := r.swim.Members()
 	list := make([]ownership.Member, 0, len(ms))
 	for _, m := range ms {
--- a/internal/balancer/reducer/reducer_test.go
+++ b/internal/balancer/reducer/reducer_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestFlowsSpreadAndStay(t *testing.T) {
+func TestFlowsAreBalancedAndSurvive(t *testing.T) {
 	f := suez(1)
 	u := f.addUpstream(50, "orders", "Adabiya")
 	f.openFlows(3000, "orders", 3*time.Second, time.Second)
--- a/internal/balancer/reducer/spread_test.go
+++ b/internal/balancer/reducer/spread_test.go
@@ -11,10 +11,10 @@
 	"wasabideal/internal/model/upstream"
 )
 
-// Symptom: a balancer kept an old preset although all others had the new one.
-// Events: one update in three is lost, and only one balancer has the new
-// revision from control. Cause: relying on a message that arrives once.
-func TestOneBalancersRevisionReachesAllDespiteLoss(t *testing.T) {
+// Guards against a balancer that keeps an old preset. A third of all messages is lost,
+// and only one balancer received the new revision from a voter; a revision that is sent
+// only once does not reach all.
+func TestRevisionReachesAllBalancersDespiteLoss(t *testing.T) {
 	f := suez(21)
 	f.loss = 1.0 / 3
 	c := f.config.WithPreset("peak").WithRevision(5)
@@ -25,11 +25,10 @@
 	}
 }
 
-// Symptom: after a restart in a cut-off zone a balancer served an old
-// configuration, and then its peers too. Events: the zone is cut off from all
-// else; a balancer without a disk restarts and is offered an old revision.
-// Cause: taking what comes last for the newest.
-func TestRestartInACutOffZoneTakesTheHighestRevision(t *testing.T) {
+// Guards against an old configuration that replaces a newer one in an isolated zone. A
+// balancer without a disk restarts there and receives an old revision, which must not be
+// adopted as the newest because it arrived last.
+func TestRestartInAnIsolatedZoneUsesTheHighestRevision(t *testing.T) {
 	f := suez(22)
 	f.usePreset("maintenance")
 	f.run(5 * time.Second)
@@ -48,10 +47,9 @@
 	}
 }
 
-// Symptom: a price feed that was quiet for hours was reset at its next packet.
-// Events: nobody sends anything for 20 hours; balancers come and go meanwhile.
-// Cause: forgetting a quiet flow, or copying only flows with packets.
-func TestQuietFeedOutlastsEveryBalancerThatHeldIt(t *testing.T) {
+// Guards against a reset of an idle flow at its next packet. It sends nothing for 20
+// hours while balancers are replaced; idle flows must be kept and replicated too.
+func TestIdleFlowSurvivesTheReplacementOfBalancers(t *testing.T) {
 	f := suez(23)
 	f.openFlows(200, "orders", time.Second, 20*time.Hour)
 	f.run(30 * time.Second)
@@ -63,20 +61,20 @@
 	}
 	for _, c := range f.callers {
 		c.state = open
-		f.talk(c)
+		f.startExchange(c)
 	}
 	f.run(20 * time.Second)
 	require.Zero(t, f.broken)
 }
 
-// Symptom: a caller got two connections. Events: its opening arrives at two
-// balancers at the same moment, and again later. Cause: two first ranks.
-func TestOpeningAtTwoBalancersAtOnceOpensOneFlow(t *testing.T) {
+// Guards against two connections for one caller. Its SYN arrives at two balancers at
+// the same time and again later; only one of them may be first in rank.
+func TestSimultaneousSYNsOpenOneFlow(t *testing.T) {
 	f := suez(24)
 	f.duplicate = 0.5
 	for i := range 200 {
 		c := f.call(i, "orders", time.Second)
-		f.spray(c, tcpFlags{SYN: true})
+		f.sendPacket(c, tcpFlags{SYN: true})
 	}
 	f.run(10 * time.Second)
 	require.Zero(t, f.broken)
@@ -87,15 +85,15 @@
 	require.Equal(t, 200, accepted)
 }
 
-// Symptom: a caller who used a port again reached an upstream that drains.
-// Events: a flow closes, its upstream drains, the same port opens anew. Cause:
-// taking the closed flow for the new one.
+// Guards against a new flow that reaches a draining upstream. A flow closes, its
+// upstream drains and the caller opens a flow from the same port, which must not be
+// treated as the closed one.
 func TestReusedPortIsANewFlow(t *testing.T) {
 	f := suez(25)
 	c := f.call(0, "orders", time.Hour)
 	f.run(2 * time.Second)
 	first := f.upstreams[c.upstream]
-	f.spray(c, tcpFlags{FIN: true, ACK: true})
+	f.sendPacket(c, tcpFlags{FIN: true, ACK: true})
 	f.run(time.Second)
 	delete(first.connections, c.source.String())
 	f.drain(first)
@@ -107,10 +105,9 @@
 	require.NotEqual(t, first.Address, c.upstream)
 }
 
-// Symptom: callers were reset when an upstream's process restarted and others
-// took its flows. Events: an upstream comes back with a new incarnation. Cause:
-// none of ours: its kernel lost the connections; only its callers are reset.
-func TestRestartedUpstreamConcernsItsOwnFlowsOnly(t *testing.T) {
+// Guards against resets of other flows when an upstream restarts. It returns with a new
+// incarnation and its kernel has lost the connections, so only its own flows break.
+func TestUpstreamRestartBreaksOnlyItsOwnFlows(t *testing.T) {
 	f := suez(26)
 	f.openFlows(300, "orders", time.Second, time.Second)
 	u := f.anyUpstream()
@@ -123,10 +120,9 @@
 	require.Zero(t, f.misdelivered)
 }
 
-// Symptom: flows went to a zone that had no room while others had. Events: one
-// zone has most balancers and few upstreams. Cause: preferring one's own zone
-// whatever its load.
-func TestZoneWithoutRoomSpillsOver(t *testing.T) {
+// Guards against flows to an overloaded zone while others have capacity. One zone has
+// most balancers and few upstreams; the own zone is preferred only up to its capacity.
+func TestOverloadedZoneSpillsOver(t *testing.T) {
 	f := newFleet(27)
 	for i := range 6 {
 		f.addNode(i, []string{"big", "big", "big", "big", "small", "small"}[i])
@@ -148,9 +144,8 @@
 	require.Equal(t, upstream.Ready, f.anyUpstream().State)
 }
 
-// Symptom: a balancer took flows of a service that another group serves, whose
-// upstreams it does not hear of. Events: a service is given to another group.
-// Cause: serving whatever the configuration lists.
+// Guards against a balancer that serves a service of another group, whose upstreams it
+// does not know. A service is moved to another group but remains in the configuration.
 func TestServicesOfAnotherGroupAreNotServed(t *testing.T) {
 	f := suez(28)
 	f.openFlows(20, "orders", time.Second, time.Second)
@@ -166,6 +161,6 @@
 			require.Empty(t, u.connections)
 		}
 	}
-	require.Len(t, f.nodes["b000"].reducer.Configuration().Services, 2, "the whole is kept for followers")
+	require.Len(t, f.nodes["b000"].reducer.Configuration().Services, 2, "the complete configuration is kept for followers")
 	require.Zero(t, f.broken)
 }
--- a/internal/balancer/reducer/start_test.go
+++ b/internal/balancer/reducer/start_test.go
@@ -7,9 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Symptom: of the flows opened in the first second of a site some hung for
-// good. Events: all balancers start within a second of each other, and callers
-// dial at once. Cause: views of the group that differ while it forms.
+// Guards against flows that hang when they are opened while the group forms. All
+// balancers start within a second and have different views of the group.
 func TestFlowsOpenedWhileTheGroupFormsSurvive(t *testing.T) {
 	for seed := range uint64(10) {
 		f := newFleet(seed)
