--- a/internal/member/busy/busy.go
+++ b/internal/member/busy/busy.go
@@ -6,8 +6,8 @@
 	"wasabideal/internal/member/swim"
 )
 
-// flagBusy is the payload of a balancer that creates replicas; others send none.
-const flagBusy = 1
+// flagRepairing is the payload of a balancer that creates replicas; others send none.
+const flagRepairing = 1
 
 // Tracker holds the balancers that reported repairs. It is not safe for concurrent use.
 type Tracker struct {
@@ -34,14 +34,14 @@
 // Load returns the payload that reports whether this balancer creates replicas.
 func (t *Tracker) Load(time.Time, int) []byte {
 	if t.repairing() {
-		return []byte{flagBusy}
+		return []byte{flagRepairing}
 	}
 	return nil
 }
 
 // Unload records the payload of another balancer.
-func (t *Tracker) Unload(now time.Time, from swim.Member, news []byte) {
-	if len(news) == 1 && news[0] == flagBusy {
+func (t *Tracker) Unload(now time.Time, from swim.Member, payload []byte) {
+	if len(payload) == 1 && payload[0] == flagRepairing {
 		t.reported[from.Name] = now
 		return
 	}
--- a/internal/member/swim/message.go
+++ b/internal/member/swim/message.go
@@ -32,14 +32,15 @@
 }
 
 const (
-	// headerReserve is the space reserved for a message without its riders.
+	// headerReserve is the space reserved for a message without piggybacked payloads.
 	headerReserve = 420
-	// minRiderBytes is the space for riders that a probe has even without a budget.
-	minRiderBytes  = 160
-	membersPerSync = 16
+	// minPayloadBytes is the space for payloads that a probe has even without a budget.
+	minPayloadBytes = 160
+	membersPerSync  = 16
 )
 
-// send adds updates and riders to m and sends it. The byte budget limits the riders.
+// send adds updates and piggybacked payloads to m and sends it. The byte budget limits
+// the payloads.
 //
 // Probes are sent even without a budget, or the balancer would appear dead.
 func (s *Swim) send(now time.Time, to netip.AddrPort, m message, out *effect.List) {
@@ -47,8 +48,8 @@
 	m.Digest = s.digest()
 	m.News = append(m.News, s.pendingUpdates()...)
 	if m.Kind == kindPing || m.Kind == kindAck || m.Kind == kindSync {
-		space := min(datagramLimit-headerReserve, max(int(s.budget)-headerReserve, minRiderBytes))
-		for _, r := range s.riders {
+		space := min(datagramLimit-headerReserve, max(int(s.budget)-headerReserve, minPayloadBytes))
+		for _, r := range s.piggybacks {
 			payload := r.Load(now, space)
 			space -= len(payload)
 			m.Riders = append(m.Riders, payload)
@@ -82,7 +83,7 @@
 	for _, n := range m.News {
 		s.merge(now, n)
 	}
-	for i, r := range s.riders {
+	for i, r := range s.piggybacks {
 		if i < len(m.Riders) {
 			r.Unload(now, m.From, m.Riders[i])
 		}
--- a/internal/member/swim/swim.go
+++ b/internal/member/swim/swim.go
@@ -15,8 +15,8 @@
 // Kind is the first byte of every gossip datagram.
 const Kind = 2
 
-// Rider is a source of payloads of other packages that are piggybacked on probes.
-type Rider interface {
+// Piggyback exchanges payloads of another package that are piggybacked on probes.
+type Piggyback interface {
 	// Load returns a payload of at most budget bytes.
 	Load(now time.Time, budget int) []byte
 	// Unload processes a payload sent by from; it ignores invalid payloads.
@@ -39,7 +39,7 @@
 	DeadAfter time.Duration
 	// ForgetAfter is the time after which a dead member is removed.
 	ForgetAfter time.Duration
-	// BytesPerSecond is the byte budget of probes and riders.
+	// BytesPerSecond is the byte budget of probes and piggybacked payloads.
 	BytesPerSecond int
 }
 
@@ -94,7 +94,7 @@
 	probes       map[uint32]probe
 	relayed      map[uint32]relayedProbe
 	random       *rand.Rand
-	riders       []Rider
+	piggybacks   []Piggyback
 	budget       float64
 	lastTick     time.Time
 	version      uint64
@@ -109,11 +109,11 @@
 }
 
 // New returns a Swim whose only member is itself.
-func New(s Settings, riders ...Rider) *Swim {
+func New(s Settings, piggybacks ...Piggyback) *Swim {
 	return &Swim{
 		settings: s, seal: seal.New(s.Token, s.Group), self: s.Self,
 		peers: map[string]*peer{}, probes: map[uint32]probe{}, relayed: map[uint32]relayedProbe{},
-		random: rand.New(rand.NewPCG(s.Seed, s.Self.Start)), riders: riders,
+		random: rand.New(rand.NewPCG(s.Seed, s.Self.Start)), piggybacks: piggybacks,
 	}
 }
 
--- a/internal/request/claimer/claimer.go
+++ b/internal/request/claimer/claimer.go
@@ -12,8 +12,8 @@
 	"wasabideal/internal/request/keys"
 )
 
-// Memory accesses the key stores of the balancers.
-type Memory interface {
+// KeyStores accesses the key stores of the balancers.
+type KeyStores interface {
 	Claim(ctx context.Context, m roster.Member, epoch uint64, r keys.Record) (keys.Record, error)
 	Release(ctx context.Context, m roster.Member, r keys.Record)
 	Finish(ctx context.Context, m roster.Member, r keys.Record)
@@ -41,14 +41,14 @@
 
 // Claimer claims keys under the newest roster.
 type Claimer struct {
-	memory  Memory
+	stores  KeyStores
 	timeout time.Duration
 	view    func() roster.View
 }
 
 // New returns a Claimer; timeout bounds each call to a member.
-func New(m Memory, timeout time.Duration, view func() roster.View) *Claimer {
-	return &Claimer{memory: m, timeout: timeout, view: view}
+func New(s KeyStores, timeout time.Duration, view func() roster.View) *Claimer {
+	return &Claimer{stores: s, timeout: timeout, view: view}
 }
 
 type vote struct {
@@ -110,7 +110,7 @@
 		go func() {
 			ctx, cancel := context.WithTimeout(ctx, c.timeout)
 			defer cancel()
-			record, err := c.memory.Claim(ctx, m, epoch, r)
+			record, err := c.stores.Claim(ctx, m, epoch, r)
 			votes <- vote{member: m, record: record, err: err}
 		}()
 	}
@@ -127,18 +127,18 @@
 // rejects repeats but never runs one twice.
 func (c *Claimer) release(ctx context.Context, votes map[string]vote, r keys.Record) {
 	c.forEach(ctx, lo.MapToSlice(votes, func(_ string, x vote) roster.Member { return x.member }), func(ctx context.Context, m roster.Member) {
-		c.memory.Release(ctx, m, r)
+		c.stores.Release(ctx, m, r)
 	})
 }
 
 // Release releases a granted claim of a request that did not run.
 func (c *Claimer) Release(ctx context.Context, r keys.Record) {
-	c.forEach(ctx, c.members(r), func(ctx context.Context, m roster.Member) { c.memory.Release(ctx, m, r) })
+	c.forEach(ctx, c.members(r), func(ctx context.Context, m roster.Member) { c.stores.Release(ctx, m, r) })
 }
 
 // Finish stores the response at all members that store the key.
 func (c *Claimer) Finish(ctx context.Context, r keys.Record) {
-	c.forEach(ctx, c.members(r), func(ctx context.Context, m roster.Member) { c.memory.Finish(ctx, m, r) })
+	c.forEach(ctx, c.members(r), func(ctx context.Context, m roster.Member) { c.stores.Finish(ctx, m, r) })
 }
 
 func (c *Claimer) members(r keys.Record) []roster.Member {
--- a/internal/request/claimer/claimer_test.go
+++ b/internal/request/claimer/claimer_test.go
@@ -41,7 +41,7 @@
 
 type node struct {
 	member  roster.Member
-	keys    *keys.Keys
+	keys    *keys.Store
 	view    roster.View
 	moved   uint64
 	running bool
@@ -134,15 +134,15 @@
 
 func (LostError) Error() string { return "lost" }
 
-// memory calls other nodes on behalf of one; it drops requests and responses.
-type memory struct {
+// remoteStores calls other nodes on behalf of one; it drops requests and responses.
+type remoteStores struct {
 	g    *group
 	from *node
 }
 
-func (m memory) lost() bool { return m.g.random.Float64() < m.g.loss }
+func (m remoteStores) lost() bool { return m.g.random.Float64() < m.g.loss }
 
-func (m memory) Claim(_ context.Context, x roster.Member, e uint64, r keys.Record) (keys.Record, error) {
+func (m remoteStores) Claim(_ context.Context, x roster.Member, e uint64, r keys.Record) (keys.Record, error) {
 	to := m.g.find(x)
 	if to == nil || !m.g.connected(m.from, to) || m.lost() {
 		return keys.Record{}, LostError{}
@@ -154,13 +154,13 @@
 	return answer, err
 }
 
-func (m memory) Release(_ context.Context, x roster.Member, r keys.Record) {
+func (m remoteStores) Release(_ context.Context, x roster.Member, r keys.Record) {
 	if to := m.g.find(x); to != nil && m.g.connected(m.from, to) && !m.lost() {
 		to.keys.Release(r.Service, r.Key, r.Attempt)
 	}
 }
 
-func (m memory) Finish(_ context.Context, x roster.Member, r keys.Record) {
+func (m remoteStores) Finish(_ context.Context, x roster.Member, r keys.Record) {
 	if to := m.g.find(x); to != nil && m.g.connected(m.from, to) && !m.lost() {
 		to.keys.Finish(m.g.now, r)
 	}
@@ -169,7 +169,7 @@
 // attempt claims a key at a node and, if granted, sends the request or releases the
 // key.
 func (g *group) attempt(n *node, key string, number int, send bool) claimer.Outcome {
-	c := claimer.New(serial{memory{g, n}}, time.Second, func() roster.View { return n.view })
+	c := claimer.New(serial{remoteStores{g, n}}, time.Second, func() roster.View { return n.view })
 	r := keys.Record{Service: service, Key: key, Attempt: fmt.Sprintf("%s/%d/%d", n.member.Name, n.member.Start, number)}
 	result := c.Claim(context.Background(), r)
 	if result.Outcome != claimer.Granted {
@@ -185,26 +185,26 @@
 }
 
 // serial serializes the calls, so that runs are reproducible.
-type serial struct{ memory }
+type serial struct{ remoteStores }
 
 var lock = make(chan struct{}, 1)
 
 func (s serial) Claim(ctx context.Context, x roster.Member, e uint64, r keys.Record) (keys.Record, error) {
 	lock <- struct{}{}
 	defer func() { <-lock }()
-	return s.memory.Claim(ctx, x, e, r)
+	return s.remoteStores.Claim(ctx, x, e, r)
 }
 
 func (s serial) Release(ctx context.Context, x roster.Member, r keys.Record) {
 	lock <- struct{}{}
 	defer func() { <-lock }()
-	s.memory.Release(ctx, x, r)
+	s.remoteStores.Release(ctx, x, r)
 }
 
 func (s serial) Finish(ctx context.Context, x roster.Member, r keys.Record) {
 	lock <- struct{}{}
 	defer func() { <-lock }()
-	s.memory.Finish(ctx, x, r)
+	s.remoteStores.Finish(ctx, x, r)
 }
 
 // TestKeysRunAtMostOnce simulates restarts, planned stops, partitions, message loss
--- a/internal/request/dispatch/dispatch.go
+++ b/internal/request/dispatch/dispatch.go
@@ -112,8 +112,8 @@
 	minRetryAfter  = 100 * time.Millisecond
 )
 
-// Dispatch schedules the requests of one service. It is not safe for concurrent use.
-type Dispatch struct {
+// Dispatcher schedules the requests of one service. It is not safe for concurrent use.
+type Dispatcher struct {
 	settings        Settings
 	random          *rand.Rand
 	targets         map[string]*target
@@ -123,20 +123,20 @@
 	retryBudget     float64
 }
 
-// New returns a Dispatch without targets.
-func New(s Settings, seed uint64) *Dispatch {
-	return &Dispatch{
+// New returns a Dispatcher without targets.
+func New(s Settings, seed uint64) *Dispatcher {
+	return &Dispatcher{
 		settings: s, random: rand.New(rand.NewPCG(seed, 5)), targets: map[string]*target{},
 		meanServiceTime: initialMean, retryBudget: initialBudget,
 	}
 }
 
 // SetSettings replaces the limits.
-func (d *Dispatch) SetSettings(s Settings) { d.settings = s }
+func (d *Dispatcher) SetSettings(s Settings) { d.settings = s }
 
 // SetTargets replaces the upstreams that accept requests. Requests in flight at a
 // removed upstream continue.
-func (d *Dispatch) SetTargets(ts []Target) {
+func (d *Dispatcher) SetTargets(ts []Target) {
 	for _, t := range d.targets {
 		t.listed = false
 	}
@@ -162,10 +162,10 @@
 }
 
 // Queued returns the number of queued requests.
-func (d *Dispatch) Queued() int { return len(d.queue) }
+func (d *Dispatcher) Queued() int { return len(d.queue) }
 
 // Offer sends, queues or rejects a new request.
-func (d *Dispatch) Offer(now time.Time, r Request) []Decision {
+func (d *Dispatcher) Offer(now time.Time, r Request) []Decision {
 	if r.Since.IsZero() {
 		r.Since = now
 	}
@@ -175,7 +175,7 @@
 
 // MayRetry takes one retry from the budget and reports whether there was one. Without
 // a budget, retries would keep a pool overloaded that lost most of its upstreams.
-func (d *Dispatch) MayRetry() bool {
+func (d *Dispatcher) MayRetry() bool {
 	if d.retryBudget < 1 {
 		return false
 	}
@@ -184,9 +184,9 @@
 }
 
 // Retry sends, queues or rejects a request after a shed or failed attempt.
-func (d *Dispatch) Retry(now time.Time, r Request) []Decision { return d.place(now, r) }
+func (d *Dispatcher) Retry(now time.Time, r Request) []Decision { return d.place(now, r) }
 
-func (d *Dispatch) place(now time.Time, r Request) []Decision {
+func (d *Dispatcher) place(now time.Time, r Request) []Decision {
 	if len(d.ordered) == 0 {
 		return d.reject(r, ReasonNoUpstream)
 	}
@@ -203,7 +203,7 @@
 
 // missesDeadline reports whether the request cannot finish before its deadline, given
 // the queue ahead of it. Rejecting it at once lets the caller use another server.
-func (d *Dispatch) missesDeadline(now time.Time, r Request) bool {
+func (d *Dispatcher) missesDeadline(now time.Time, r Request) bool {
 	ahead := 0
 	for _, q := range d.queue {
 		if q.Priority >= r.Priority {
@@ -215,7 +215,7 @@
 
 // estimateWait estimates how long the slots assigned to this balancer take to serve the
 // queued requests.
-func (d *Dispatch) estimateWait(queued int) time.Duration {
+func (d *Dispatcher) estimateWait(queued int) time.Duration {
 	slots := 0
 	for _, t := range d.ordered {
 		slots += max(t.Home, 0)
@@ -223,7 +223,7 @@
 	return d.meanServiceTime * time.Duration(queued) / time.Duration(max(slots, 1))
 }
 
-func (d *Dispatch) enqueue(r Request) []Decision {
+func (d *Dispatcher) enqueue(r Request) []Decision {
 	var rejected []Decision
 	if len(d.queue) >= d.settings.QueueLimit {
 		last := len(d.queue) - 1
@@ -246,18 +246,18 @@
 	return rejected
 }
 
-func (d *Dispatch) reject(r Request, reason string) []Decision {
+func (d *Dispatcher) reject(r Request, reason string) []Decision {
 	after := max(d.estimateWait(len(d.queue))+d.meanServiceTime, minRetryAfter)
 	return []Decision{{ID: r.ID, Err: &NotRunError{Reason: reason, RetryAfter: after}}}
 }
 
-func (d *Dispatch) send(r Request, t *target) Decision {
+func (d *Dispatcher) send(r Request, t *target) Decision {
 	t.outstanding++
 	return Decision{ID: r.ID, Target: t.Name}
 }
 
 // Done records the result of an attempt and dispatches queued requests.
-func (d *Dispatch) Done(now time.Time, name string, result Result, took time.Duration) []Decision {
+func (d *Dispatcher) Done(now time.Time, name string, result Result, took time.Duration) []Decision {
 	t := d.targets[name]
 	if t == nil {
 		return nil
@@ -278,7 +278,7 @@
 
 // Tick rejects queued requests that can no longer meet their deadline and sends those
 // for which a slot is free.
-func (d *Dispatch) Tick(now time.Time) []Decision {
+func (d *Dispatcher) Tick(now time.Time) []Decision {
 	var out []Decision
 	for i := 0; i < len(d.queue); {
 		r := d.queue[i]
@@ -302,11 +302,11 @@
 }
 
 // Cancel removes a queued request whose caller disconnected.
-func (d *Dispatch) Cancel(id uint64) {
+func (d *Dispatcher) Cancel(id uint64) {
 	d.queue = slices.DeleteFunc(d.queue, func(r Request) bool { return r.ID == id })
 }
 
 // String formats the state for logs.
-func (d *Dispatch) String() string {
+func (d *Dispatcher) String() string {
 	return fmt.Sprintf("queued %d, targets %d, mean %s, budget %.1f", len(d.queue), len(d.ordered), d.meanServiceTime, d.retryBudget)
 }
--- a/internal/request/dispatch/experiment_test.go
+++ b/internal/request/dispatch/experiment_test.go
@@ -40,7 +40,7 @@
 	targets(ts []dispatch.Target)
 }
 
-type scheduler struct{ d *dispatch.Dispatch }
+type scheduler struct{ d *dispatch.Dispatcher }
 
 func (s scheduler) offer(now time.Time, id uint64, deadline time.Time) []dispatch.Decision {
 	return s.d.Offer(now, dispatch.Request{ID: id, Deadline: deadline})
--- a/internal/request/dispatch/target.go
+++ b/internal/request/dispatch/target.go
@@ -7,14 +7,14 @@
 
 // limit returns the number of requests that this balancer may have in flight at an
 // upstream.
-func (d *Dispatch) limit(t *target) int {
+func (d *Dispatcher) limit(t *target) int {
 	n := min(t.Slots, d.settings.SlotLimit)
 	return max(int(float64(n)*t.Share+0.5), 1)
 }
 
 // pick returns an upstream with a free slot assigned to this balancer. If there is none,
 // it returns the less loaded of two random upstreams without a recent rejection.
-func (d *Dispatch) pick(now time.Time, r Request) *target {
+func (d *Dispatcher) pick(now time.Time, r Request) *target {
 	free := make([]*target, 0, len(d.ordered))
 	for _, t := range d.ordered {
 		if d.usable(now, t) && t.outstanding < d.limit(t) && !slices.Contains(r.Avoid, t.Name) {
@@ -48,12 +48,12 @@
 	return (float64(t.outstanding) + float64(t.shedStreak)) / (float64(max(t.Slots, 1)) * t.Share)
 }
 
-func (d *Dispatch) usable(now time.Time, t *target) bool { return !now.Before(t.ejectedUntil) }
+func (d *Dispatcher) usable(now time.Time, t *target) bool { return !now.Before(t.ejectedUntil) }
 
 // shed starts a backoff after a rejection: the upstream is full of other balancers'
 // requests until one of them ends. The backoff grows with consecutive rejections, and
 // jitter prevents balancers from retrying at the same time.
-func (d *Dispatch) shed(now time.Time, t *target) {
+func (d *Dispatcher) shed(now time.Time, t *target) {
 	t.shedStreak = min(t.shedStreak+1, shedStreakLimit)
 	backoff := shedBackoff * float64(d.meanServiceTime) * float64(int(1)<<(t.shedStreak-1))
 	t.shedUntil = now.Add(time.Duration(backoff * (0.5 + d.random.Float64())))
@@ -61,7 +61,7 @@
 
 // failed ejects an upstream after consecutive failures, unless less than half of the
 // pool would remain: the fault is then probably not in the upstreams.
-func (d *Dispatch) failed(now time.Time, t *target) {
+func (d *Dispatcher) failed(now time.Time, t *target) {
 	t.failures++
 	if t.failures < failuresToEject {
 		return
--- a/internal/request/door/door.go
+++ b/internal/request/door/door.go
@@ -65,7 +65,7 @@
 	transport        *http.Transport
 	oneShotTransport *http.Transport
 	mu               sync.Mutex
-	dispatch         *dispatch.Dispatch
+	dispatch         *dispatch.Dispatcher
 	addresses        map[string]string
 	waiting          map[uint64]chan dispatch.Decision
 	lastID           uint64
--- a/internal/request/door/door_test.go
+++ b/internal/request/door/door_test.go
@@ -26,7 +26,7 @@
 // localStore is the key store of a roster with a single balancer.
 type localStore struct {
 	mu   sync.Mutex
-	keys *keys.Keys
+	keys *keys.Store
 }
 
 func (s *localStore) Claim(_ context.Context, _ roster.Member, epoch uint64, r keys.Record) (keys.Record, error) {
--- a/internal/request/keys/keys.go
+++ b/internal/request/keys/keys.go
@@ -54,8 +54,8 @@
 	return fmt.Sprintf("claim has roster epoch %d, but this balancer is at epoch %d", e.Claim, e.Here)
 }
 
-// Keys stores records for a window of time. It is not safe for concurrent use.
-type Keys struct {
+// Store holds records for a window of time. It is not safe for concurrent use.
+type Store struct {
 	window  time.Duration
 	limit   int
 	epoch   uint64
@@ -65,79 +65,79 @@
 type recordKey struct{ service, key string }
 
 // New returns an empty store for at most limit keys.
-func New(window time.Duration, limit int) *Keys {
-	return &Keys{window: window, limit: limit, records: map[recordKey]*Record{}}
+func New(window time.Duration, limit int) *Store {
+	return &Store{window: window, limit: limit, records: map[recordKey]*Record{}}
 }
 
 // Len returns the number of stored keys.
-func (k *Keys) Len() int { return len(k.records) }
+func (s *Store) Len() int { return len(s.records) }
 
 // SetEpoch sets the epoch of a newer roster; claims with an older epoch are refused.
-func (k *Keys) SetEpoch(epoch uint64) { k.epoch = max(k.epoch, epoch) }
+func (s *Store) SetEpoch(epoch uint64) { s.epoch = max(s.epoch, epoch) }
 
 // Claim creates a record, or returns the existing one.
-func (k *Keys) Claim(now time.Time, epoch uint64, r Record) (Record, error) {
-	if epoch != k.epoch {
-		return Record{}, &EpochError{Claim: epoch, Here: k.epoch}
+func (s *Store) Claim(now time.Time, epoch uint64, r Record) (Record, error) {
+	if epoch != s.epoch {
+		return Record{}, &EpochError{Claim: epoch, Here: s.epoch}
 	}
 	at := recordKey{r.Service, r.Key}
-	if old, ok := k.records[at]; ok && now.Sub(old.Made) < k.window {
+	if old, ok := s.records[at]; ok && now.Sub(old.Made) < s.window {
 		return *old, nil
 	}
-	if len(k.records) >= k.limit {
-		return Record{}, &FullError{Limit: k.limit}
+	if len(s.records) >= s.limit {
+		return Record{}, &FullError{Limit: s.limit}
 	}
 	r.State, r.Made = Claimed, now
-	k.records[at] = &r
+	s.records[at] = &r
 	return r, nil
 }
 
 // Release deletes a record that was created by the attempt and is still Claimed.
-func (k *Keys) Release(service, key, attempt string) {
+func (s *Store) Release(service, key, attempt string) {
 	at := recordKey{service, key}
-	if r, ok := k.records[at]; ok && r.Attempt == attempt && r.State == Claimed {
-		delete(k.records, at)
+	if r, ok := s.records[at]; ok && r.Attempt == attempt && r.State == Claimed {
+		delete(s.records, at)
 	}
 }
 
 // Finish stores the response to a key's request.
-func (k *Keys) Finish(now time.Time, r Record) {
+func (s *Store) Finish(now time.Time, r Record) {
 	at := recordKey{r.Service, r.Key}
-	if old, ok := k.records[at]; ok && old.Attempt != r.Attempt {
+	if old, ok := s.records[at]; ok && old.Attempt != r.Attempt {
 		return
 	}
 	r.State = Answered
 	if r.Made.IsZero() {
 		r.Made = now
 	}
-	k.records[at] = &r
+	s.records[at] = &r
 }
 
 // Merge adds records from another balancer.
-func (k *Keys) Merge(rs []Record) {
+func (s *Store) Merge(rs []Record) {
 	for _, r := range rs {
 		at := recordKey{r.Service, r.Key}
-		if old, ok := k.records[at]; !ok || r.State > old.State {
+		if old, ok := s.records[at]; !ok || r.State > old.State {
 			x := r
-			k.records[at] = &x
+			s.records[at] = &x
 		}
 	}
 }
 
 // Expire deletes records older than the window.
-func (k *Keys) Expire(now time.Time) {
-	for at, r := range k.records {
-		if now.Sub(r.Made) >= k.window {
-			delete(k.records, at)
+func (s *Store) Expire(now time.Time) {
+	for at, r := range s.records {
+		if now.Sub(r.Made) >= s.window {
+			delete(s.records, at)
 		}
 	}
 }
 
 // Transfers returns, by member, the records that the member must store under the
 // current roster and may lack.
-func (k *Keys) Transfers(v roster.View, self roster.Member) map[roster.Member][]Record {
+func (s *Store) Transfers(v roster.View, self roster.Member) map[roster.Member][]Record {
 	transfers := map[roster.Member][]Record{}
-	for _, r := range k.records {
+	for _, r := range s.records {
 		for _, m := range v.Current(roster.Slot(r.Service, r.Key)) {
 			if m.Name != self.Name {
 				transfers[m] = append(transfers[m], *r)
--- a/internal/request/memory/memory.go
+++ b/internal/request/memory/memory.go
@@ -63,7 +63,7 @@
 	log      hclog.Logger
 	pool     *pool.Pool
 	mu       sync.Mutex
-	keys     *keys.Keys
+	keys     *keys.Store
 	view     roster.View
 	moved    uint64
 }
