--- a/internal/balancer/reducer/spread_test.go
+++ b/internal/balancer/reducer/spread_test.go
@@ -121,7 +121,8 @@
 }
 
 // Guards against flows to an overloaded zone while others have capacity. One zone has
-// most balancers and few upstreams; the own zone is preferred only up to its capacity.
+// most balancers and few upstreams; a balancer may prefer its own zone only up to that
+// zone's capacity.
 func TestOverloadedZoneSpillsOver(t *testing.T) {
 	f := newFleet(27)
 	for i := range 6 {
--- a/internal/member/swim/message.go
+++ b/internal/member/swim/message.go
@@ -109,7 +109,7 @@
 	case kindPing:
 		a := message{Kind: kindAck, Number: m.Number}
 		if m.Digest != s.digest() {
-			a.News = s.nextMembers(newsPerMessage / 2)
+			a.News = s.nextMembers(updatesPerMessage / 2)
 		}
 		// Tells a suspected member that it is suspected, so that it can refute.
 		if p := s.peers[m.From.Name]; p != nil && p.State != Alive {
--- a/internal/member/swim/swim.go
+++ b/internal/member/swim/swim.go
@@ -37,7 +37,7 @@
 	SuspectAfter time.Duration
 	// DeadAfter is the time in which a suspected member may refute.
 	DeadAfter time.Duration
-	// ForgetAfter is the time after which a dead member is removed.
+	// ForgetAfter is the time after which a dead member is removed and no longer probed.
 	ForgetAfter time.Duration
 	// BytesPerSecond is the byte budget of probes and piggybacked payloads.
 	BytesPerSecond int
@@ -49,8 +49,8 @@
 }
 
 const (
-	indirectProbers = 2
-	newsPerMessage  = 6
+	indirectProbers   = 2
+	updatesPerMessage = 6
 	// datagramLimit keeps gossip below the usual MTU, to avoid fragmentation.
 	datagramLimit = 1200
 	// overhead is the size of the IPv4 and UDP headers.
@@ -203,7 +203,7 @@
 }
 
 // MayPush reports whether the byte budget allows a push. When many upstreams join at
-// once, a push for each would exceed the budget ten times.
+// once, a push for each would use ten times the budget of control traffic.
 func (s *Swim) MayPush() bool { return s.budget > 0 }
 
 // Push sends updates to a few members without waiting for the next probes.
@@ -325,8 +325,8 @@
 	limit := s.retransmitLimit()
 	s.updates = slices.DeleteFunc(s.updates, func(p *peer) bool { return p.transmissions >= limit || s.peers[p.Name] != p })
 	slices.SortStableFunc(s.updates, func(a, b *peer) int { return cmp.Compare(a.transmissions, b.transmissions) })
-	ms := make([]Member, 0, newsPerMessage)
-	for _, p := range s.updates[:min(newsPerMessage, len(s.updates))] {
+	ms := make([]Member, 0, updatesPerMessage)
+	for _, p := range s.updates[:min(updatesPerMessage, len(s.updates))] {
 		p.transmissions++
 		ms = append(ms, p.Member)
 	}
