--- a/internal/request/claimer/claimer.go
+++ b/internal/request/claimer/claimer.go
@@ -90,7 +90,7 @@
 	result := Result{Outcome: Refused, Reason: "no majority of the balancers that store the key responded"}
 	for _, x := range votes {
 		if x.err != nil {
-			result.Reason = fmt.Sprintf("no majority granted the key: %v", x.err)
+			result.Reason = fmt.Sprintf("no majority for the key: %v", x.err)
 			continue
 		}
 		if x.record.Attempt != r.Attempt && x.record.State > result.Record.State {
