--- a/internal/soak/fleet/doc.go
+++ b/internal/soak/fleet/doc.go
@@ -1,3 +1,3 @@
-// Package fleet runs the project's programs as separate processes, and stops,
-// pauses, kills and restarts them by signals to the processes it started.
+// Package fleet runs the project's programs as child processes and stops, pauses,
+// kills and restarts them by signals.
 package fleet
--- a/internal/soak/fleet/fleet.go
+++ b/internal/soak/fleet/fleet.go
@@ -13,14 +13,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// stopTimeout is how long a planned stop may take before it counts as stuck.
+// stopTimeout is the time after which a process that was asked to stop is killed.
 const stopTimeout = 10 * time.Second
 
-// fullAt is the size at which files cannot grow any more while a disk is full, in
-// bytes: within the first records of a log.
-const fullAt = 100
+// fullDiskFileSize is the maximum file size in bytes while a full disk is simulated: writes fail
+// within the first records of a log.
+const fullDiskFileSize = 100
 
-// ExitError says that a process ended by itself, or did not end when asked to.
+// ExitError reports a process that exited unexpectedly or did not stop when asked to.
 type ExitError struct {
 	Name   string
 	Reason string
@@ -28,28 +28,28 @@
 
 func (e *ExitError) Error() string { return e.Name + " " + e.Reason }
 
-// Process is one running program.
+// Process is a program that runs as a child process.
 type Process struct {
 	Name string
-	// Program, Arguments and Environment start it.
+	// Program, Arguments and Environment are the command and its added environment variables.
 	Program     string
 	Arguments   []string
 	Environment []string
-	// Log is the file that takes its output.
+	// Log is the file to which standard output and standard error are appended.
 	Log     string
 	mu      sync.Mutex
 	command *exec.Cmd
-	ended   chan struct{}
-	// meant says that the process was told to end.
-	meant bool
+	exited  chan struct{}
+	// exitExpected is set once the process was told to stop or killed.
+	exitExpected bool
 }
 
-// Start starts the process.
+// Start starts the process, also again after it exited.
 func (p *Process) Start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if err := os.MkdirAll(filepath.Dir(p.Log), 0o750); err != nil {
-		return fmt.Errorf("make log folder: %w", err)
+		return fmt.Errorf("create log folder: %w", err)
 	}
 	log, err := os.OpenFile(p.Log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o640)
 	if err != nil {
@@ -58,40 +58,40 @@
 	c := exec.Command(p.Program, p.Arguments...)
 	c.Env = append(os.Environ(), p.Environment...)
 	c.Stdout, c.Stderr = log, log
-	// The kernel ends the process if the soak itself is killed.
+	// The kernel kills the process if the soak test itself is killed.
 	c.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := c.Start(); err != nil {
 		_ = log.Close()
 		return fmt.Errorf("start %s: %w", p.Name, err)
 	}
-	p.command, p.meant, p.ended = c, false, make(chan struct{})
-	go func(ended chan struct{}) {
+	p.command, p.exitExpected, p.exited = c, false, make(chan struct{})
+	go func(exited chan struct{}) {
 		_ = c.Wait()
 		_ = log.Close()
-		close(ended)
-	}(p.ended)
+		close(exited)
+	}(p.exited)
 	return nil
 }
 
-func (p *Process) signal(s syscall.Signal, meant bool) chan struct{} {
+func (p *Process) signal(s syscall.Signal, exitExpected bool) chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.meant = p.meant || meant
+	p.exitExpected = p.exitExpected || exitExpected
 	if err := p.command.Process.Signal(s); err != nil && !errors.Is(err, os.ErrProcessDone) {
-		// Only a process that is gone refuses these signals.
-		return p.ended
+		// These signals fail only for a process that has exited.
+		return p.exited
 	}
-	return p.ended
+	return p.exited
 }
 
-// Kill ends the process at once.
+// Kill kills the process and waits until it has exited.
 func (p *Process) Kill() { <-p.signal(syscall.SIGKILL, true) }
 
-// Stop asks for a planned stop and waits for it.
+// Stop sends SIGTERM and waits until the process has exited.
 func (p *Process) Stop() error {
-	ended := p.signal(syscall.SIGTERM, true)
+	exited := p.signal(syscall.SIGTERM, true)
 	select {
-	case <-ended:
+	case <-exited:
 		return nil
 	case <-time.After(stopTimeout):
 		p.Kill()
@@ -99,38 +99,38 @@
 	}
 }
 
-// Pause suspends the process until Resume.
+// Pause suspends the process until Resume is called.
 func (p *Process) Pause() { p.signal(syscall.SIGSTOP, false) }
 
-// Resume lets a suspended process go on.
+// Resume continues a suspended process.
 func (p *Process) Resume() { p.signal(syscall.SIGCONT, false) }
 
-// Hangup tells the process to read its settings again.
+// Hangup sends SIGHUP, on which the process reloads its settings.
 func (p *Process) Hangup() { p.signal(syscall.SIGHUP, false) }
 
-// FillDisk lets the kernel refuse every write of the process beyond the first bytes
-// of a file, as a disk does that fills up in the middle of a record.
-func (p *Process) FillDisk() { p.limitFiles(fullAt) }
+// FillDisk makes writes beyond fullDiskFileSize fail, as on a disk that fills up in the middle of
+// a record.
+func (p *Process) FillDisk() { p.limitFiles(fullDiskFileSize) }
 
-// FreeDisk lets the process write again.
+// FreeDisk removes the limit that FillDisk set.
 func (p *Process) FreeDisk() { p.limitFiles(unix.RLIM_INFINITY) }
 
 func (p *Process) limitFiles(bytes uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	limit := unix.Rlimit{Cur: bytes, Max: unix.RLIM_INFINITY}
-	// It fails only where the process has just ended, whose next life has no limit.
+	// The call fails only if the process has just exited; the next start has no limit.
 	_ = unix.Prlimit(p.command.Process.Pid, unix.RLIMIT_FSIZE, &limit, nil)
 }
 
-// Check returns an ExitError where the process ended without being told to.
+// Check returns an ExitError if the process exited unexpectedly.
 func (p *Process) Check() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	select {
-	case <-p.ended:
-		if !p.meant {
-			return &ExitError{Name: p.Name, Reason: "ended by itself: " + p.command.ProcessState.String()}
+	case <-p.exited:
+		if !p.exitExpected {
+			return &ExitError{Name: p.Name, Reason: "exited unexpectedly: " + p.command.ProcessState.String()}
 		}
 	default:
 	}
--- a/internal/soak/proxy/doc.go
+++ b/internal/soak/proxy/doc.go
@@ -1,3 +1,3 @@
-// Package proxy stands between processes on loopback and disturbs their
-// connections: it delays, resets, refuses and silences them, one way or both.
+// Package proxy forwards TCP connections between processes on loopback and injects
+// network faults: delay, reset, refusal, and loss in one direction or both.
 package proxy
--- a/internal/soak/proxy/proxy.go
+++ b/internal/soak/proxy/proxy.go
@@ -8,51 +8,50 @@
 	"time"
 )
 
-// Fault is how a proxy treats connections.
+// Fault is the network fault that a proxy injects.
 type Fault string
 
-// The faults.
 const (
 	None Fault = "None"
-	// Delay holds each piece of data back for a while.
+	// Delay delays each chunk of data.
 	Delay Fault = "Delay"
-	// Silence swallows data both ways, and leaves connections open.
+	// Silence discards data in both directions and leaves connections open.
 	Silence Fault = "Silence"
-	// OneWay swallows what the far end answers.
+	// OneWay discards the data that the target sends.
 	OneWay Fault = "OneWay"
-	// Refuse resets open connections and new ones.
+	// Refuse resets open connections and closes new ones at once.
 	Refuse Fault = "Refuse"
 )
 
-// delay is how long Delay holds data: some round trips between regions.
+// delay is the delay of each chunk under Delay: a few round trips between regions.
 const delay = 60 * time.Millisecond
 
-// bufferSize is the most that is copied at once.
+// bufferSize is the maximum size of a chunk in bytes.
 const bufferSize = 32 << 10
 
-// Proxy passes TCP connections on to one address.
+// Proxy forwards TCP connections to one target address.
 type Proxy struct {
 	listener net.Listener
-	to       string
+	target   string
 	mu       sync.Mutex
 	fault    Fault
 	open     map[net.Conn]bool
 	running  sync.WaitGroup
 }
 
-// Listen starts a proxy at an address.
-func Listen(address, to string) (*Proxy, error) {
+// Listen starts a proxy that listens at an address and forwards to the target.
+func Listen(address, target string) (*Proxy, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, fmt.Errorf("listen for proxy: %w", err)
 	}
-	p := &Proxy{listener: l, to: to, fault: None, open: map[net.Conn]bool{}}
+	p := &Proxy{listener: l, target: target, fault: None, open: map[net.Conn]bool{}}
 	p.running.Add(1)
 	go p.accept()
 	return p, nil
 }
 
-// Set changes how connections are treated; those that are open, too.
+// Set changes the injected fault for open and new connections.
 func (p *Proxy) Set(f Fault) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -62,7 +61,7 @@
 	}
 }
 
-// Reset resets the open connections once.
+// Reset resets all connections that are open now.
 func (p *Proxy) Reset() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -72,13 +71,13 @@
 func (p *Proxy) resetAll() {
 	for c := range p.open {
 		if t, ok := c.(*net.TCPConn); ok {
-			_ = t.SetLinger(0) // a reset in place of an orderly end
+			_ = t.SetLinger(0) // closes with RST instead of FIN
 		}
 		_ = c.Close()
 	}
 }
 
-// Close ends the proxy.
+// Close stops the proxy and resets its connections.
 func (p *Proxy) Close() {
 	_ = p.listener.Close()
 	p.Reset()
@@ -103,33 +102,33 @@
 	}
 }
 
-func (p *Proxy) serve(near net.Conn) {
+func (p *Proxy) serve(client net.Conn) {
 	defer p.running.Done()
 	if p.current() == Refuse {
-		_ = near.Close()
+		_ = client.Close()
 		return
 	}
-	far, err := net.Dial("tcp", p.to)
+	server, err := net.Dial("tcp", p.target)
 	if err != nil {
-		_ = near.Close()
+		_ = client.Close()
 		return
 	}
 	p.mu.Lock()
-	p.open[near], p.open[far] = true, true
+	p.open[client], p.open[server] = true, true
 	p.mu.Unlock()
 	p.running.Add(1)
-	go p.copy(far, near, false)
-	p.copy(near, far, true)
+	go p.copy(server, client, false)
+	p.copy(client, server, true)
 	p.mu.Lock()
-	delete(p.open, near)
-	delete(p.open, far)
+	delete(p.open, client)
+	delete(p.open, server)
 	p.mu.Unlock()
-	_, _ = near.Close(), far.Close()
+	_, _ = client.Close(), server.Close()
 }
 
-// copy passes data on until an end closes; answers come from the far end.
-func (p *Proxy) copy(to io.Writer, from net.Conn, answers bool) {
-	if !answers {
+// copy forwards data until either end closes. fromServer marks data sent by the target.
+func (p *Proxy) copy(to io.Writer, from net.Conn, fromServer bool) {
+	if !fromServer {
 		defer p.running.Done()
 	}
 	b := make([]byte, bufferSize)
@@ -142,7 +141,7 @@
 			return
 		}
 		switch f := p.current(); {
-		case f == Silence, f == OneWay && answers:
+		case f == Silence, f == OneWay && fromServer:
 			continue
 		case f == Delay:
 			time.Sleep(delay)
