--- a/internal/soak/run/callers.go
+++ b/internal/soak/run/callers.go
@@ -12,19 +12,19 @@
 )
 
 const (
-	// repeatAfter is how long a caller waits before it repeats a packet.
-	repeatAfter = 200 * time.Millisecond
-	// openingLimit and requestLimit are how long a caller tries.
-	openingLimit = 1400 * time.Millisecond
-	requestLimit = 8 * time.Second
-	// pauseMost is the longest pause between two requests of a flow.
-	pauseMost = 150 * time.Millisecond
-	// requestsMost bounds the requests of one flow, shortMost those of every second flow.
-	requestsMost = 60
-	shortMost    = 3
+	// retransmitInterval is how long a caller waits before it retransmits a packet.
+	retransmitInterval = 200 * time.Millisecond
+	// openTimeout and requestTimeout limit the retransmissions of one packet.
+	openTimeout    = 1400 * time.Millisecond
+	requestTimeout = 8 * time.Second
+	// maxRequestPause is the longest pause between two requests of a flow.
+	maxRequestPause = 150 * time.Millisecond
+	// maxRequests limits the requests of one flow, maxShortFlowRequests those of every second flow.
+	maxRequests          = 60
+	maxShortFlowRequests = 3
 )
 
-// caller opens one flow after the other and sends requests on each.
+// caller opens flows one after another and sends requests on each.
 type caller struct {
 	run      *Run
 	ip       netip.Addr
@@ -34,7 +34,7 @@
 	requests int
 }
 
-// received is a packet that a caller got, with its sender.
+// received is a packet that a caller received, with its sender.
 type received struct {
 	Segment
 	from netip.AddrPort
@@ -49,7 +49,7 @@
 	c := &caller{run: r, ip: a, conn: conn, packets: make(chan received, 64), port: 1024}
 	r.closers = append(r.closers, func() { _ = conn.Close() })
 	r.goRun(c.receive)
-	r.goRun(c.call)
+	r.goRun(c.openFlows)
 	return nil
 }
 
@@ -60,10 +60,10 @@
 		if err != nil {
 			return
 		}
-		c.run.callers.wait()
+		c.run.callersProcessor.wait()
 		p, _, err := c.run.settings.World.Decode(append([]byte(nil), buffer[:n]...), false)
 		if err != nil {
-			c.run.broken(PromiseOwn, err.Error())
+			c.run.violated(InvariantResponse, err.Error())
 			continue
 		}
 		select {
@@ -73,46 +73,46 @@
 	}
 }
 
-// send hands a packet to the balancer that the fabric's hash picks for it.
+// send sends a packet to the balancer that the fabric's hash selects for its flow.
 func (c *caller) send(s Segment) {
-	c.run.callers.wait()
+	c.run.callersProcessor.wait()
 	ready := c.run.rotation()
 	if len(ready) == 0 {
 		return
 	}
 	to := ready[flowHash(s.Caller, s.Address)%uint64(len(ready))]
-	c.run.network.carry(func() { _, _ = c.conn.WriteToUDPAddrPort(c.run.settings.World.Encode(s), to) })
+	c.run.network.deliver(func() { _, _ = c.conn.WriteToUDPAddrPort(c.run.settings.World.Encode(s), to) })
 }
 
-// flowHash is the fabric's, over both ends of a flow.
+// flowHash is the fabric's hash over both addresses of a flow.
 func flowHash(caller, address netip.AddrPort) uint64 {
 	return xxhash.Sum64String(caller.String() + address.String())
 }
 
-func (c *caller) call() {
-	for !c.run.over() {
-		c.flow()
-		time.Sleep(rand.N(pauseMost))
+func (c *caller) openFlows() {
+	for !c.run.hasEnded() {
+		c.runFlow()
+		time.Sleep(rand.N(maxRequestPause))
 	}
 }
 
-// exchange sends a packet, repeats it, and returns the first packet of the flow
-// that satisfies the condition, or false.
-func (c *caller) exchange(s Segment, limit time.Duration, wanted func(Segment) bool) (received, bool) {
-	end := time.Now().Add(limit)
-	for time.Now().Before(end) && !c.run.over() {
+// exchange sends a packet, retransmits it until the timeout, and returns the first packet of the
+// flow that matches, or false.
+func (c *caller) exchange(s Segment, timeout time.Duration, matches func(Segment) bool) (received, bool) {
+	end := time.Now().Add(timeout)
+	for time.Now().Before(end) && !c.run.hasEnded() {
 		c.send(s)
 		if s.Opening {
 			s.Copy++
 		}
-		repeat := time.After(repeatAfter)
+		retransmit := time.After(retransmitInterval)
 		for waiting := true; waiting; {
 			select {
 			case p := <-c.packets:
-				if p.Address == s.Caller && wanted(p.Segment) {
+				if p.Address == s.Caller && matches(p.Segment) {
 					return p, true
 				}
-			case <-repeat:
+			case <-retransmit:
 				waiting = false
 			}
 		}
@@ -120,69 +120,69 @@
 	return received{}, false
 }
 
-func (c *caller) flow() {
+func (c *caller) runFlow() {
 	c.port++
 	s := Segment{Open: true}
 	s.Opening = true
-	s.Caller, s.Address = netip.AddrPortFrom(c.ip, c.port), c.run.someRoute()
+	s.Caller, s.Address = netip.AddrPortFrom(c.ip, c.port), c.run.nextRoute()
 	s.Sequence = rand.Uint32()
-	opened, ok := c.exchange(s, openingLimit, func(p Segment) bool { return p.Open || p.Reset })
+	opened, ok := c.exchange(s, openTimeout, func(p Segment) bool { return p.Open || p.Reset })
 	if !ok || opened.Reset {
 		c.run.count(&c.run.unopened)
 		return
 	}
 	c.run.count(&c.run.opened)
-	at := s
-	at.Opening, at.Open, at.Acknowledge, at.Copy = false, false, true, 0
-	at.Sequence, at.Acknowledged, at.Cookie = s.Sequence+1, opened.Sequence+1, opened.Cookie
-	var home uint64
-	most := requestsMost
+	next := s
+	next.Opening, next.Open, next.Acknowledge, next.Copy = false, false, true, 0
+	next.Sequence, next.Acknowledged, next.Cookie = s.Sequence+1, opened.Sequence+1, opened.Cookie
+	var owner uint64
+	limit := maxRequests
 	if c.port%2 == 0 {
-		most = 1 + rand.IntN(shortMost)
+		limit = 1 + rand.IntN(maxShortFlowRequests)
 	}
-	for n := 0; n < most && !c.run.over(); n++ {
-		got, ok := c.request(&at)
+	for n := 0; n < limit && !c.run.hasEnded(); n++ {
+		response, ok := c.request(&next)
 		if !ok {
 			return
 		}
-		if home == 0 {
-			home = got.Incarnation
+		if owner == 0 {
+			owner = response.Incarnation
 		}
-		if got.Incarnation != home {
-			c.run.broken(PromiseFlow, fmt.Sprintf("flow of %x answered by %x", home, got.Incarnation))
+		if response.Incarnation != owner {
+			c.run.violated(InvariantFlow, fmt.Sprintf("flow of upstream %x answered by upstream %x", owner, response.Incarnation))
 		}
-		time.Sleep(rand.N(pauseMost))
+		time.Sleep(rand.N(maxRequestPause))
 	}
-	at.Finish, at.Data = true, nil
-	c.send(at)
+	next.Finish, next.Data = true, nil
+	c.send(next)
 }
 
-// request sends one request on an open flow and checks its answer.
-func (c *caller) request(at *Segment) (answer, bool) {
+// request sends one request on an open flow and checks its response.
+func (c *caller) request(next *Segment) (answer, bool) {
 	c.requests++
-	at.Data = fmt.Appendf(nil, "%s/%d/%d", c.ip, c.port, c.requests)
-	at.Length = len(at.Data)
-	p, ok := c.exchange(*at, requestLimit, func(p Segment) bool {
-		return p.Reset || !p.Open && p.Acknowledged == at.Sequence+uint32(at.Length) && len(p.Data) > 0
+	next.Data = fmt.Appendf(nil, "%s/%d/%d", c.ip, c.port, c.requests)
+	next.Length = len(next.Data)
+	p, ok := c.exchange(*next, requestTimeout, func(p Segment) bool {
+		return p.Reset || !p.Open && p.Acknowledged == next.Sequence+uint32(next.Length) && len(p.Data) > 0
 	})
 	if !ok {
-		if !c.run.over() {
+		if !c.run.hasEnded() {
 			c.run.count(&c.run.unanswered)
 		}
 		return answer{}, false
 	}
 	if p.Reset {
-		c.run.flowReset(*at, p)
+		c.run.checkReset(*next, p)
 		return answer{}, false
 	}
 	var a answer
-	if err := json.Unmarshal(p.Data, &a); err != nil || a.Request != string(at.Data) {
-		c.run.broken(PromiseOwn, fmt.Sprintf("%q got %q", at.Data, p.Data))
+	if err := json.Unmarshal(p.Data, &a); err != nil || a.Request != string(next.Data) {
+		c.run.violated(InvariantResponse, fmt.Sprintf("request %q received response %q", next.Data, p.Data))
 	}
 	c.run.count(&c.run.answered)
-	at.Sequence += uint32(at.Length)
-	at.Acknowledged = p.Sequence + uint32(len(p.Data))
-	at.Cookie = p.Cookie
-	at.Data = nil
+	next.Sequence += uint32(next.Length)
+	next.Acknowledged = p.Sequence + uint32(len(p.Data))
+	next.Cookie = p.Cookie
+	next.Data = nil
 	return a, true
 }
--- a/internal/soak/run/doc.go
+++ b/internal/soak/run/doc.go
@@ -1,4 +1,3 @@
-// Package run plays a random run of the real programs as separate processes on
-// loopback, disturbs them from outside, and checks what must always hold by
-// what callers, upstreams and operators see.
+// Package run executes one randomized soak run: it starts the real programs as processes on
+// loopback, injects faults, and checks invariants on what callers, upstreams and operators observe.
 package run
--- a/internal/soak/run/evacuate.go
+++ b/internal/soak/run/evacuate.go
@@ -6,54 +6,54 @@
 	"time"
 )
 
-// The time for which a zone is evacuated, and the pause between two zones: long enough that
-// new flows may not arrive there any more, and short enough that faults meet all of it.
+// An evacuation lasts longer than drainGrace, so that the check on new flows applies, and evacuations
+// follow each other so closely that faults hit every phase.
 const (
-	evacuatedFor = 2 * leavingFor
-	evacuatePace = 700 * time.Millisecond
+	evacuationDuration = 2 * drainGrace
+	evacuationPause    = 700 * time.Millisecond
 )
 
-// evacuateZones evacuates one zone after the other and takes each back.
+// evacuateZones evacuates one zone after another and ends each evacuation again.
 func (r *Run) evacuateZones() {
-	for n := 0; !r.over(); n++ {
+	for n := 0; !r.hasEnded(); n++ {
 		zone := r.zone(n)
-		acknowledged := r.order(n, zone, true)
+		acknowledged := r.requestEvacuation(n, zone, true)
 		r.mu.Lock()
 		if acknowledged {
 			r.evacuated[zone] = time.Now()
 		}
 		r.mu.Unlock()
-		for until := time.Now().Add(evacuatedFor); time.Now().Before(until) && !r.over(); {
-			time.Sleep(readyEvery)
+		for until := time.Now().Add(evacuationDuration); time.Now().Before(until) && !r.hasEnded(); {
+			time.Sleep(readinessInterval)
 		}
 		r.mu.Lock()
 		delete(r.evacuated, zone)
 		r.mu.Unlock()
-		// Until it is acknowledged: callers of the zone's upstreams count on it in the end.
-		for !r.over() && !r.order(n, zone, false) {
-			time.Sleep(readyEvery)
+		// Retries until acknowledged: the zone must serve again for the final recovery check.
+		for !r.hasEnded() && !r.requestEvacuation(n, zone, false) {
+			time.Sleep(readinessInterval)
 		}
-		time.Sleep(evacuatePace)
+		time.Sleep(evacuationPause)
 	}
 }
 
-// order sends an order to some voter, and to the others where one does not take it.
-func (r *Run) order(n int, zone string, on bool) bool {
+// requestEvacuation sends the request to the voters in turn until one acknowledges it.
+func (r *Run) requestEvacuation(n int, zone string, evacuate bool) bool {
 	for try := range r.apis {
 		api := r.apis[(n+try)%len(r.apis)]
-		if r.settings.World.Evacuate(context.Background(), api, zone, on) == nil {
+		if r.settings.World.Evacuate(context.Background(), api, zone, evacuate) == nil {
 			return true
 		}
 	}
 	return false
 }
 
-// checkEvacuated holds that an opening reaches no zone that was evacuated some time ago.
+// checkEvacuated verifies that no new flow reaches a zone that was evacuated more than drainGrace ago.
 func (r *Run) checkEvacuated(zone string) {
 	r.mu.Lock()
 	at, evacuated := r.evacuated[zone]
 	r.mu.Unlock()
-	if evacuated && at.Add(leavingFor).Before(r.calmSince()) {
-		r.broken(PromiseEvacuated, fmt.Sprintf("%s evacuated at %s", zone, at))
+	if evacuated && at.Add(drainGrace).Before(r.timeBoundsReference()) {
+		r.violated(InvariantEvacuated, fmt.Sprintf("new flow in %s, evacuated since %s", zone, at))
 	}
 }
--- a/internal/soak/run/faults.go
+++ b/internal/soak/run/faults.go
@@ -13,36 +13,36 @@
 )
 
 const (
-	// faultMost is the longest that one fault lasts, and gapMost the longest
-	// pause to the next; faults overlap.
-	faultMost = 3 * time.Second
-	gapMost   = 600 * time.Millisecond
+	// maxFaultDuration is the longest duration of a fault, maxFaultGap the longest pause before
+	// the next; faults overlap.
+	maxFaultDuration = 3 * time.Second
+	maxFaultGap      = 600 * time.Millisecond
 )
 
-// disturb injects faults in the order that the seed gives.
-func (r *Run) disturb(ctx context.Context) {
+// injectFaults injects faults in the order that the seed determines.
+func (r *Run) injectFaults(ctx context.Context) {
 	random := rand.New(rand.NewPCG(r.settings.Seed, 1))
-	// Faults of disks have a generator of their own, so that the others of a seed
-	// that once failed stay the same.
+	// Disk faults, restarts and stalls have their own generators, so that seeds that failed
+	// before these faults were added still produce the same other faults.
 	disks := rand.New(rand.NewPCG(r.settings.Seed, 2))
-	lives := rand.New(rand.NewPCG(r.settings.Seed, 3))
+	restarts := rand.New(rand.NewPCG(r.settings.Seed, 3))
 	stalls := rand.New(rand.NewPCG(r.settings.Seed, 4))
 	for end := time.Now().Add(r.settings.For); time.Now().Before(end) && ctx.Err() == nil; {
 		r.fault(random)
 		r.diskFault(disks)
-		r.restartUpstream(lives)
+		r.restartUpstream(restarts)
 		r.stall(stalls)
-		time.Sleep(time.Duration(random.Int64N(int64(gapMost))))
+		time.Sleep(time.Duration(random.Int64N(int64(maxFaultGap))))
 		r.checkExits()
 	}
-	// Every fault ends within its time.
-	time.Sleep(faultMost)
+	// The last fault ends within maxFaultDuration.
+	time.Sleep(maxFaultDuration)
 }
 
 func (r *Run) noteFault() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.lastFault = time.Now().Add(faultMost)
+	r.lastFault = time.Now().Add(maxFaultDuration)
 	r.result.Faults++
 }
 
@@ -50,11 +50,11 @@
 	r.noteFault()
 	p := r.processes[r.names[random.IntN(len(r.names))]]
 	x := r.proxies[random.IntN(len(r.proxies))]
-	lasts := time.Duration(random.Int64N(int64(faultMost)))
+	duration := time.Duration(random.Int64N(int64(maxFaultDuration)))
 	switch random.IntN(9) {
 	case 0:
 		p.Pause()
-		time.AfterFunc(lasts, p.Resume)
+		time.AfterFunc(duration, p.Resume)
 	case 1:
 		p.Resume()
 		p.Kill()
@@ -62,7 +62,7 @@
 	case 2:
 		p.Resume()
 		if err := p.Stop(); err != nil {
-			r.broken(PromiseExit, err.Error())
+			r.violated(InvariantExit, err.Error())
 		}
 		r.restart(p)
 	case 3:
@@ -72,7 +72,7 @@
 	case 5, 6:
 		kind := []proxy.Fault{proxy.Delay, proxy.Silence, proxy.OneWay, proxy.Refuse}[random.IntN(4)]
 		x.Set(kind)
-		time.AfterFunc(lasts, func() { x.Set(proxy.None) })
+		time.AfterFunc(duration, func() { x.Set(proxy.None) })
 	case 7:
 		r.replaceUpstream(random)
 	case 8:
@@ -80,35 +80,35 @@
 	}
 }
 
-// diskShare is how many faults there are for one of a disk.
-const diskShare = 5
+// faultsPerDiskFault is the mean number of other faults for each disk fault.
+const faultsPerDiskFault = 5
 
-// diskFault lets a voter's disk refuse writes for a while, or end in the middle of a
-// record that was never synced, as after a loss of power.
+// diskFault makes a voter's disk reject writes for a while, or restarts the voter with a log that
+// ends in the middle of an unsynced record, as after a power failure.
 func (r *Run) diskFault(random *rand.Rand) {
-	kind, voter := random.IntN(2*diskShare), random.IntN(voters)
-	lasts := time.Duration(random.Int64N(int64(faultMost)))
-	torn := make([]byte, 1+random.IntN(tornMost))
+	kind, voter := random.IntN(2*faultsPerDiskFault), random.IntN(voters)
+	duration := time.Duration(random.Int64N(int64(maxFaultDuration)))
+	torn := make([]byte, 1+random.IntN(maxTornBytes))
 	p := r.processes[fmt.Sprint("voter-", voter)]
 	switch kind {
 	case 0:
 		r.noteFault()
 		p.FillDisk()
-		time.AfterFunc(lasts, p.FreeDisk)
+		time.AfterFunc(duration, p.FreeDisk)
 	case 1:
 		r.noteFault()
 		p.Resume()
 		p.Kill()
-		r.tear(p, torn)
+		r.appendTornRecord(p, torn)
 		r.restart(p)
 	}
 }
 
-// tornMost is the longest torn record in bytes.
-const tornMost = 60
+// maxTornBytes is the maximum length of a torn record.
+const maxTornBytes = 60
 
-// tear appends the beginning of a record to the log of a voter that is down.
-func (r *Run) tear(p *fleet.Process, torn []byte) {
+// appendTornRecord appends the beginning of a record to the log of a stopped voter.
+func (r *Run) appendTornRecord(p *fleet.Process, torn []byte) {
 	f, err := os.OpenFile(filepath.Join(r.settings.Folder, p.Name, logFile), os.O_APPEND|os.O_WRONLY, 0)
 	if os.IsNotExist(err) {
 		return
@@ -118,51 +118,51 @@
 		_ = f.Close()
 	}
 	if err != nil {
-		r.broken(PromiseExit, err.Error())
+		r.violated(InvariantExit, err.Error())
 	}
 }
 
-// logFile is the voters' log in their data folder.
+// logFile is the name of the log in a voter's data folder.
 const logFile = "log"
 
 func (r *Run) restart(p *fleet.Process) {
 	if err := p.Start(); err != nil {
-		r.broken(PromiseExit, err.Error())
+		r.violated(InvariantExit, err.Error())
 	}
 }
 
-// wipe empties a voter's disk, where the others hold everything: no more disks
-// may be lost at once than the settings say.
+// wipe restarts a voter with an empty disk. Only one disk is replaced at a time, and only while all
+// voters answer reads, since the system tolerates only so many lost disks at once.
 func (r *Run) wipe(p *fleet.Process) {
-	if !r.wiping.CompareAndSwap(false, true) {
+	if !r.replacingDisk.CompareAndSwap(false, true) {
 		return
 	}
 	if !r.allRead() {
-		r.wiping.Store(false)
+		r.replacingDisk.Store(false)
 		return
 	}
 	p.Resume()
 	p.Kill()
 	folder := filepath.Join(r.settings.Folder, p.Name)
 	if err := os.RemoveAll(folder); err != nil {
-		r.broken(PromiseExit, err.Error())
+		r.violated(InvariantExit, err.Error())
 	}
 	if err := os.MkdirAll(folder, 0o750); err != nil {
-		r.broken(PromiseExit, err.Error())
+		r.violated(InvariantExit, err.Error())
 	}
 	r.restart(p)
-	// The next disk may go only once this one holds everything again: it has a
-	// vote some heartbeats after it answers reads.
+	// The next disk may be replaced only once this voter has all data again: it regains its
+	// vote a few heartbeats after it answers reads.
 	r.goRun(func() {
-		defer r.wiping.Store(false)
-		for !r.over() && !r.allRead() {
-			time.Sleep(readyEvery)
+		defer r.replacingDisk.Store(false)
+		for !r.hasEnded() && !r.allRead() {
+			time.Sleep(readinessInterval)
 		}
-		time.Sleep(calmAfter)
+		time.Sleep(faultSettleTime)
 	})
 }
 
-// allRead says that all voters answer reads, and so are in touch.
+// allRead reports whether all voters answer reads and therefore reach a majority.
 func (r *Run) allRead() bool {
 	for _, api := range r.apis {
 		if !r.checkRead(api) {
@@ -172,35 +172,35 @@
 	return true
 }
 
-// withdrawnFor is how long an upstream that has withdrawn serves its flows, as one does that gets
-// no acknowledgement.
-const withdrawnFor = 4 * time.Second
+// withdrawnServeTime is how long a withdrawn upstream still serves its flows, as an upstream does
+// whose withdrawal is not acknowledged.
+const withdrawnServeTime = 4 * time.Second
 
-// replaceUpstream lets an upstream leave and another start at a new address.
+// replaceUpstream drains an upstream and starts another one at a new address.
 func (r *Run) replaceUpstream(random *rand.Rand) {
 	r.mu.Lock()
-	old := r.backends[random.IntN(len(r.backends))]
-	n := len(r.backends)
+	old := r.upstreams[random.IntN(len(r.upstreams))]
+	n := len(r.upstreams)
 	r.mu.Unlock()
-	if r.isGone(old.self.Incarnation) {
+	if r.isStopped(old.self.Incarnation) {
 		return
 	}
 	z := n % r.settings.Zones
-	b, err := r.startBackend(fmt.Sprintf("%s:%d", ip(kindUpstream, z, n), FabricPort), old.self.Service, r.zone(z))
+	b, err := r.startUpstream(fmt.Sprintf("%s:%d", ip(kindUpstream, z, n), FabricPort), old.self.Service, r.zone(z))
 	if err != nil {
-		r.broken(PromiseExit, err.Error())
+		r.violated(InvariantExit, err.Error())
 		return
 	}
 	r.mu.Lock()
-	r.backends = append(r.backends, b)
+	r.upstreams = append(r.upstreams, b)
 	r.mu.Unlock()
-	old.leave()
-	time.AfterFunc(leavingFor, old.withdraw)
-	// Until it ends, it serves its flows on.
-	time.AfterFunc(leavingFor+withdrawnFor, func() {
+	old.drain()
+	time.AfterFunc(drainGrace, old.withdraw)
+	// The old upstream serves its flows until it stops.
+	time.AfterFunc(drainGrace+withdrawnServeTime, func() {
 		r.mu.Lock()
-		ended := r.ended || r.gone[old.self.Incarnation]
-		r.gone[old.self.Incarnation] = true
+		ended := r.ended || r.stopped[old.self.Incarnation]
+		r.stopped[old.self.Incarnation] = true
 		r.mu.Unlock()
 		if !ended {
 			old.stop()
@@ -208,15 +208,15 @@
 	})
 }
 
-// restartShare is how many faults there are for one upstream that starts again.
-const restartShare = 4
+// faultsPerUpstreamRestart is the mean number of other faults for each upstream restart.
+const faultsPerUpstreamRestart = 4
 
-// restartUpstream lets an upstream crash and start again as the incarnation that it was.
+// restartUpstream simulates a crash and restart of an upstream, which keeps its incarnation.
 func (r *Run) restartUpstream(random *rand.Rand) {
 	r.mu.Lock()
-	b := r.backends[random.IntN(len(r.backends))]
+	b := r.upstreams[random.IntN(len(r.upstreams))]
 	r.mu.Unlock()
-	if random.IntN(restartShare) != 0 || r.isGone(b.self.Incarnation) {
+	if random.IntN(faultsPerUpstreamRestart) != 0 || r.isStopped(b.self.Incarnation) {
 		return
 	}
 	r.noteFault()
@@ -226,33 +226,33 @@
 func (r *Run) checkExits() {
 	for _, p := range r.processes {
 		if err := p.Check(); err != nil {
-			r.broken(PromiseExit, err.Error())
+			r.violated(InvariantExit, err.Error())
 			r.restart(p)
 		}
 	}
 }
 
-// checkRecovery holds that after the faults the newest acknowledged
-// configuration is read everywhere and requests are answered.
+// checkRecovery verifies that after the last fault all voters return the newest acknowledged
+// configuration and requests are answered.
 func (r *Run) checkRecovery() {
-	end := time.Now().Add(settleFor)
+	end := time.Now().Add(recoveryTimeout)
 	for !r.allRead() {
 		if time.Now().After(end) {
-			r.broken(PromiseRecover, "not all voters answer reads")
+			r.violated(InvariantRecover, "not all voters answer reads")
 			break
 		}
-		time.Sleep(readyEvery)
+		time.Sleep(readinessInterval)
 	}
-	before := r.answeredSoFar()
+	before := r.answeredCount()
 	r.mu.Lock()
 	lost := r.unopened + r.unanswered
 	r.mu.Unlock()
-	time.Sleep(calmAfter / 2)
+	time.Sleep(faultSettleTime / 2)
 	r.mu.Lock()
 	lost = r.unopened + r.unanswered - lost
 	r.mu.Unlock()
-	if answered := r.answeredSoFar() - before; answered < 10*max(lost, 1) {
-		r.broken(PromiseRecover, fmt.Sprintf("%d requests answered and %d lost", answered, lost))
+	if answered := r.answeredCount() - before; answered < 10*max(lost, 1) {
+		r.violated(InvariantRecover, fmt.Sprintf("%d requests answered and %d lost", answered, lost))
 	}
 	r.checkExits()
 }
--- a/internal/soak/run/operate.go
+++ b/internal/soak/run/operate.go
@@ -9,7 +9,7 @@
 	"wasabideal/internal/model/configuration"
 )
 
-// publish sends the next configuration to some voter.
+// publish sends the next configuration to the voters in turn until one accepts it.
 func (r *Run) publish() bool {
 	r.mu.Lock()
 	r.published++
@@ -23,7 +23,7 @@
 			Timeout: time.Duration(1000+r.published) * time.Millisecond,
 		}
 		c.Routes = append(c.Routes, x)
-		r.sent[x.Address] = map[string]bool{s: true}
+		r.permittedServices[x.Address] = map[string]bool{s: true}
 	}
 	r.mu.Unlock()
 	for try := range r.apis {
@@ -38,66 +38,68 @@
 	return false
 }
 
-// operate publishes and reads configurations all the while.
+// operate publishes and reads configurations until the run has ended.
 func (r *Run) operate() {
-	for n := 0; !r.over(); n++ {
+	for n := 0; !r.hasEnded(); n++ {
 		if n%3 == 0 {
 			r.publish()
 		}
 		for _, api := range r.apis {
 			r.checkRead(api)
 		}
-		time.Sleep(readyEvery)
+		time.Sleep(readinessInterval)
 	}
 }
 
-// checkRead holds that no voter reads back less than was acknowledged before.
+// checkRead verifies that a voter does not return a revision older than one acknowledged before the
+// read. It returns whether the voter answered.
 func (r *Run) checkRead(api string) bool {
 	r.mu.Lock()
-	least := r.acknowledged
+	minRevision := r.acknowledged
 	r.mu.Unlock()
-	got, err := r.settings.World.Read(context.Background(), api)
+	revision, err := r.settings.World.Read(context.Background(), api)
 	if err != nil {
 		return false
 	}
-	if got < least {
-		r.broken(PromiseRevert, fmt.Sprintf("%s read %d where %d was acknowledged", api, got, least))
+	if revision < minRevision {
+		r.violated(InvariantRevert, fmt.Sprintf("%s returned revision %d after %d was acknowledged", api, revision, minRevision))
 	}
 	return true
 }
 
 func (r *Run) watchReadiness() {
-	misses := map[string]int{}
-	for !r.over() {
+	failures := map[string]int{}
+	for !r.hasEnded() {
 		var ready []string
 		for _, b := range r.balancers {
 			if r.settings.World.Ready(context.Background(), fmt.Sprintf("%s:%d", b, ReadyPort)) {
-				misses[b] = 0
+				failures[b] = 0
 			} else {
-				misses[b]++
+				failures[b]++
 			}
-			if misses[b] < missesMost {
+			if failures[b] < maxFailures {
 				ready = append(ready, b)
 			}
 		}
 		r.mu.Lock()
 		r.ready = ready
 		r.mu.Unlock()
-		time.Sleep(readyEvery)
+		time.Sleep(readinessInterval)
 	}
 }
 
-// rotation returns the balancers that the fabric uses: all where most are out.
+// rotation returns the balancers that the fabric sends to: the ready ones, or all if fewer than half
+// are ready.
 func (r *Run) rotation() []netip.AddrPort {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	list := r.ready
-	if 2*len(list) < len(r.balancers) {
-		list = r.balancers
+	selected := r.ready
+	if 2*len(selected) < len(r.balancers) {
+		selected = r.balancers
 	}
-	out := make([]netip.AddrPort, 0, len(list))
-	for _, b := range list {
-		out = append(out, netip.AddrPortFrom(netip.MustParseAddr(b), FabricPort))
+	addresses := make([]netip.AddrPort, 0, len(selected))
+	for _, b := range selected {
+		addresses = append(addresses, netip.AddrPortFrom(netip.MustParseAddr(b), FabricPort))
 	}
-	return out
+	return addresses
 }
--- a/internal/soak/run/run.go
+++ b/internal/soak/run/run.go
@@ -20,20 +20,21 @@
 
 const (
 	voters = 3
-	// zonesMost bounds the availability zones.
-	zonesMost = 8
-	// startTimeout bounds the start until the first flow opens.
+	// maxZones is the maximum number of availability zones.
+	maxZones = 8
+	// startTimeout limits the time until the first request is answered.
 	startTimeout = 20 * time.Second
-	// settleFor is how long after the last fault everything must serve again.
-	settleFor = 12 * time.Second
-	// calmAfter is how long after a fault the bounds on time hold again.
-	calmAfter = 5 * time.Second
-	// readyEvery is how often the fabric checks balancers; two misses take one out.
-	readyEvery = 250 * time.Millisecond
-	missesMost = 2
+	// recoveryTimeout is the time after the last fault within which all voters must answer reads.
+	recoveryTimeout = 12 * time.Second
+	// faultSettleTime is the time after a fault from which on time bounds are checked again.
+	faultSettleTime = 5 * time.Second
+	// readinessInterval is the interval of the fabric's readiness checks; a balancer is removed
+	// from rotation after two consecutive failures.
+	readinessInterval = 250 * time.Millisecond
+	maxFailures       = 2
 )
 
-// Result is what a run counted.
+// Result holds the counts and violated invariants of a run.
 type Result struct {
 	Seed                                   uint64
 	Opened, Unopened, Answered, Unanswered int
@@ -41,7 +42,7 @@
 	Broken                                 []string
 }
 
-// Run is one run.
+// Run is the state of one soak run.
 type Run struct {
 	settings  Settings
 	apis      []string
@@ -53,43 +54,42 @@
 	machines  []Machine
 	running   sync.WaitGroup
 
-	mu       sync.Mutex
-	backends []*backend
-	gone     map[uint64]bool
-	// sent are the services that any configuration sent allows an address.
-	sent map[netip.AddrPort]map[string]bool
-	// evacuated are the zones that are to get no new flows, with when that was acknowledged.
+	mu        sync.Mutex
+	upstreams []*simulatedUpstream
+	stopped   map[uint64]bool
+	// permittedServices are the services that each address had in any configuration sent.
+	permittedServices map[netip.AddrPort]map[string]bool
+	// evacuated holds the evacuated zones and the times at which the evacuations were acknowledged.
 	evacuated               map[string]time.Time
 	requests                map[string]int
 	acknowledged, published uint64
 	ready                   []string
 	result                  Result
 	lastFault               time.Time
-	wiping                  atomic.Bool
+	replacingDisk           atomic.Bool
 	network                 network
-	// callers and upstreams are the processors of their VMs.
-	callers, upstreams                     processor
+	// callersProcessor and upstreamsProcessor stall all callers and all upstreams.
+	callersProcessor, upstreamsProcessor   processor
 	ended                                  bool
 	opened, unopened, answered, unanswered int
 }
 
-// Play plays one run and returns what it counted; its promises' breaches are in
-// the result.
+// Play executes one run and returns its counts and violated invariants.
 //
-// The end of the context ends the faults early; what must hold is checked still.
+// Cancelling the context ends fault injection early; the recovery is still checked.
 func Play(ctx context.Context, s Settings) (Result, error) {
 	if err := s.check(); err != nil {
 		return Result{Seed: s.Seed}, err
 	}
 	r := &Run{
-		settings: s, processes: map[string]*fleet.Process{}, gone: map[uint64]bool{}, requests: map[string]int{},
-		sent: map[netip.AddrPort]map[string]bool{}, evacuated: map[string]time.Time{}, lastFault: time.Now(), result: Result{Seed: s.Seed},
+		settings: s, processes: map[string]*fleet.Process{}, stopped: map[uint64]bool{}, requests: map[string]int{},
+		permittedServices: map[netip.AddrPort]map[string]bool{}, evacuated: map[string]time.Time{}, lastFault: time.Now(), result: Result{Seed: s.Seed},
 	}
 	defer r.close()
 	if err := r.start(); err != nil {
 		return r.result, err
 	}
-	r.disturb(ctx)
+	r.injectFaults(ctx)
 	r.checkRecovery()
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -108,7 +108,7 @@
 	}()
 }
 
-func (r *Run) over() bool {
+func (r *Run) hasEnded() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.ended
@@ -122,8 +122,8 @@
 		p.Resume()
 		p.Kill()
 	}
-	for _, b := range r.backends {
-		if !r.isGone(b.self.Incarnation) {
+	for _, b := range r.upstreams {
+		if !r.isStopped(b.self.Incarnation) {
 			b.stop()
 		}
 	}
@@ -136,38 +136,38 @@
 	r.running.Wait()
 }
 
-// subnet is how many machines of a kind and zone have addresses in one network of 256, and
-// machinesMost how many there may be of a kind.
+// vmsPerSubnet is the number of VMs of a kind and zone in one network of 256 addresses, and
+// maxVMsPerKind the maximum number of VMs of a kind.
 const (
-	subnet       = 250
-	machinesMost = 20 * subnet
+	vmsPerSubnet  = 250
+	maxVMsPerKind = 20 * vmsPerSubnet
 )
 
-// ip returns a loopback address of its own for a kind of machine.
+// ip returns the unique loopback address of a VM.
 func ip(kind, zone, n int) string {
-	return fmt.Sprintf("127.%d.%d.%d", kind, zone+1+n/subnet*zonesMost, n%subnet+1)
+	return fmt.Sprintf("127.%d.%d.%d", kind, zone+1+n/vmsPerSubnet*maxZones, n%vmsPerSubnet+1)
 }
 
-// check returns an error for settings that no run can be played with.
+// check returns a SettingError for counts outside their bounds.
 func (s Settings) check() error {
 	for _, x := range []struct {
 		name  string
 		value int
-		most  int
+		limit int
 	}{
-		{"Zones", s.Zones, zonesMost},
-		{"Balancers", s.Balancers, machinesMost},
-		{"Upstreams", s.Upstreams, machinesMost},
-		{"Callers", s.Callers, machinesMost},
+		{"Zones", s.Zones, maxZones},
+		{"Balancers", s.Balancers, maxVMsPerKind},
+		{"Upstreams", s.Upstreams, maxVMsPerKind},
+		{"Callers", s.Callers, maxVMsPerKind},
 	} {
-		if x.value < 1 || x.value > x.most {
-			return &SettingError{Name: x.name, Value: x.value, Most: x.most}
+		if x.value < 1 || x.value > x.limit {
+			return &SettingError{Name: x.name, Value: x.value, Max: x.limit}
 		}
 	}
 	return nil
 }
 
-// The kinds of machines, as the second byte of their addresses.
+// The kinds of VMs are the second byte of their addresses.
 const (
 	kindVoter = 101 + iota
 	kindProxy
@@ -212,7 +212,7 @@
 func (r *Run) startMachine(m Machine) error {
 	m.Folder = filepath.Join(r.settings.Folder, m.Name)
 	if err := os.MkdirAll(m.Folder, 0o750); err != nil {
-		return fmt.Errorf("make folder: %w", err)
+		return fmt.Errorf("create folder: %w", err)
 	}
 	file := filepath.Join(r.settings.Folder, m.Name+".toml")
 	if err := os.WriteFile(file, []byte(r.settings.World.Settings(m)), 0o600); err != nil {
@@ -228,9 +228,9 @@
 	return p.Start()
 }
 
-// founded rewrites the settings once the system runs: a machine that starts
-// later, also with an empty disk, joins it.
-func (r *Run) founded() error {
+// clearFounding rewrites the settings files once the system runs, so that a VM that restarts, also
+// with an empty disk, joins the existing system instead of founding one.
+func (r *Run) clearFounding() error {
 	for _, m := range r.machines {
 		m.Founding = false
 		file := filepath.Join(r.settings.Folder, m.Name+".toml")
@@ -250,24 +250,24 @@
 func (r *Run) startTraffic() error {
 	for n := range r.settings.Upstreams {
 		z := n % r.settings.Zones
-		b, err := r.startBackend(fmt.Sprintf("%s:%d", ip(kindUpstream, z, n), FabricPort), services[n%len(services)], r.zone(z))
+		b, err := r.startUpstream(fmt.Sprintf("%s:%d", ip(kindUpstream, z, n), FabricPort), services[n%len(services)], r.zone(z))
 		if err != nil {
 			return err
 		}
-		r.backends = append(r.backends, b)
+		r.upstreams = append(r.upstreams, b)
 	}
 	end := time.Now().Add(startTimeout)
 	for !r.publish() {
 		if time.Now().After(end) {
-			return &BrokenError{Promise: PromiseRecover, Detail: "the first configuration was not accepted"}
+			return &BrokenError{Invariant: InvariantRecover, Detail: "the first configuration was not accepted"}
 		}
 	}
-	if err := r.founded(); err != nil {
+	if err := r.clearFounding(); err != nil {
 		return err
 	}
 	r.goRun(r.watchReadiness)
 	for range r.settings.Busy {
-		r.goRun(r.burn)
+		r.goRun(r.burnCPU)
 	}
 	r.goRun(r.operate)
 	r.goRun(r.evacuateZones)
@@ -276,22 +276,22 @@
 			return err
 		}
 	}
-	for r.answeredSoFar() == 0 {
+	for r.answeredCount() == 0 {
 		if time.Now().After(end) {
-			return &BrokenError{Promise: PromiseRecover, Detail: "no request was answered at the start"}
+			return &BrokenError{Invariant: InvariantRecover, Detail: "no request was answered at the start"}
 		}
-		time.Sleep(readyEvery)
+		time.Sleep(readinessInterval)
 	}
 	return nil
 }
 
-func (r *Run) answeredSoFar() int {
+func (r *Run) answeredCount() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.answered
 }
 
-func (r *Run) someRoute() netip.AddrPort {
+func (r *Run) nextRoute() netip.AddrPort {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return route(r.opened % len(services))
@@ -300,43 +300,45 @@
 func (r *Run) allowed(address netip.AddrPort, service string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.sent[address][service]
+	return r.permittedServices[address][service]
 }
 
-func (r *Run) ran(request string) {
+func (r *Run) recordExecution(request string) {
 	r.mu.Lock()
 	r.requests[request]++
 	twice := r.requests[request] > 1
 	r.mu.Unlock()
 	if twice {
-		r.broken(PromiseOnce, request)
+		r.violated(InvariantOnce, request)
 	}
 }
 
-func (r *Run) isGone(incarnation uint64) bool {
+func (r *Run) isStopped(incarnation uint64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.gone[incarnation]
+	return r.stopped[incarnation]
 }
 
-// flowReset holds that only flows of upstreams that ended are reset, and tells who sent the reset.
-func (r *Run) flowReset(flow Segment, reset received) {
+// checkReset verifies that only flows of stopped or restarted upstreams are reset, and reports the
+// sender of the reset.
+func (r *Run) checkReset(flow Segment, reset received) {
 	r.mu.Lock()
-	backends := slices.Clone(r.backends)
+	upstreams := slices.Clone(r.upstreams)
 	r.mu.Unlock()
-	// Not under the lock: a backend that takes a packet holds its own and asks for it.
-	home, alive := lo.Find(backends, func(b *backend) bool {
-		return b.cookie() == flow.Cookie && !r.isGone(b.self.Incarnation)
+	// Runs without r.mu: cookie locks the upstream, and an upstream that handles a packet holds its
+	// lock while it waits for r.mu.
+	owner, alive := lo.Find(upstreams, func(b *simulatedUpstream) bool {
+		return b.cookie() == flow.Cookie && !r.isStopped(b.self.Incarnation)
 	})
 	if !alive {
 		return
 	}
 	sender := reset.from.String()
-	if reset.from.Addr() == home.self.Address.Addr() {
+	if reset.from.Addr() == owner.self.Address.Addr() {
 		sender = "its upstream"
 	}
-	r.broken(PromiseFlow, fmt.Sprintf("flow from %s to %s at upstream %x was reset by %s at %s, sequence %d (acknowledged %d)",
-		flow.Caller, flow.Address, home.self.Incarnation, sender, time.Now().UTC().Format(time.RFC3339Nano),
+	r.violated(InvariantFlow, fmt.Sprintf("flow from %s to %s at upstream %x was reset by %s at %s, sequence %d (acknowledged %d)",
+		flow.Caller, flow.Address, owner.self.Incarnation, sender, time.Now().UTC().Format(time.RFC3339Nano),
 		reset.Sequence, flow.Acknowledged))
 }
 
@@ -346,23 +348,24 @@
 	*n++
 }
 
-// brokenMost bounds the breaches that are told in full.
-const brokenMost = 20
+// maxViolations limits the violations in the result.
+const maxViolations = 20
 
-func (r *Run) broken(promise, detail string) {
+func (r *Run) violated(invariant, detail string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.ended || len(r.result.Broken) >= brokenMost {
+	if r.ended || len(r.result.Broken) >= maxViolations {
 		return
 	}
-	r.result.Broken = append(r.result.Broken, (&BrokenError{Promise: promise, Detail: detail}).Error())
+	r.result.Broken = append(r.result.Broken, (&BrokenError{Invariant: invariant, Detail: detail}).Error())
 }
 
-// calmSince returns the end of the last disturbance, as far as bounds on time go.
-func (r *Run) calmSince() time.Time {
+// timeBoundsReference returns the time against which time bounds are checked: now, or the zero time,
+// which violates no bound, if a fault was active within faultSettleTime.
+func (r *Run) timeBoundsReference() time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if time.Since(r.lastFault) < calmAfter {
+	if time.Since(r.lastFault) < faultSettleTime {
 		return time.Time{}
 	}
 	return time.Now()
--- a/internal/soak/run/run_test.go
+++ b/internal/soak/run/run_test.go
@@ -8,8 +8,8 @@
 	"wasabideal/internal/soak/run"
 )
 
-// Guards against a panic where a run is asked for more machines than there are addresses.
-func TestRunsThatCannotBePlayedAreRefused(t *testing.T) {
+// Guards against a panic if more VMs are configured than there are addresses.
+func TestSettingsOutOfBoundsAreRejected(t *testing.T) {
 	_, err := run.Play(t.Context(), run.Settings{Zones: 3, Balancers: 6, Upstreams: 8, Callers: 100_000})
 	var setting *run.SettingError
 	require.ErrorAs(t, err, &setting)
--- a/internal/soak/run/stalls.go
+++ b/internal/soak/run/stalls.go
@@ -6,89 +6,90 @@
 	"time"
 )
 
-// The bounds of one stall: a process that waits for a processor, or a VM's.
+// A stall is a time in which a process or simulated VM gets no CPU time.
 const (
-	stallLeast = 50 * time.Millisecond
-	stallMost  = 1500 * time.Millisecond
-	// stallShare is how many faults there are for one stall.
-	stallShare = 3
-	stallKinds = 5
+	minStall = 50 * time.Millisecond
+	maxStall = 1500 * time.Millisecond
+	// faultsPerStall is the mean number of other faults for each stall.
+	faultsPerStall = 3
+	stallKinds     = 5
 )
 
-// processor is what some parties of a run wait for while it is taken.
-type processor struct{ taken sync.RWMutex }
+// processor simulates a CPU that goroutines of a run share and that can be withheld from them.
+type processor struct{ mu sync.RWMutex }
 
-// wait returns once there is a processor.
+// wait blocks while the processor is withheld.
 func (p *processor) wait() {
-	p.taken.RLock()
-	defer p.taken.RUnlock()
+	p.mu.RLock()
+	defer p.mu.RUnlock()
 }
 
-// take leaves those who wait without one for a time.
-func (p *processor) take(lasts time.Duration) {
-	p.taken.Lock()
-	defer p.taken.Unlock()
-	time.Sleep(lasts)
+// withhold blocks all callers of wait for a duration.
+func (p *processor) withhold(duration time.Duration) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	time.Sleep(duration)
 }
 
-// stall lets one party wait for a processor, or all of a kind at once. Nobody is told of it.
+// stall withholds the CPU from one process or upstream, or from all processes, upstreams or callers at
+// once. No process is notified.
 func (r *Run) stall(random *rand.Rand) {
-	kind, pick := random.IntN(stallKinds*stallShare), random.Int()
-	lasts := stallLeast + time.Duration(random.Int64N(int64(stallMost-stallLeast)))
+	kind, pick := random.IntN(stallKinds*faultsPerStall), random.Int()
+	duration := minStall + time.Duration(random.Int64N(int64(maxStall-minStall)))
 	if kind < stallKinds {
 		r.noteFault()
 	}
 	switch kind {
 	case 0:
-		r.pauseFor(r.names[pick%len(r.names)], lasts)
+		r.pauseFor(r.names[pick%len(r.names)], duration)
 	case 1:
 		for _, name := range r.names {
-			r.pauseFor(name, lasts)
+			r.pauseFor(name, duration)
 		}
 	case 2:
-		r.goRun(func() { r.upstreams.take(lasts) })
+		r.goRun(func() { r.upstreamsProcessor.withhold(duration) })
 	case 3:
-		r.goRun(func() { r.callers.take(lasts) })
+		r.goRun(func() { r.callersProcessor.withhold(duration) })
 	case 4:
 		r.mu.Lock()
-		b := r.backends[pick%len(r.backends)]
+		b := r.upstreams[pick%len(r.upstreams)]
 		r.mu.Unlock()
-		r.goRun(func() { b.processor.take(lasts) })
+		r.goRun(func() { b.processor.withhold(duration) })
 	}
 }
 
-func (r *Run) pauseFor(name string, lasts time.Duration) {
+func (r *Run) pauseFor(name string, duration time.Duration) {
 	p := r.processes[name]
 	p.Pause()
-	time.AfterFunc(lasts, p.Resume)
+	time.AfterFunc(duration, p.Resume)
 }
 
-// burn keeps processors busy beside the run, until it is over.
-func (r *Run) burn() {
-	for !r.over() {
+// burnCPU keeps one CPU busy until the run has ended.
+func (r *Run) burnCPU() {
+	for !r.hasEnded() {
 		for range 1 << 20 {
 			continue
 		}
 	}
 }
 
-// network carries packets, some of them late or twice.
+// network delivers packets, some of them late or twice.
 type network struct{}
 
 const (
-	// disturbedShare is how many packets there are for one that is disturbed, and lateMost how late
-	// one is at most: less than what callers wait before they repeat an opening.
-	disturbedShare = 50
-	lateMost       = 40 * time.Millisecond
+	// One in packetsPerImpairment packets is delayed or duplicated. maxPacketDelay is below
+	// the time after which callers retransmit an opening packet.
+	packetsPerImpairment = 50
+	maxPacketDelay       = 40 * time.Millisecond
 )
 
-func (network) carry(send func()) {
-	switch rand.IntN(2 * disturbedShare) {
+func (network) deliver(send func()) {
+	switch rand.IntN(2 * packetsPerImpairment) {
 	case 0:
-		time.AfterFunc(rand.N(lateMost), send)
+		time.AfterFunc(rand.N(maxPacketDelay), send)
 	case 1:
 		send()
-		time.AfterFunc(rand.N(lateMost), send)
+		time.AfterFunc(rand.N(maxPacketDelay), send)
 	default:
 		send()
 	}
--- a/internal/soak/run/upstreams.go
+++ b/internal/soak/run/upstreams.go
@@ -17,50 +17,50 @@
 	"wasabideal/internal/model/upstream"
 )
 
-// leavingFor is how long after an acknowledged departure new flows may arrive,
-// where no process was disturbed meanwhile.
-const leavingFor = 3 * time.Second
+// drainGrace is how long new flows may still arrive after an acknowledged departure or evacuation,
+// provided that no fault was active meanwhile.
+const drainGrace = 3 * time.Second
 
-// answer is what an upstream tells a caller of the request that it ran.
+// answer is an upstream's response to a request that it executed.
 type answer struct {
 	Service     string
 	Incarnation uint64
 	Request     string
 }
 
-// backend is one upstream: its flows, and the announcements that it makes.
-type backend struct {
+// simulatedUpstream is one upstream with its flows, which announces itself to the balancers.
+type simulatedUpstream struct {
 	run  *Run
 	self upstream.Upstream
 	conn *net.UDPConn
-	// door completes handshakes as long as the upstream runs, as its kernel does.
-	door net.Listener
-	// processor is the upstream's own; all of them share the run's.
+	// probeListener completes the TCP handshakes of probes, as the kernel of a running VM does.
+	probeListener net.Listener
+	// processor stalls this upstream alone; Run.upstreamsProcessor stalls all of them.
 	processor processor
 	mu        sync.Mutex
-	// flows are the sequences that callers have sent in full, by caller.
-	flows map[netip.AddrPort]*backendFlow
-	left  time.Time
-	done  chan struct{}
+	// flows are the open flows by caller.
+	flows               map[netip.AddrPort]*upstreamFlow
+	drainAcknowledgedAt time.Time
+	done                chan struct{}
 }
 
-type backendFlow struct {
+type upstreamFlow struct {
 	next     uint32
 	response Segment
 }
 
-func (r *Run) startBackend(address string, service, zone string) (*backend, error) {
+func (r *Run) startUpstream(address string, service, zone string) (*simulatedUpstream, error) {
 	a := netip.MustParseAddrPort(address)
 	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(a))
 	if err != nil {
 		return nil, fmt.Errorf("listen for upstream: %w", err)
 	}
-	door, err := net.Listen("tcp4", address)
+	probeListener, err := net.Listen("tcp4", address)
 	if err != nil {
 		_ = conn.Close()
 		return nil, fmt.Errorf("listen for probes of upstream: %w", err)
 	}
-	b := &backend{run: r, conn: conn, door: door, flows: map[netip.AddrPort]*backendFlow{}, done: make(chan struct{})}
+	b := &simulatedUpstream{run: r, conn: conn, probeListener: probeListener, flows: map[netip.AddrPort]*upstreamFlow{}, done: make(chan struct{})}
 	b.self = upstream.Upstream{
 		Identity: upstream.Identity{Service: service, Address: a, Incarnation: rand.Uint64() >> 24},
 		Zone:     zone, Slots: 2, State: upstream.Ready, Born: uint64(time.Now().UnixMilli()),
@@ -70,20 +70,21 @@
 	return b, nil
 }
 
-func (b *backend) stop() {
+func (b *simulatedUpstream) stop() {
 	close(b.done)
 	_ = b.conn.Close()
-	_ = b.door.Close()
+	_ = b.probeListener.Close()
 }
 
-// wait returns once the upstream has a processor.
-func (b *backend) wait() {
-	b.run.upstreams.wait()
+// wait blocks while the upstream is stalled.
+func (b *simulatedUpstream) wait() {
+	b.run.upstreamsProcessor.wait()
 	b.processor.wait()
 }
 
-// announce tells whom it was referred to, or any voter, of the upstream, again and again.
-func (b *backend) announce() {
+// announce sends announcements at AnnounceEvery to the address it was last referred to, or else to
+// any voter.
+func (b *simulatedUpstream) announce() {
 	next := ""
 	for n := 0; ; n++ {
 		b.wait()
@@ -103,8 +104,8 @@
 			}
 			next = cmp.Or(referred, next)
 			b.mu.Lock()
-			if u.State == upstream.Draining && b.left.IsZero() {
-				b.left = time.Now()
+			if u.State == upstream.Draining && b.drainAcknowledgedAt.IsZero() {
+				b.drainAcknowledgedAt = time.Now()
 			}
 			b.mu.Unlock()
 			break
@@ -117,22 +118,22 @@
 	}
 }
 
-func (b *backend) leave() {
+func (b *simulatedUpstream) drain() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.self.State = upstream.Draining
 }
 
-// withdraw tells that the upstream ends; it goes on serving its flows for a while.
-func (b *backend) withdraw() {
+// withdraw announces the upstream as withdrawn; it still serves its flows until stop.
+func (b *simulatedUpstream) withdraw() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.self.State = upstream.Withdrawn
 }
 
-// restart forgets all flows and announcements, as a crash does. One that leaves goes on
-// to leave.
-func (b *backend) restart() {
+// restart drops all flows and starts a new life of the same incarnation, as after a crash. It does
+// nothing if the upstream is draining or withdrawn.
+func (b *simulatedUpstream) restart() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.self.State != upstream.Ready {
@@ -143,7 +144,7 @@
 	b.self.Born = uint64(max(time.Now().UnixMilli(), int64(b.self.Born)+1))
 }
 
-func (b *backend) serve() {
+func (b *simulatedUpstream) serve() {
 	buffer := make([]byte, 2048)
 	for {
 		n, err := b.conn.Read(buffer)
@@ -151,33 +152,33 @@
 			return
 		}
 		b.wait()
-		p, meant, err := b.run.settings.World.Decode(buffer[:n], true)
+		p, incarnation, err := b.run.settings.World.Decode(buffer[:n], true)
 		if err != nil {
-			b.run.broken(PromiseOwn, err.Error())
+			b.run.violated(InvariantResponse, err.Error())
 			continue
 		}
-		if meant != b.self.Incarnation {
+		if incarnation != b.self.Incarnation {
 			continue
 		}
-		b.take(p)
+		b.handle(p)
 	}
 }
 
-func (b *backend) take(p Segment) {
+func (b *simulatedUpstream) handle(p Segment) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if !b.run.allowed(p.Address, b.self.Service) {
-		b.run.broken(PromiseService, fmt.Sprintf("%s reached %s", p.Address, b.self.Service))
+		b.run.violated(InvariantService, fmt.Sprintf("packet for %s reached service %s", p.Address, b.self.Service))
 		return
 	}
 	f := b.flows[p.Caller]
 	if p.Opening {
-		if !b.left.IsZero() && b.left.Add(leavingFor).Before(b.run.calmSince()) {
-			b.run.broken(PromiseLeaving, fmt.Sprintf("%x left at %s", b.self.Incarnation, b.left))
+		if !b.drainAcknowledgedAt.IsZero() && b.drainAcknowledgedAt.Add(drainGrace).Before(b.run.timeBoundsReference()) {
+			b.run.violated(InvariantDraining, fmt.Sprintf("new flow at upstream %x, departure acknowledged at %s", b.self.Incarnation, b.drainAcknowledgedAt))
 		}
 		b.run.checkEvacuated(b.self.Zone)
 		if f == nil {
-			f = &backendFlow{next: p.Sequence + 1}
+			f = &upstreamFlow{next: p.Sequence + 1}
 			b.flows[p.Caller] = f
 		}
 		b.reply(p, Segment{Open: true, Acknowledge: true}, f.next)
@@ -193,11 +194,11 @@
 		return
 	}
 	if p.Sequence == f.next {
-		b.run.ran(string(p.Data))
+		b.run.recordExecution(string(p.Data))
 		f.next += uint32(len(p.Data))
 		data, err := json.Marshal(answer{Service: b.self.Service, Incarnation: b.self.Incarnation, Request: string(p.Data)})
 		if err != nil {
-			b.run.broken(PromiseOwn, err.Error())
+			b.run.violated(InvariantResponse, err.Error())
 			return
 		}
 		f.response = Segment{Acknowledge: true, Data: data}
@@ -205,17 +206,18 @@
 	b.reply(p, f.response, f.next)
 }
 
-// reply sends a packet straight to the caller, with the cookie that came last.
-func (b *backend) reply(p, s Segment, acknowledged uint32) {
+// reply sends a packet directly to the caller, bypassing the balancers, with the cookie of the
+// packet it replies to.
+func (b *simulatedUpstream) reply(p, s Segment, acknowledged uint32) {
 	s.Caller, s.Address = p.Address, p.Caller
 	s.Cookie, s.Acknowledged, s.Sequence = p.Cookie, acknowledged, p.Acknowledged
 	to := netip.AddrPortFrom(p.Caller.Addr(), FabricPort)
-	// A caller that is gone does not matter here.
-	b.run.network.carry(func() { _, _ = b.conn.WriteToUDPAddrPort(b.run.settings.World.Encode(s), to) })
+	// Send errors are ignored: the caller may have stopped.
+	b.run.network.deliver(func() { _, _ = b.conn.WriteToUDPAddrPort(b.run.settings.World.Encode(s), to) })
 }
 
-// cookie is what the callers of the present life's flows return.
-func (b *backend) cookie() uint32 {
+// cookie returns the cookie that flows of the upstream's current life carry.
+func (b *simulatedUpstream) cookie() uint32 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return router.Cookie(b.self.Incarnation, b.self.Born)
--- a/internal/soak/run/world.go
+++ b/internal/soak/run/world.go
@@ -10,7 +10,7 @@
 	"wasabideal/internal/model/upstream"
 )
 
-// The ports, the same on each machine, which has a loopback address of its own.
+// The ports are the same on each VM, since each VM has its own loopback address.
 const (
 	FabricPort  = 8172
 	ReadyPort   = 8167
@@ -19,87 +19,87 @@
 	MetricsPort = 9464
 )
 
-// AnnounceEvery is the time between two announcements of an upstream.
+// AnnounceEvery is the interval between two announcements of an upstream.
 const AnnounceEvery = 400 * time.Millisecond
 
-// Machine is a process's surroundings.
+// Machine describes the simulated VM on which a process runs.
 type Machine struct {
 	Role, Name, Zone, Ip string
-	// Advertise is the call address that others use.
+	// Advertise is the RPC address that other processes use.
 	Advertise string
-	// Seeds are the operators' addresses of some voters, joined by commas.
+	// Seeds are API addresses of some voters, separated by commas.
 	Seeds    string
 	Founding bool
 	Folder   string
 }
 
-// Segment is a packet as an end of a flow writes and reads it.
+// Segment is a packet as the endpoints of a flow send and receive it.
 type Segment struct {
 	router.Packet
 	Open, Acknowledge bool
 	Data              []byte
 }
 
-// World is the platform's side of the processes' interfaces.
+// World implements the platform-specific side of the interfaces between processes.
 type World interface {
 	Settings(m Machine) string
 	Environment(file string) string
 	Publish(ctx context.Context, address string, c configuration.Configuration) error
 	Read(ctx context.Context, address string) (uint64, error)
 	Ready(ctx context.Context, address string) bool
-	// Evacuate orders that a zone be emptied, or taken back, and returns nil once that is
+	// Evacuate starts or ends the evacuation of a zone and returns nil once that is
 	// acknowledged.
 	Evacuate(ctx context.Context, address, zone string, on bool) error
-	// Announce returns the address for later announcements, empty where it stays.
+	// Announce returns the address for later announcements, empty if it does not change.
 	Announce(ctx context.Context, address string, u upstream.Upstream) (string, error)
 	Encode(s Segment) []byte
 	Decode(b []byte, atUpstream bool) (Segment, uint64, error)
 }
 
-// Settings of a run.
+// Settings configures a run.
 type Settings struct {
 	Seed uint64
 	// For is how long faults are injected.
 	For time.Duration
 	// Program is the path of the project's program.
 	Program string
-	// Folder takes settings, disks and logs.
+	// Folder is the directory for settings files, data folders and logs.
 	Folder                               string
 	Zones, Balancers, Upstreams, Callers int
-	// Busy is how many loops take processors beside the run.
+	// Busy is the number of busy loops that compete with the run for CPU time.
 	Busy  int
 	World World
 }
 
-// SettingError is a setting with which no run can be played.
+// SettingError reports a setting outside its bounds.
 type SettingError struct {
-	Name        string
-	Value, Most int
+	Name       string
+	Value, Max int
 }
 
 func (e *SettingError) Error() string {
-	return fmt.Sprintf("%s is %d; allowed: 1 to %d", e.Name, e.Value, e.Most)
+	return fmt.Sprintf("%s is %d; allowed: 1 to %d", e.Name, e.Value, e.Max)
 }
 
-// BrokenError is a promise that did not hold.
+// BrokenError reports a violated invariant.
 type BrokenError struct {
-	Promise string
-	Detail  string
+	Invariant string
+	Detail    string
 }
 
 func (e *BrokenError) Error() string {
-	return fmt.Sprintf("broken promise: %s: %s", e.Promise, e.Detail)
+	return fmt.Sprintf("invariant violated: %s: %s", e.Invariant, e.Detail)
 }
 
-// The promises that a run checks.
+// The invariants that a run checks.
 const (
-	PromiseService   = "a packet never reaches another service"
-	PromiseFlow      = "open flows survive"
-	PromiseOwn       = "callers get the answers to their own requests"
-	PromiseOnce      = "a request runs at most once"
-	PromiseRevert    = "what was acknowledged is never read back older"
-	PromiseLeaving   = "a leaving upstream gets no new flow after seconds"
-	PromiseEvacuated = "an evacuated zone gets no new flow after seconds"
-	PromiseExit      = "no process ends by itself"
-	PromiseRecover   = "all serve again after the faults"
+	InvariantService   = "a packet never reaches another service"
+	InvariantFlow      = "open flows survive faults"
+	InvariantResponse  = "callers receive the responses to their own requests"
+	InvariantOnce      = "a request is executed at most once"
+	InvariantRevert    = "a read never returns a revision older than the newest acknowledged one"
+	InvariantDraining  = "a draining upstream gets no new flows after a few seconds"
+	InvariantEvacuated = "an evacuated zone gets no new flows after a few seconds"
+	InvariantExit      = "no process exits unexpectedly"
+	InvariantRecover   = "the system recovers after the faults"
 )
