--- a/internal/capacity/measure/configuration.go
+++ b/internal/capacity/measure/configuration.go
@@ -30,15 +30,15 @@
 func configurationMeasurements() []Measurement {
 	addresses := []float64{100, 1000, 9800}
 	return []Measurement{
-		{Name: WholeBytes, Per: "address", Unit: "bytes on the wire", Sizes: addresses, Take: wholeBytes},
-		{Name: HeldBytes, Per: "address", Unit: "bytes held", Sizes: addresses, Take: heldBytes},
-		{Name: DeltaBytes, Per: "address", Unit: "bytes a change", Sizes: addresses, Take: deltaBytes},
-		{Name: DeltaMicros, Per: "address", Unit: "us to apply a change", Sizes: addresses, Take: deltaMicros},
-		{Name: FanoutMicros, Per: "follower", Unit: "us until the last follower has a change", Sizes: []float64{50, 150, 400}, Take: fanoutMicros},
+		{Name: WholeBytes, Per: "address", Unit: "bytes on the wire", Sizes: addresses, Measure: wholeBytes},
+		{Name: HeldBytes, Per: "address", Unit: "bytes held", Sizes: addresses, Measure: heldBytes},
+		{Name: DeltaBytes, Per: "address", Unit: "bytes a change", Sizes: addresses, Measure: deltaBytes},
+		{Name: DeltaMicros, Per: "address", Unit: "us to apply a change", Sizes: addresses, Measure: deltaMicros},
+		{Name: FanoutMicros, Per: "follower", Unit: "us until the last follower has a change", Sizes: []float64{50, 150, 400}, Measure: fanoutMicros},
 	}
 }
 
-// configurationOf has services of four addresses each.
+// configurationOf returns a configuration whose services have four addresses each.
 func configurationOf(addresses int) configuration.Configuration {
 	c := configuration.Configuration{Revision: 1, InForce: "ordinary"}
 	for _, n := range []string{"ordinary", "peak", "maintenance"} {
@@ -54,7 +54,7 @@
 	return c
 }
 
-// changed has one service changed, one revision later.
+// changed returns the next revision of c with one service changed.
 func changed(c configuration.Configuration) configuration.Configuration {
 	c.Services = slices.Clone(c.Services)
 	c.Services[len(c.Services)/2].Priority++
@@ -84,12 +84,12 @@
 func deltaMicros(size float64) (float64, error) {
 	c := configurationOf(int(size))
 	a := history.Answer{Deltas: []history.Delta{history.Between(c, changed(c))}}
-	var failed error
-	t := nanos(1, func() { _, failed = history.Follow(c, a) })
-	return t / float64(time.Microsecond), failed
+	var followErr error
+	t := nanos(1, func() { _, followErr = history.Follow(c, a) })
+	return t / float64(time.Microsecond), followErr
 }
 
-// fanoutMicros lets many followers wait at one source over real connections.
+// fanoutMicros measures the time until all followers that wait at one source over TCP have a change.
 func fanoutMicros(size float64) (float64, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -106,7 +106,7 @@
 	times := make([]float64, 0, rounds)
 	for range rounds {
 		c = changed(c)
-		t, err := oneFanout(ctx, s, c, l.Addr().String(), int(size))
+		t, err := timeFanout(ctx, s, c, l.Addr().String(), int(size))
 		if err != nil {
 			return 0, err
 		}
@@ -120,7 +120,7 @@
 	connectPause  = 500 * time.Millisecond
 )
 
-func oneFanout(ctx context.Context, s *source.Source, next configuration.Configuration, address string, followers int) (float64, error) {
+func timeFanout(ctx context.Context, s *source.Source, next configuration.Configuration, address string, followers int) (float64, error) {
 	ctx, cancel := context.WithTimeout(ctx, fanoutTimeout)
 	defer cancel()
 	var wg sync.WaitGroup
@@ -138,10 +138,10 @@
 		}()
 	}
 	time.Sleep(connectPause)
-	begin := time.Now()
+	start := time.Now()
 	s.Publish(next)
 	wg.Wait()
-	t := float64(time.Since(begin).Microseconds())
+	t := float64(time.Since(start).Microseconds())
 	select {
 	case err := <-failures:
 		return 0, err
--- a/internal/capacity/measure/control.go
+++ b/internal/capacity/measure/control.go
@@ -14,23 +14,23 @@
 func controlMeasurements() []Measurement {
 	changes := []float64{500, 5000, 50_000}
 	return []Measurement{
-		{Name: LogBytes, Per: "change since the snapshot", Unit: "bytes on disk", Sizes: changes, Take: func(n float64) (float64, error) {
+		{Name: LogBytes, Per: "change since the snapshot", Unit: "bytes on disk", Sizes: changes, Measure: func(n float64) (float64, error) {
 			l, err := writeLog(int(n))
 			return l.bytes, err
 		}},
-		{Name: RecoveryMillis, Per: "change since the snapshot", Unit: "ms to recover", Sizes: changes, Take: func(n float64) (float64, error) {
+		{Name: RecoveryMillis, Per: "change since the snapshot", Unit: "ms to recover", Sizes: changes, Measure: func(n float64) (float64, error) {
 			l, err := writeLog(int(n))
 			return l.recovery, err
 		}},
-		{Name: AcceptMicros, Per: "change in one write", Unit: "us to sync", Sizes: []float64{1, 16, 64}, Take: syncMicros},
+		{Name: AcceptMicros, Per: "change in one write", Unit: "us to sync", Sizes: []float64{1, 16, 64}, Measure: syncMicros},
 	}
 }
 
-type written struct{ bytes, recovery float64 }
+type logCost struct{ bytes, recovery float64 }
 
-const batch = 256
+const batchSize = 256
 
-func change(i int) ([]byte, error) {
+func encodeChange(i int) ([]byte, error) {
 	return ledger.Encode(ledger.Change{
 		ChangeKey: fmt.Sprintf("change-%d", i), ExpectRevision: uint64(i), UsePreset: []string{"ordinary", "peak"}[i%2],
 		Who: "operator", When: epoch,
@@ -40,7 +40,7 @@
 func entries(from, n int) ([]agreement.Entry, error) {
 	es := make([]agreement.Entry, 0, n)
 	for i := from; i < from+n; i++ {
-		data, err := change(i)
+		data, err := encodeChange(i)
 		if err != nil {
 			return nil, err
 		}
@@ -49,10 +49,10 @@
 	return es, nil
 }
 
-func inFolder(f func(*local.Folder) error) error {
+func withTempFolder(f func(*local.Folder) error) error {
 	path, err := os.MkdirTemp("", "wasabideal-measure-")
 	if err != nil {
-		return fmt.Errorf("make folder: %w", err)
+		return fmt.Errorf("create folder: %w", err)
 	}
 	defer func() { _ = os.RemoveAll(path) }()
 	d, err := local.Open(path)
@@ -63,16 +63,17 @@
 	return f(d)
 }
 
-// writeLog writes n changes, and reads and applies them again as a restart does.
-func writeLog(n int) (written, error) {
-	var out written
-	err := inFolder(func(d *local.Folder) error {
+// writeLog writes n changes and measures the log size and the time to read and apply them, as on a
+// restart.
+func writeLog(n int) (logCost, error) {
+	var out logCost
+	err := withTempFolder(func(d *local.Folder) error {
 		w, _, err := wal.Open(d)
 		if err != nil {
 			return err
 		}
-		for at := 0; at < n; at += batch {
-			es, err := entries(at, min(batch, n-at))
+		for at := 0; at < n; at += batchSize {
+			es, err := entries(at, min(batchSize, n-at))
 			if err != nil {
 				return err
 			}
@@ -81,7 +82,7 @@
 			}
 		}
 		out.bytes = float64(w.Size())
-		begin := time.Now()
+		start := time.Now()
 		_, state, err := wal.Open(d)
 		if err != nil {
 			return err
@@ -90,7 +91,7 @@
 		for _, e := range state.Entries {
 			l.Apply(e.Data)
 		}
-		out.recovery = float64(time.Since(begin).Microseconds()) / 1000
+		out.recovery = float64(time.Since(start).Microseconds()) / 1000
 		return nil
 	})
 	return out, err
@@ -98,13 +99,13 @@
 
 func syncMicros(size float64) (float64, error) {
 	var t float64
-	err := inFolder(func(d *local.Folder) error {
+	err := withTempFolder(func(d *local.Folder) error {
 		w, _, err := wal.Open(d)
 		if err != nil {
 			return err
 		}
 		at := 0
-		var failed error
+		var writeErr error
 		t = nanos(1, func() {
 			es, err := entries(at, int(size))
 			at += int(size)
@@ -112,10 +113,10 @@
 				err = w.Write(agreement.Persist{Entries: es})
 			}
 			if err != nil {
-				failed = err
+				writeErr = err
 			}
 		}) / float64(time.Microsecond)
-		return failed
+		return writeErr
 	})
 	return t, err
 }
--- a/internal/capacity/measure/cookie.go
+++ b/internal/capacity/measure/cookie.go
@@ -15,7 +15,7 @@
 	"wasabideal/internal/wire/rpc"
 )
 
-// cookiePackets is the number of packets or openings that are timed together.
+// cookiePackets is the number of packets in one timing; openings are timed in a tenth of it.
 const cookiePackets = 20_000
 
 func cookieMeasurements() []Measurement {
@@ -23,13 +23,13 @@
 	pool := []float64{14, 150, 1500}
 	known := []float64{150, 1500, 21_000}
 	return []Measurement{
-		{Name: CookieNanos, Per: "flow remembered", Unit: "ns a packet", Sizes: flows, Take: cookieNanos},
-		{Name: CookieFlowBytes, Per: "flow remembered", Unit: "bytes held", Sizes: flows, Take: cookieFlowBytes},
-		{Name: CookieOpeningNanos, Per: "upstream of a service", Unit: "ns an opening", Sizes: pool, Take: cookieOpeningNanos},
-		{Name: ViewMicros, Per: "upstream of the service", Unit: "us to take over one upstream's news", Sizes: known, Take: viewMicros},
-		{Name: ViewBytes, Per: "upstream known", Unit: "bytes held", Sizes: known, Take: viewBytes},
-		{Name: NewsBytes, Per: "upstream known", Unit: "bytes of a voter's first answer", Sizes: known, Take: newsBytes},
-		{Name: QuestionMicros, Per: "upstream known", Unit: "us a question without news, both ends", Sizes: known, Take: questionMicros},
+		{Name: CookieNanos, Per: "flow remembered", Unit: "ns a packet", Sizes: flows, Measure: cookieNanos},
+		{Name: CookieFlowBytes, Per: "flow remembered", Unit: "bytes held", Sizes: flows, Measure: cookieFlowBytes},
+		{Name: CookieOpeningNanos, Per: "upstream of a service", Unit: "ns an opening", Sizes: pool, Measure: cookieOpeningNanos},
+		{Name: ViewMicros, Per: "upstream of the service", Unit: "us to take over one upstream's news", Sizes: known, Measure: viewMicros},
+		{Name: ViewBytes, Per: "upstream known", Unit: "bytes held", Sizes: known, Measure: viewBytes},
+		{Name: NewsBytes, Per: "upstream known", Unit: "bytes of a voter's first answer", Sizes: known, Measure: newsBytes},
+		{Name: QuestionMicros, Per: "upstream known", Unit: "us a question without news, both ends", Sizes: known, Measure: questionMicros},
 	}
 }
 
@@ -66,7 +66,7 @@
 	return router.Packet{Caller: netip.AddrPortFrom(a, 40_000), Address: cookieAddress, Opening: true}
 }
 
-// openFlows opens flows and returns a packet of each.
+// openFlows opens flows and returns one later packet for each.
 func openFlows(r *router.Router, flows int) []router.Packet {
 	packets := make([]router.Packet, flows)
 	for n := range packets {
@@ -97,7 +97,7 @@
 		r.Route(cookieEpoch, cookieOpening(n))
 	}
 	held := heap() - before
-	r.Tick(cookieEpoch) // the router is alive until here
+	r.Tick(cookieEpoch) // keeps the router reachable until here
 	return held, err
 }
 
@@ -126,9 +126,9 @@
 	r, err := cookieRouter(1)
 	c, _ := v.Changes(cookieEpoch)
 	r.Update(cookieEpoch, c)
-	const each = 100
-	return nanos(each, func() {
-		for n := range each {
+	const calls = 100
+	return nanos(calls, func() {
+		for n := range calls {
 			u := cookieUpstream(n)
 			u.State = upstream.State(n % 2)
 			v.Take(cookieEpoch, "voter", 1, []directory.Notice{{Upstream: u}})
@@ -146,7 +146,7 @@
 	c, _ := v.Changes(cookieEpoch)
 	r.Update(cookieEpoch, c)
 	held := heap() - before
-	// Both are alive until here.
+	// Keeps both reachable until here.
 	v.Changes(cookieEpoch)
 	r.Tick(cookieEpoch)
 	return held, err
@@ -167,7 +167,8 @@
 	})
 }
 
-// callMicros returns the time of a call over loopback, both ends, for each of its parts.
+// callMicros returns the time of an RPC over loopback in microseconds, both ends included, divided by
+// the number of parts that the call carries.
 func callMicros(parts int, serve func(*rpc.Server), call func(context.Context, *rpc.Client) error) (float64, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -189,14 +190,14 @@
 	}()
 	c := rpc.NewClient(l.Addr().String(), token)
 	defer c.Close()
-	const each = 200
-	var failed error
-	y := nanos(each*parts, func() {
-		for range each {
+	const calls = 200
+	var callErr error
+	y := nanos(calls*parts, func() {
+		for range calls {
 			if err := call(ctx, c); err != nil {
-				failed = err
+				callErr = err
 			}
 		}
 	}) / 1000
-	return y, failed
+	return y, callErr
 }
--- a/internal/capacity/measure/doc.go
+++ b/internal/capacity/measure/doc.go
@@ -1,2 +1,2 @@
-// Package measure takes the costs that the capacity page is worked out from.
+// Package measure measures the costs from which the capacity page is calculated.
 package measure
--- a/internal/capacity/measure/fanout.go
+++ b/internal/capacity/measure/fanout.go
@@ -21,25 +21,25 @@
 	"wasabideal/internal/wire/rpc"
 )
 
-// handedTogether is how many announcements are handed over in one call.
-const handedTogether = 20
+// announcementsPerCall is the number of announcements in one handover call.
+const announcementsPerCall = 20
 
 func fanoutMeasurements() []Measurement {
 	known := []float64{150, 1500, 21_000}
 	zone := []float64{8, 64, 600}
 	return []Measurement{
-		{Name: FollowMicros, Per: "upstream known", Unit: "us a follower's question without news, both ends", Sizes: known, Take: followMicros},
-		{Name: FollowBytes, Per: "voter", Unit: "bytes of a follower's question and its answer without news", Sizes: []float64{3, 5, 9}, Take: followBytes},
-		{Name: HandoverMicros, Per: "upstream known", Unit: "us an announcement of 20 in a call, both ends", Sizes: known, Take: handoverMicros},
-		{Name: FleetBytes, Per: "balancer of the zone", Unit: "bytes of the list", Sizes: zone, Take: fleetBytes},
-		{Name: PlaceMicros, Per: "balancer of the zone", Unit: "us to work out a place", Sizes: zone, Take: placeMicros},
+		{Name: FollowMicros, Per: "upstream known", Unit: "us a follower's question without news, both ends", Sizes: known, Measure: followMicros},
+		{Name: FollowBytes, Per: "voter", Unit: "bytes of a follower's question and its answer without news", Sizes: []float64{3, 5, 9}, Measure: followBytes},
+		{Name: HandoverMicros, Per: "upstream known", Unit: "us an announcement of 20 in a call, both ends", Sizes: known, Measure: handoverMicros},
+		{Name: FleetBytes, Per: "balancer of the zone", Unit: "bytes of the list", Sizes: zone, Measure: fleetBytes},
+		{Name: PlaceMicros, Per: "balancer of the zone", Unit: "us to work out a place", Sizes: zone, Measure: placeMicros},
 	}
 }
 
 func voterName(n int) string { return fmt.Sprintf("10.%d.0.12:7720", n+1) }
 
-// heard returns how far so many voters were heard.
-func heard(voters int) *origins.Origins {
+// knownOrigins returns the state of a balancer that has received notices of a number of voters.
+func knownOrigins(voters int) *origins.Origins {
 	o := origins.New()
 	for n := range voters {
 		o.Take(cookieEpoch, origins.Origin{Known: origins.Known{Voter: voterName(n), Life: 1 << 60, Version: 100_000, Doubts: 100}})
@@ -47,13 +47,13 @@
 	return o
 }
 
-// passesOn is a balancer that others follow.
-type passesOn struct {
+// parentBalancer relays notices to the balancers that follow it.
+type parentBalancer struct {
 	origins *origins.Origins
 	view    *view.View
 }
 
-func (p passesOn) News(now time.Time, q relay.Question) (relay.Answer, bool) {
+func (p parentBalancer) News(now time.Time, q relay.Question) (relay.Answer, bool) {
 	all, news := p.origins.After(now, q.Known)
 	for i, x := range all {
 		all[i].Notices = p.view.Since(now, x.Voter, x.Life, x.Version)
@@ -61,12 +61,12 @@
 	return relay.Answer{Origins: all}, news
 }
 
-func (passesOn) Leaving() bool { return false }
+func (parentBalancer) Leaving() bool { return false }
 
 const fiveVoters = 5
 
 func followMicros(size float64) (float64, error) {
-	p := passesOn{origins: heard(fiveVoters), view: view.New(view.Settings{ContactLease: time.Hour, ForgetAfter: time.Hour})}
+	p := parentBalancer{origins: knownOrigins(fiveVoters), view: view.New(view.Settings{ContactLease: time.Hour, ForgetAfter: time.Hour})}
 	for n := range fiveVoters {
 		var notices []directory.Notice
 		for u := range int(size) / fiveVoters {
@@ -83,7 +83,7 @@
 }
 
 func followBytes(size float64) (float64, error) {
-	o := heard(int(size))
+	o := knownOrigins(int(size))
 	known := o.Known(cookieEpoch)
 	all, _ := o.After(cookieEpoch, known)
 	question, err := encodedBytes(relay.Question{From: "10.1.0.10:7720", Known: known})
@@ -100,10 +100,10 @@
 		Token: token, Clock: func() time.Time { return cookieEpoch }, Answering: func() []home.Voter { return nil },
 	}, f, hclog.NewNullLogger())
 	sequence := uint64(1)
-	return callMicros(handedTogether, u.Serve, func(ctx context.Context, c *rpc.Client) error {
+	return callMicros(announcementsPerCall, u.Serve, func(ctx context.Context, c *rpc.Client) error {
 		sequence++
 		var all []handover.Announcement
-		for n := range handedTogether {
+		for n := range announcementsPerCall {
 			x := cookieUpstream(n)
 			x.Sequence, x.State = sequence, upstream.Ready
 			all = append(all, handover.Announcement{Upstream: x})
@@ -113,7 +113,7 @@
 	})
 }
 
-func zoneOf(size float64) []member.Member {
+func zoneMembers(size float64) []member.Member {
 	var out []member.Member
 	for n := range int(size) {
 		ip := fmt.Sprintf("10.1.%d.%d", n/250, n%250+1)
@@ -122,17 +122,17 @@
 	return out
 }
 
-func fleetBytes(size float64) (float64, error) { return encodedBytes(zoneOf(size)) }
+func fleetBytes(size float64) (float64, error) { return encodedBytes(zoneMembers(size)) }
 
 func placeMicros(size float64) (float64, error) {
 	var addresses []string
-	for _, m := range zoneOf(size) {
+	for _, m := range zoneMembers(size) {
 		addresses = append(addresses, m.Address)
 	}
 	shape := tree.Shape{Small: 8, Roots: 4, Fanout: 8}
-	const each = 50
-	return nanos(each, func() {
-		for n := range each {
+	const lookups = 50
+	return nanos(lookups, func() {
+		for n := range lookups {
 			shape.Of(addresses[n%len(addresses)], addresses)
 		}
 	}) / 1000, nil
--- a/internal/capacity/measure/flows.go
+++ b/internal/capacity/measure/flows.go
@@ -21,19 +21,19 @@
 )
 
 const (
-	todayMembers = 9
-	todayPool    = 15
-	sample       = 2000
+	currentMembers   = 9
+	currentUpstreams = 15
+	sampleFlows      = 2000
 )
 
 func flowMeasurements() []Measurement {
 	flows := []float64{10_000, 100_000, 1_000_000}
 	return []Measurement{
-		{Name: FlowBytes, Per: "flow held", Unit: "bytes", Sizes: flows, Take: flowBytes},
-		{Name: HitNanos, Per: "flow held", Unit: "ns a packet", Sizes: flows, Take: hitNanos},
-		{Name: RelayNanos, Per: "member", Unit: "ns a packet", Sizes: []float64{4, 16, 64, 178}, Take: relayNanos},
-		{Name: OpeningNanos, Per: "upstream in the pool", Unit: "ns an opening", Sizes: []float64{15, 150, 420, 1167}, Take: openingNanos},
-		{Name: RankMillis, Per: "member", Unit: "ms a change of members", Sizes: []float64{4, 16, 64, 178}, Take: rankMillis},
+		{Name: FlowBytes, Per: "flow held", Unit: "bytes", Sizes: flows, Measure: flowBytes},
+		{Name: HitNanos, Per: "flow held", Unit: "ns a packet", Sizes: flows, Measure: hitNanos},
+		{Name: RelayNanos, Per: "member", Unit: "ns a packet", Sizes: []float64{4, 16, 64, 178}, Measure: relayNanos},
+		{Name: OpeningNanos, Per: "upstream in the pool", Unit: "ns an opening", Sizes: []float64{15, 150, 420, 1167}, Measure: openingNanos},
+		{Name: RankMillis, Per: "member", Unit: "ms a change of members", Sizes: []float64{4, 16, 64, 178}, Measure: rankMillis},
 	}
 }
 
@@ -45,7 +45,7 @@
 	return after - before, nil
 }
 
-func memberNamed(i int) ownership.Member {
+func memberAt(i int) ownership.Member {
 	return ownership.Member{
 		Name: fmt.Sprintf("b%04d", i), Zone: fmt.Sprintf("zone-%d", i%3), Start: 1,
 		Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 1, byte(i >> 8), byte(i)}), 7400),
@@ -55,7 +55,7 @@
 func members(n int) []ownership.Member {
 	ms := make([]ownership.Member, 0, n)
 	for i := range n {
-		ms = append(ms, memberNamed(i))
+		ms = append(ms, memberAt(i))
 	}
 	return ms
 }
@@ -70,7 +70,7 @@
 }
 
 func newRouter(memberCount, poolSize, flows int) *router.Router {
-	m := memberNamed(0)
+	m := memberAt(0)
 	r := router.New(router.Settings{
 		Self: m.Name, Zone: m.Zone, Address: m.Address, MaxFlows: max(4*flows, 1000), Settle: time.Second,
 		OpeningTimeout: time.Hour, IdleTimeout: 24 * time.Hour, ClosingTimeout: time.Hour,
@@ -99,55 +99,55 @@
 	return ps, nil
 }
 
-// later is past the time in which a new ranking makes openings dearer.
-var later = epoch.Add(time.Minute)
+// settled is a time after the period in which openings cost more because of a new ranking.
+var settled = epoch.Add(time.Minute)
 
-func feedTable(r *router.Router, ps [][]byte) {
+func routePackets(r *router.Router, ps [][]byte) {
 	var out effect.List
 	for _, p := range ps {
 		out.Reset()
-		r.Packet(later, p, &out)
+		r.Packet(settled, p, &out)
 	}
 }
 
-// hitNanos is the cost of packets of held flows, picked from all over the table.
+// hitNanos measures packets of flows in the table, over all of the table.
 func hitNanos(size float64) (float64, error) {
-	r := newRouter(1, todayPool, int(size))
+	r := newRouter(1, currentUpstreams, int(size))
 	for _, syn := range []bool{true, false, false} {
 		ps, err := packets(int(size), syn)
 		if err != nil {
 			return 0, err
 		}
-		feedTable(r, ps)
+		routePackets(r, ps)
 	}
 	ps, err := packets(int(size), false)
 	if err != nil {
 		return 0, err
 	}
-	return nanos(len(ps), func() { feedTable(r, ps) }), nil
+	return nanos(len(ps), func() { routePackets(r, ps) }), nil
 }
 
-// relayNanos is the cost of packets whose flow another member holds.
+// relayNanos measures packets of flows that another member holds.
 func relayNanos(size float64) (float64, error) {
-	r := newRouter(int(size), todayPool, sample)
-	ps, err := packets(sample, false)
+	r := newRouter(int(size), currentUpstreams, sampleFlows)
+	ps, err := packets(sampleFlows, false)
 	if err != nil {
 		return 0, err
 	}
-	return nanos(len(ps), func() { feedTable(r, ps) }), nil
+	return nanos(len(ps), func() { routePackets(r, ps) }), nil
 }
 
 func openingNanos(size float64) (float64, error) {
-	ps, err := packets(sample, true)
+	ps, err := packets(sampleFlows, true)
 	if err != nil {
 		return 0, err
 	}
 	times := make([]float64, 0, rounds)
 	for range rounds {
-		r := newRouter(1, int(size), sample)
-		begin := time.Now()
-		feedTable(r, ps)
-		times = append(times, float64(time.Since(begin).Nanoseconds())/sample)
+		r := newRouter(1, int(size), sampleFlows)
+		start := time.Now()
+		routePackets(r, ps)
+		times = append(times, float64(time.Since(start).Nanoseconds())/sampleFlows)
 	}
 	return median(times), nil
 }
--- a/internal/capacity/measure/group.go
+++ b/internal/capacity/measure/group.go
@@ -18,7 +18,7 @@
 
 const (
 	tick = 100 * time.Millisecond
-	// settleTicks are run before the counting, countedTicks are counted.
+	// settleTicks run before the measurement, countedTicks are measured.
 	settleTicks  = 100
 	countedTicks = 100
 	groupToken   = "group"
@@ -28,20 +28,20 @@
 
 func groupMeasurements() []Measurement {
 	return []Measurement{
-		{Name: GossipMembers, Per: "member", Unit: "bytes a second sent", Sizes: []float64{4, 16, 64, 178}, Take: gossipBytesByMembers},
-		{Name: GossipMicros, Per: "member", Unit: "us of processor a second", Sizes: []float64{4, 16, 64, 178}, Take: gossipMicros},
-		{Name: GossipUpstreams, Per: "upstream", Unit: "bytes a second sent", Sizes: []float64{19, 100, 420}, Take: gossipBytesByUpstreams},
-		{Name: UpstreamBytes, Per: "upstream", Unit: "bytes held", Sizes: []float64{100, 420, 1167, 21_000}, Take: upstreamBytes},
+		{Name: GossipMembers, Per: "member", Unit: "bytes a second sent", Sizes: []float64{4, 16, 64, 178}, Measure: gossipBytesByMembers},
+		{Name: GossipMicros, Per: "member", Unit: "us of processor a second", Sizes: []float64{4, 16, 64, 178}, Measure: gossipMicros},
+		{Name: GossipUpstreams, Per: "upstream", Unit: "bytes a second sent", Sizes: []float64{19, 100, 420}, Measure: gossipBytesByUpstreams},
+		{Name: UpstreamBytes, Per: "upstream", Unit: "bytes held", Sizes: []float64{100, 420, 1167, 21_000}, Measure: upstreamBytes},
 	}
 }
 
-// group is a set of balancers whose datagrams arrive at once.
+// group is a set of balancers whose datagrams are delivered without delay.
 type group struct {
-	now   time.Time
-	nodes map[netip.AddrPort]*reducer.Reducer
-	order []netip.AddrPort
-	sent  int
-	spent time.Duration
+	now        time.Time
+	nodes      map[netip.AddrPort]*reducer.Reducer
+	order      []netip.AddrPort
+	sent       int
+	reduceTime time.Duration
 }
 
 func newGroup(n int, budget int) *group {
@@ -54,7 +54,7 @@
 			},
 			Swim: swim.Settings{
 				Self:  swim.Member{Name: m.Name, Zone: m.Zone, Address: m.Address, Start: 1},
-				Seeds: []netip.AddrPort{memberNamed(0).Address, memberNamed(1).Address}, Token: groupToken, Seed: uint64(i),
+				Seeds: []netip.AddrPort{memberAt(0).Address, memberAt(1).Address}, Token: groupToken, Seed: uint64(i),
 				IndirectAfter: 200 * time.Millisecond, SuspectAfter: 500 * time.Millisecond, DeadAfter: time.Second,
 				ForgetAfter: 30 * time.Minute, BytesPerSecond: budget,
 			},
@@ -66,46 +66,46 @@
 	return g
 }
 
-type letter struct {
+type datagram struct {
 	from, to netip.AddrPort
 	data     []byte
 }
 
-// post reduces an event at a node and delivers what follows from it.
-func (g *group) post(at netip.AddrPort, e event.Event) {
-	letters := g.reduce(at, e)
-	for len(letters) > 0 {
-		l := letters[0]
-		letters = append(letters[1:], g.reduce(l.to, event.Event{Kind: event.PeerDatagram, From: l.from, Data: l.data})...)
+// dispatch passes an event to a node and delivers the datagrams that result, until there are none.
+func (g *group) dispatch(at netip.AddrPort, e event.Event) {
+	datagrams := g.reduce(at, e)
+	for len(datagrams) > 0 {
+		d := datagrams[0]
+		datagrams = append(datagrams[1:], g.reduce(d.to, event.Event{Kind: event.PeerDatagram, From: d.from, Data: d.data})...)
 	}
 }
 
-func (g *group) reduce(at netip.AddrPort, e event.Event) []letter {
+func (g *group) reduce(at netip.AddrPort, e event.Event) []datagram {
 	var out effect.List
-	begin := time.Now()
+	start := time.Now()
 	_ = g.nodes[at].Reduce(g.now, e, &out)
-	g.spent += time.Since(begin)
-	var letters []letter
+	g.reduceTime += time.Since(start)
+	var datagrams []datagram
 	for _, x := range out.Effects {
 		if x.Kind == effect.ToPeer && g.nodes[x.To] != nil {
 			g.sent += len(x.Data) + 28
-			letters = append(letters, letter{from: at, to: x.To, data: append([]byte(nil), x.Data...)})
+			datagrams = append(datagrams, datagram{from: at, to: x.To, data: append([]byte(nil), x.Data...)})
 		}
 	}
-	return letters
+	return datagrams
 }
 
-func (g *group) run(ticks int, each func(tick int)) {
+func (g *group) run(ticks int, afterTick func(tick int)) {
 	for t := range ticks {
 		g.now = g.now.Add(tick)
 		for _, a := range g.order {
-			g.post(a, event.Event{Kind: event.Ticked})
+			g.dispatch(a, event.Event{Kind: event.Ticked})
 		}
-		each(t)
+		afterTick(t)
 	}
 }
 
-func oneService() configuration.Configuration {
+func oneServiceConfiguration() configuration.Configuration {
 	return configuration.Configuration{
 		Revision: 1, InForce: "ordinary", Presets: []configuration.Preset{{Name: "ordinary", SlotLimit: 2}},
 		Services: []configuration.Service{{Name: "orders", Protocol: configuration.TCP, Addresses: []netip.AddrPort{service}, TokenSha256: tokenDigest}},
@@ -114,9 +114,9 @@
 
 func gossip(n, upstreams int) (*group, error) {
 	g := newGroup(n, 10_000)
-	c := oneService()
+	c := oneServiceConfiguration()
 	for _, a := range g.order {
-		g.post(a, event.Event{Kind: event.Offered, Configuration: &c})
+		g.dispatch(a, event.Event{Kind: event.Offered, Configuration: &c})
 	}
 	ps := pool(upstreams)
 	renewTicks := int(renewEvery / tick)
@@ -126,23 +126,23 @@
 				continue
 			}
 			u := upstream.Upstream{Identity: p.Identity, Zone: "zone-1", Slots: 2, Sequence: uint64(g.now.Sub(epoch))}
-			g.post(g.order[i%len(g.order)], event.Event{Kind: event.Announced, Upstream: &u, TokenSha256: tokenDigest})
+			g.dispatch(g.order[i%len(g.order)], event.Event{Kind: event.Announced, Upstream: &u, TokenSha256: tokenDigest})
 		}
 	}
 	g.run(2*settleTicks, renew)
 	if upstreams > 0 {
-		// Every upstream has to be told to all before renewals alone are left.
+		// Every upstream must reach all members before the traffic consists of renewals only.
 		g.run(4*settleTicks, renew)
 	}
 	if got := len(g.nodes[g.order[0]].Members()); got != n {
 		return nil, &IncompleteError{What: fmt.Sprintf("%d of %d members known", got, n)}
 	}
-	g.sent, g.spent = 0, 0
+	g.sent, g.reduceTime = 0, 0
 	g.run(countedTicks, renew)
 	return g, nil
 }
 
-// IncompleteError says that a measurement did not reach the state it measures.
+// IncompleteError reports a measurement that did not reach the state that it measures.
 type IncompleteError struct{ What string }
 
 func (e *IncompleteError) Error() string { return "measurement incomplete: " + e.What }
@@ -162,21 +162,21 @@
 	if err != nil {
 		return 0, err
 	}
-	return float64(g.spent.Microseconds()) / g.seconds() / size, nil
+	return float64(g.reduceTime.Microseconds()) / g.seconds() / size, nil
 }
 
 func gossipBytesByUpstreams(size float64) (float64, error) {
-	g, err := gossip(todayMembers, int(size))
+	g, err := gossip(currentMembers, int(size))
 	if err != nil {
 		return 0, err
 	}
-	return float64(g.sent) / g.seconds() / todayMembers, nil
+	return float64(g.sent) / g.seconds() / currentMembers, nil
 }
 
 func upstreamBytes(size float64) (float64, error) {
 	before := heap()
 	r := registry.New(registry.Settings{Zone: "zone-1", Lease: lease, Tombstone: lease})
-	r.SetConfiguration(oneService())
+	r.SetConfiguration(oneServiceConfiguration())
 	for _, p := range pool(int(size)) {
 		u := upstream.Upstream{Identity: p.Identity, Zone: "zone-1", Slots: 2, Sequence: 1}
 		if err := r.Announce(epoch, u, tokenDigest); err != nil {
--- a/internal/capacity/measure/measure.go
+++ b/internal/capacity/measure/measure.go
@@ -10,7 +10,7 @@
 	"wasabideal/internal/capacity/slope"
 )
 
-// The names of the slopes.
+// The names of the slopes, under which they are stored in slopes.json.
 const (
 	FlowBytes       = "FlowBytes"
 	HitNanos        = "HitNanos"
@@ -45,28 +45,28 @@
 	PlaceMicros    = "PlaceMicros"
 )
 
-// Measurement takes one slope.
+// Measurement measures a cost at several sizes, from which a slope is fitted.
 type Measurement struct {
 	Name, Per, Unit string
 	Sizes           []float64
-	Take            func(size float64) (float64, error)
+	Measure         func(size float64) (float64, error)
 }
 
-// Suite is all measurements, taken in turn.
+// Suite runs all measurements one after another.
 type Suite struct{ out io.Writer }
 
-// NewSuite returns a suite that tells its progress on out.
+// NewSuite returns a suite that writes its progress to out.
 func NewSuite(out io.Writer) Suite { return Suite{out: out} }
 
-// Run takes the measurements that are wanted at each of their sizes.
-func (s Suite) Run(wanted func(name string) bool) ([]slope.Slope, error) {
+// Run runs the selected measurements at each of their sizes.
+func (s Suite) Run(selected func(name string) bool) ([]slope.Slope, error) {
 	var slopes []slope.Slope
 	all := slices.Concat(flowMeasurements(), groupMeasurements(), configurationMeasurements(), controlMeasurements(), cookieMeasurements(), fanoutMeasurements())
 	for _, m := range all {
-		if !wanted(m.Name) {
+		if !selected(m.Name) {
 			continue
 		}
-		x, err := s.take(m)
+		x, err := s.measure(m)
 		if err != nil {
 			return nil, err
 		}
@@ -75,10 +75,10 @@
 	return slopes, nil
 }
 
-func (s Suite) take(m Measurement) (slope.Slope, error) {
+func (s Suite) measure(m Measurement) (slope.Slope, error) {
 	var points []slope.Point
 	for _, size := range m.Sizes {
-		y, err := m.Take(size)
+		y, err := m.Measure(size)
 		if err != nil {
 			return slope.Slope{}, fmt.Errorf("measure %s at %g: %w", m.Name, size, err)
 		}
@@ -88,11 +88,11 @@
 	if err != nil {
 		return x, err
 	}
-	_, _ = fmt.Fprintf(s.out, "%-24s %12.4g + %.4g a %s (%s), R2 %.3f\n", m.Name, x.Intercept, x.Gradient, m.Per, m.Unit, x.Fit)
+	_, _ = fmt.Fprintf(s.out, "%-24s %12.4g + %.4g per %s (%s), R2 %.3f\n", m.Name, x.Intercept, x.Gradient, m.Per, m.Unit, x.Fit)
 	return x, nil
 }
 
-// heap returns the live bytes after a collection.
+// heap returns the bytes of live heap objects after a garbage collection.
 func heap() float64 {
 	runtime.GC()
 	var m runtime.MemStats
@@ -100,16 +100,16 @@
 	return float64(m.HeapAlloc)
 }
 
-// rounds is how often a time is taken; the median counts.
+// rounds is the number of repetitions of a timing; the median is used.
 const rounds = 5
 
-// nanos returns the median time of one call of f, which makes n operations.
+// nanos returns the median time per operation in nanoseconds, where f performs n operations.
 func nanos(n int, f func()) float64 {
 	times := make([]float64, 0, rounds)
 	for range rounds {
-		begin := time.Now()
+		start := time.Now()
 		f()
-		times = append(times, float64(time.Since(begin).Nanoseconds())/float64(n))
+		times = append(times, float64(time.Since(start).Nanoseconds())/float64(n))
 	}
 	slices.Sort(times)
 	return times[rounds/2]
--- a/internal/capacity/slope/doc.go
+++ b/internal/capacity/slope/doc.go
@@ -1,2 +1,2 @@
-// Package slope is a cost measured at several sizes, with the line through it.
+// Package slope fits a line to a cost that was measured at several sizes.
 package slope
--- a/internal/capacity/slope/slope.go
+++ b/internal/capacity/slope/slope.go
@@ -5,40 +5,41 @@
 	"math"
 )
 
-// Point is one measurement: Y units of cost at size X.
+// Point is one measurement: cost Y at size X.
 type Point struct{ X, Y float64 }
 
-// Slope is a cost that grows with a size.
+// Slope is a cost as a linear function of a size.
 type Slope struct {
 	Name string
-	// Per says what X counts, Unit what Y is measured in.
+	// Per names what X counts, Unit the unit of Y.
 	Per, Unit string
 	Points    []Point
 	// Intercept and Gradient are the least-squares line; Fit is its R squared.
 	Intercept, Gradient, Fit float64
-	// Bend is the size from which on the line is off by more than a fifth, 0 if none.
+	// Bend is the smallest measured size at which the line deviates from the measurement by more than a
+	// fifth; 0 if there is none.
 	Bend float64
 }
 
-// TooFewError says that a line needs more points.
+// TooFewError reports fewer points than a fit needs.
 type TooFewError struct {
 	Name   string
 	Points int
 }
 
 func (e *TooFewError) Error() string {
-	return fmt.Sprintf("%s has %d points; a slope needs at least three sizes", e.Name, e.Points)
+	return fmt.Sprintf("%s has %d points; a slope needs at least three", e.Name, e.Points)
 }
 
 const (
-	leastPoints = 3
-	bendShare   = 0.2
+	minPoints     = 3
+	bendTolerance = 0.2
 )
 
-// New fits a line through points ordered by size.
+// New fits a line to points in ascending order of size.
 func New(name, per, unit string, points []Point) (Slope, error) {
 	s := Slope{Name: name, Per: per, Unit: unit, Points: points}
-	if len(points) < leastPoints {
+	if len(points) < minPoints {
 		return s, &TooFewError{Name: name, Points: len(points)}
 	}
 	return s.fitted(), nil
@@ -46,20 +47,20 @@
 
 func (s Slope) fitted() Slope {
 	n := float64(len(s.Points))
-	var sx, sy, sxx, sxy float64
+	var sumX, sumY, sumXX, sumXY float64
 	for _, p := range s.Points {
-		sx += p.X
-		sy += p.Y
-		sxx += p.X * p.X
-		sxy += p.X * p.Y
+		sumX += p.X
+		sumY += p.Y
+		sumXX += p.X * p.X
+		sumXY += p.X * p.Y
 	}
-	if d := n*sxx - sx*sx; d != 0 {
-		s.Gradient = (n*sxy - sx*sy) / d
+	if d := n*sumXX - sumX*sumX; d != 0 {
+		s.Gradient = (n*sumXY - sumX*sumY) / d
 	}
-	s.Intercept = (sy - s.Gradient*sx) / n
-	s.Fit = s.rSquared(sy / n)
+	s.Intercept = (sumY - s.Gradient*sumX) / n
+	s.Fit = s.rSquared(sumY / n)
 	for _, p := range s.Points {
-		if math.Abs(s.At(p.X)-p.Y) > bendShare*math.Abs(p.Y) {
+		if math.Abs(s.At(p.X)-p.Y) > bendTolerance*math.Abs(p.Y) {
 			s.Bend = p.X
 			break
 		}
@@ -82,14 +83,14 @@
 // At returns the line's cost at a size.
 func (s Slope) At(x float64) float64 { return s.Intercept + s.Gradient*x }
 
-// Above returns the dearer of the line and the largest measurement not beyond
-// x, so that a line that bends upwards is not read too low.
+// Above returns the larger of the line's cost at x and the highest cost measured at a size up to x,
+// so that a cost above the line is not underestimated.
 func (s Slope) Above(x float64) float64 {
-	most := s.At(x)
+	cost := s.At(x)
 	for _, p := range s.Points {
 		if p.X <= x {
-			most = max(most, p.Y)
+			cost = max(cost, p.Y)
 		}
 	}
-	return most
+	return cost
 }
