--- a/internal/capacity/page/cookie.go
+++ b/internal/capacity/page/cookie.go
@@ -6,66 +6,65 @@
 	"wasabideal/internal/capacity/measure"
 )
 
-// The constants of the way by cookies, as in the product.
+// The constants of cookie routing, with the values that the product uses.
 const (
-	// questionSeconds is how long a question waits for news at a voter, followSeconds at a
-	// balancer.
+	// questionSeconds is the duration of a long poll at a voter, followSeconds at a balancer.
 	questionSeconds = 0.8
 	followSeconds   = 0.6
-	// callBytes is what a call takes beside its parts: the connection's own packets.
+	// callBytes is the overhead of an RPC beyond its payload, such as packets of the connection.
 	callBytes = 250.0
-	// questionBytes is a question to a voter and its empty answer, with those packets.
+	// questionBytes is a poll of a voter with its empty response, overhead included.
 	questionBytes = 420.0
-	// flowSeconds is how long a silent flow is remembered.
+	// flowSeconds is how long an idle flow is kept.
 	flowSeconds = 15.0
-	// packetsPerOpening is the packets of a caller's flow after its opening.
+	// packetsPerOpening is the number of packets that a caller sends on a flow after the opening.
 	packetsPerOpening = 12.0
-	// announceSeconds is the time between two announcements of an upstream, and
-	// announcementBytes one of those that are handed on.
+	// announceSeconds is the interval of an upstream's announcements, and announcementBytes the
+	// size of an announcement that a balancer forwards.
 	announceSeconds   = 1.2
 	announcementBytes = 70.0
-	// rootsEach is the balancers of a zone that follow the voters, fanout those that follow
-	// each other one, and followersMost the most that do.
-	rootsEach     = 4.0
-	fanout        = 8.0
-	followersMost = 10.0
-	// smallZone is the size up to which all balancers of a zone follow the voters.
+	// rootsPerZone is the number of balancers of a zone that follow the voters, fanout the mean
+	// and maxFollowers the maximum number of followers of a balancer.
+	rootsPerZone = 4.0
+	fanout       = 8.0
+	maxFollowers = 10.0
+	// smallZone is the maximum size of a zone in which all balancers follow the voters.
 	smallZone = 8.0
-	// attendSeconds is the time between two reports of followers, entryBytes a follower in
-	// it beside what the list has of it.
+	// attendSeconds is the interval of the reports of followers, entryBytes the size of a follower
+	// in a report in addition to its entry in the list.
 	attendSeconds = 5.0
 	entryBytes    = 6.0
-	// voterDescriptors is what a voter may open.
+	// voterDescriptors is the limit of open file descriptors of a voter.
 	voterDescriptors = 4096.0
-	// seeds is how many voters the settings name: one of them tells a balancer that starts all
-	// it needs; startConnections are the balancer's question there and its reports.
+	// seeds is the number of voters that the settings name; a starting balancer loads its whole
+	// state from one of them. startConnections are its poll there and its reports.
 	seeds            = 3.0
 	startConnections = 2.0
-	// voterConnections are a follower's: its question, its reports and its announcements.
+	// voterConnections are a follower's connections: poll, reports and announcements.
 	voterConnections = 3.0
-	// handoversASecond are the calls in which a balancer at the top hands on announcements.
-	handoversASecond = 1 / (announceSeconds / 4)
+	// handoversPerSecond are the RPCs in which a root balancer forwards announcements.
+	handoversPerSecond = 1 / (announceSeconds / 4)
 )
 
-// zoneSize is the balancers of a zone.
+// zoneSize is the number of balancers in a zone.
 func (s size) zoneSize() float64 { return s.daemons / s.zones }
 
-// roots is the balancers that follow the voters.
+// roots is the number of balancers that follow the voters.
 func (s size) roots() float64 {
 	if s.zoneSize() <= smallZone {
 		return s.daemons
 	}
-	return rootsEach * s.zones
+	return rootsPerZone * s.zones
 }
 
-// followers is the balancers that follow one at the top at the most.
+// followers is the maximum number of balancers that follow a root.
 func (s size) followers() float64 {
-	return math.Min(followersMost, math.Max(s.zoneSize()-rootsEach, 0)*rootsEach/math.Max(s.roots(), 1))
+	return math.Min(maxFollowers, math.Max(s.zoneSize()-rootsPerZone, 0)*rootsPerZone/math.Max(s.roots(), 1))
 }
 
-// levels is the depth of a zone's tree.
+// levels is the depth of a zone's distribution tree.
 func (s size) levels() float64 {
-	levels, size, all := 1.0, rootsEach, rootsEach
+	levels, size, all := 1.0, rootsPerZone, rootsPerZone
 	for s.zoneSize() > math.Max(all, smallZone) {
 		size *= fanout
 		all += size
@@ -74,56 +73,56 @@
 	return levels
 }
 
-// cookieLines are a balancer at the top of its zone and a voter where flows are placed by
-// cookies; all other balancers take less.
+// cookieLines returns the lines of a root balancer and a voter under cookie routing; all other
+// balancers cost less.
 func (p Page) cookieLines(s size) []line {
-	const role = "Balancer by cookies at the top of its zone"
+	const role = "Root balancer of a zone, cookie routing"
 	openings := s.openings / s.daemons
 	flows := math.Min(openings*flowSeconds, 100_000)
-	news := s.targets * s.upstreamChanges / secondsPerDay
+	noticeRate := s.targets * s.upstreamChanges / secondsPerDay
 	perUpstream := p.slopes[measure.NewsBytes].Gradient
 	delta := p.at(measure.DeltaBytes, s.addresses)
-	below := s.followers()
-	under := math.Max(s.zoneSize()/rootsEach-1, 0) * math.Min(below, 1)
+	followerCount := s.followers()
+	descendants := math.Max(s.zoneSize()/rootsPerZone-1, 0) * math.Min(followerCount, 1)
 	follow := (p.at(measure.FollowBytes, s.voters) + callBytes) / followSeconds
-	each := news*perUpstream + delta*s.changeRate()
-	handed := s.targets / s.zones / rootsEach / announceSeconds * math.Min(below, 1)
-	bytes := s.voters*questionBytes/questionSeconds + (1+below)*each + below*follow +
-		(s.voters+1)*under*(p.slopes[measure.FleetBytes].Gradient+entryBytes)/attendSeconds + 2*handed*announcementBytes
-	core := s.voters/questionSeconds*p.at(measure.QuestionMicros, s.targets)/2e6 + below/followSeconds*p.at(measure.FollowMicros, s.targets)/2e6 +
-		news*(p.at(measure.ViewMicros, s.targets/2)+below*p.at(measure.FollowMicros, s.targets))/1e6 +
-		s.changeRate()*p.at(measure.DeltaMicros, s.addresses)/1e6 + handed*p.at(measure.HandoverMicros, s.targets)/1e6
+	changeBytes := noticeRate*perUpstream + delta*s.changeRate()
+	forwarded := s.targets / s.zones / rootsPerZone / announceSeconds * math.Min(followerCount, 1)
+	bytes := s.voters*questionBytes/questionSeconds + (1+followerCount)*changeBytes + followerCount*follow +
+		(s.voters+1)*descendants*(p.slopes[measure.FleetBytes].Gradient+entryBytes)/attendSeconds + 2*forwarded*announcementBytes
+	core := s.voters/questionSeconds*p.at(measure.QuestionMicros, s.targets)/2e6 + followerCount/followSeconds*p.at(measure.FollowMicros, s.targets)/2e6 +
+		noticeRate*(p.at(measure.ViewMicros, s.targets/2)+followerCount*p.at(measure.FollowMicros, s.targets))/1e6 +
+		s.changeRate()*p.at(measure.DeltaMicros, s.addresses)/1e6 + forwarded*p.at(measure.HandoverMicros, s.targets)/1e6
 	return append([]line{
-		{role, "flows remembered", "openings a second x 15 s, 100,000 at most", "only for load and silence; none is needed to forward", flows, 0},
-		{role, "core share of packets", "openings a second x (CookieOpeningNanos + 12 x CookieNanos)", "a cookie names the upstream, an opening compares eight (internal/cookie/router)", openings * (p.at(measure.CookieOpeningNanos, s.targets/2) + packetsPerOpening*p.at(measure.CookieNanos, flows)) / 1e9, 0},
-		{role, "followers", "10 at the most, 8 in the mean", "a tree from the hashes of addresses (internal/fanout/tree)", below, 0},
-		{role, "levels of its zone", "4, 32, 256 … balancers a level", "the same", s.levels(), 0},
-		{role, "control, bytes a second", "voters x 420 bytes / 0.8 s + (1 + followers) x (upstreams' changes x NewsBytes + DeltaBytes x changes) + followers x (FollowBytes + 250) / 0.6 s + attendance / 5 s + 2 x announcements of its part of the zone", "long questions; lists by version; announcements handed on together", bytes, bytesLimit},
-		{role, "control, core share", "voters / 0.8 s x QuestionMicros / 2 + followers / 0.6 s x FollowMicros / 2 + upstreams' changes x (ViewMicros + followers x FollowMicros) + changes x DeltaMicros + announcements x HandoverMicros", "one joined view, passed on by versions", core, coreShare},
-		{role, "control, memory bytes", "ViewBytes(upstreams) + CookieFlowBytes + HeldConfigurationBytes x 2 + FleetBytes(zone) x 4", "each upstream is told by one voter; flows remembered", p.at(measure.ViewBytes, s.targets) + p.at(measure.CookieFlowBytes, flows) + 2*p.at(measure.HeldBytes, s.addresses) + 4*p.at(measure.FleetBytes, s.zoneSize()), memoryLimit},
-		{role, "seconds until a departure is everywhere", "0.25 s a level, and 0.3 s at a voter", "news are gathered at each level (internal/fanout/relay)", 0.3 + 0.25*(s.levels()-1), spreadLimit},
+		{role, "flows kept", "openings per second x 15 s, 100,000 at most", "only for load and detection of unresponsive upstreams; none is needed to forward", flows, 0},
+		{role, "core share of packets", "openings per second x (CookieOpeningNanos + 12 x CookieNanos)", "a cookie identifies the upstream, an opening compares eight upstreams (internal/cookie/router)", openings * (p.at(measure.CookieOpeningNanos, s.targets/2) + packetsPerOpening*p.at(measure.CookieNanos, flows)) / 1e9, 0},
+		{role, "followers", "at most 10, mean 8", "a tree built from address hashes (internal/fanout/tree)", followerCount, 0},
+		{role, "tree levels of its zone", "4, 32, 256 … balancers per level", "as above", s.levels(), 0},
+		{role, "control, bytes per second", "voters x 420 bytes / 0.8 s + (1 + followers) x (upstream changes x NewsBytes + DeltaBytes x changes) + followers x (FollowBytes + 250) / 0.6 s + follower reports / 5 s + 2 x announcements of its part of the zone", "long polls; versioned lists; announcements forwarded in batches", bytes, bytesLimit},
+		{role, "control, core share", "voters / 0.8 s x QuestionMicros / 2 + followers / 0.6 s x FollowMicros / 2 + upstream changes x (ViewMicros + followers x FollowMicros) + changes x DeltaMicros + announcements x HandoverMicros", "one merged view, distributed by version", core, coreShare},
+		{role, "control, memory bytes", "ViewBytes(upstreams) + CookieFlowBytes + HeldConfigurationBytes x 2 + FleetBytes(zone) x 4", "each upstream is reported by one voter; flows kept", p.at(measure.ViewBytes, s.targets) + p.at(measure.CookieFlowBytes, flows) + 2*p.at(measure.HeldBytes, s.addresses) + 4*p.at(measure.FleetBytes, s.zoneSize()), memoryLimit},
+		{role, "seconds until a departure has reached all balancers", "0.25 s per level, and 0.3 s at a voter", "each level batches notices (internal/fanout/relay)", 0.3 + 0.25*(s.levels()-1), spreadLimit},
 	}, p.cookieVoterLines(s)...)
 }
 
-// cookieVoterLines are a voter whose followers are the balancers at the top of each zone.
+// cookieVoterLines returns the lines of a voter that the root balancers of each zone follow.
 func (p Page) cookieVoterLines(s size) []line {
-	const role = "Voter by cookies"
+	const role = "Voter, cookie routing"
 	followers := s.roots()
-	news := s.targets * s.upstreamChanges / secondsPerDay
-	heard := s.targets / s.voters / announceSeconds
+	noticeRate := s.targets * s.upstreamChanges / secondsPerDay
+	announcementRate := s.targets / s.voters / announceSeconds
 	calls := followers / questionSeconds
-	handovers := followers / s.voters * handoversASecond
-	attending := s.daemons * (p.slopes[measure.FleetBytes].Gradient + entryBytes) / attendSeconds
-	core := calls*p.at(measure.QuestionMicros, s.targets)/2e6 + heard*p.at(measure.HandoverMicros, s.targets)/2e6 +
-		news*followers*p.at(measure.QuestionMicros, s.targets)/2e6
-	bytes := calls*questionBytes + heard*announcementBytes + handovers*callBytes + attending +
-		news*followers*p.slopes[measure.NewsBytes].Gradient
+	handovers := followers / s.voters * handoversPerSecond
+	reports := s.daemons * (p.slopes[measure.FleetBytes].Gradient + entryBytes) / attendSeconds
+	core := calls*p.at(measure.QuestionMicros, s.targets)/2e6 + announcementRate*p.at(measure.HandoverMicros, s.targets)/2e6 +
+		noticeRate*followers*p.at(measure.QuestionMicros, s.targets)/2e6
+	bytes := calls*questionBytes + announcementRate*announcementBytes + handovers*callBytes + reports +
+		noticeRate*followers*p.slopes[measure.NewsBytes].Gradient
 	return []line{
-		{role, "followers", "4 a zone, 8 in a small one", "the tree; regions that lose each other keep the voters of their side", followers, 0},
-		{role, "connections", "followers x 3", "questions, reports, announcements", followers * voterConnections, voterDescriptors / 2},
-		{role, "connections while all start", "balancers / 3 x 2 + followers x 3 + upstreams / voters", "one voter of the settings tells a starting balancer all; upstreams call voters until they are referred", s.daemons/seeds*startConnections + followers*voterConnections + s.targets/s.voters, voterDescriptors},
-		{role, "core share", "followers / 0.8 s x QuestionMicros / 2 + targets / voters / 1.2 s x HandoverMicros / 2 + upstreams' changes x followers x QuestionMicros / 2", "announcements gathered twice on their way (internal/upstream/handover)", core, 0.24},
-		{role, "bytes a second", "questions x 420 + announcements x 70 + handovers x 250 + attendance of all balancers / 5 s + news", "the same", bytes, 0},
-		{role, "announcements a second without balancers between", "targets / voters / 1.2 s", "what each would be a call of its own", heard, 0},
+		{role, "followers", "4 per zone, 8 in a small one", "the tree; after a partition regions keep the voters on their side", followers, 0},
+		{role, "connections", "followers x 3", "polls, reports, announcements", followers * voterConnections, voterDescriptors / 2},
+		{role, "connections while all balancers and upstreams start", "balancers / 3 x 2 + followers x 3 + upstreams / voters", "a starting balancer loads all state from one voter of the settings; upstreams call voters until they are referred", s.daemons/seeds*startConnections + followers*voterConnections + s.targets/s.voters, voterDescriptors},
+		{role, "core share", "followers / 0.8 s x QuestionMicros / 2 + targets / voters / 1.2 s x HandoverMicros / 2 + upstream changes x followers x QuestionMicros / 2", "announcements are batched twice on their way (internal/upstream/handover)", core, 0.24},
+		{role, "bytes per second", "polls x 420 + announcements x 70 + handovers x 250 + reports of all balancers / 5 s + notices", "as above", bytes, 0},
+		{role, "announcements per second without balancers in between", "targets / voters / 1.2 s", "if each announcement were a separate RPC", announcementRate, 0},
 	}
 }
--- a/internal/capacity/page/doc.go
+++ b/internal/capacity/page/doc.go
@@ -1,2 +1,2 @@
-// Package page works the capacity page out from measured slopes.
+// Package page calculates and renders the capacity page from measured slopes.
 package page
--- a/internal/capacity/page/lines.go
+++ b/internal/capacity/page/lines.go
@@ -8,20 +8,20 @@
 	"wasabideal/internal/capacity/measure"
 )
 
-// size is a deployment.
+// size holds the figures of a deployment.
 type size struct {
 	daemons, targets, addresses, flows, openings float64
 	zones, regions                               float64
-	// voters are the VMs with disks, all of which vote.
+	// voters is the number of VMs with disks, all of which vote.
 	voters                                      float64
 	changesPerDay, restartsPerDay, deathsPerDay float64
-	// group is the members that share flows and gossip.
+	// group is the number of members that share flows and gossip.
 	group float64
-	// relays are the daemons of each zone that follow the voters directly.
+	// relays is the number of daemons in each zone that follow the voters directly.
 	relays float64
-	// lease is the seconds an announcement holds.
+	// lease is the validity of an announcement in seconds.
 	lease float64
-	// upstreamChanges is how often an upstream comes or goes a day.
+	// upstreamChanges is the number of starts and stops of an upstream per day.
 	upstreamChanges float64
 }
 
@@ -39,8 +39,8 @@
 	}
 }
 
-// fleetSize is the largest fleet that has been played, at the pace of one of its days: four
-// configurations, 50 upstreams replaced and 40 taken away in 24 s.
+// fleetSize is the largest fleet that was tested, at the rates of one of its test days: four
+// configurations, 50 upstreams replaced and 40 removed in 24 s.
 func fleetSize() size {
 	return size{
 		daemons: 985, targets: 10_000, addresses: 255, flows: 4000, openings: 1526, zones: 5, regions: 1, voters: 25,
@@ -50,16 +50,16 @@
 
 const (
 	secondsPerDay = 86_400.0
-	// copies of a flow.
+	// copies is the number of replicas of a flow, the owner's included.
 	copies = 3.0
-	// recordBytes is one flow in the trickle.
-	recordBytes = 32.0
-	coreShare   = 0.01
-	memoryLimit = 32e6
-	bytesLimit  = 14e3
-	spreadLimit = 12.0
-	asideLimit  = 20.0
-	// hopSeconds is a question that waits at a source, its answer and a sync.
+	// recordBytes is the size of one flow in background replication.
+	recordBytes    = 32.0
+	coreShare      = 0.01
+	memoryLimit    = 32e6
+	bytesLimit     = 14e3
+	spreadLimit    = 12.0
+	dedicatedLimit = 20.0
+	// hopSeconds is the time of a pending long poll, its response and a sync.
 	hopSeconds = 0.05
 )
 
@@ -77,25 +77,25 @@
 	value, limit                       float64
 }
 
-// groups is the number of groups that share the addresses.
+// groups is the number of groups among which the addresses are divided.
 func (s size) groups() float64 { return math.Max(1, s.daemons/s.group) }
 
 func (s size) targetsPerGroup() float64 { return s.targets / s.groups() }
 
 func (s size) flowsPerDaemon() float64 { return s.flows / s.daemons }
 
-// changeRate is the busiest hour's changes a second: a fifth of the day's.
+// changeRate is the changes per second in the busiest hour, which has a fifth of the day's changes.
 func (s size) changeRate() float64 { return s.changesPerDay / 5 / 3600 }
 
-// memberChanges are the joins and ends a second in one group, three to a restart.
+// memberChanges is the joins and departures per second in one group: three for each restart.
 func (s size) memberChanges() float64 {
 	return (3*s.restartsPerDay + s.deathsPerDay) / secondsPerDay / s.groups()
 }
 
 func (p Page) gossipBytes(s size) float64 {
 	members := p.at(measure.GossipMembers, s.group)
-	// The slope by upstreams was taken with a lease of 30 s; its share without
-	// upstreams is in the slope by members already.
+	// The slope by upstreams was measured with a lease of 30 s; its intercept is already part
+	// of the slope by members.
 	u := p.slopes[measure.GossipUpstreams]
 	return members + u.Gradient*s.targetsPerGroup()*30/s.lease
 }
@@ -119,30 +119,30 @@
 	flows := s.flowsPerDaemon() * copies
 	const role = "Balancer (a daemon)"
 	return []line{
-		{role, "flows held", "flows / daemons x copies", "owner and copies by rendezvous (internal/flow/ownership)", flows, 0},
+		{role, "flows held", "flows / daemons x copies", "owner and copies by rendezvous hashing (internal/flow/ownership)", flows, 0},
 		{role, "flow table, bytes", "FlowBytes(flows held)", "pointer-free table of 32-byte entries", p.at(measure.FlowBytes, flows), 0},
-		{role, "openings a second", "openings / daemons", "two choices by hash and load", s.openings / s.daemons, 0},
-		{role, "core share of openings", "openings a second x OpeningNanos(targets / groups) x copies", "copies ride on the opening packet", s.openings / s.daemons * p.at(measure.OpeningNanos, s.targetsPerGroup()) * copies / 1e9, 0},
-		{role, "control, bytes a second", "GossipBytesByMembers(group) + upstreams by lease + DeltaBytes x busiest hour's changes", "probes of constant cost in groups of bounded size; deltas", gossip + delta*s.changeRate(), bytesLimit},
-		{role, "control, core share", "GossipMicros(group) + RankMillis x member changes + DeltaMicros x changes", "ranking only when members change", probing + rank + apply, coreShare},
+		{role, "openings per second", "openings / daemons", "power of two choices by hash and load", s.openings / s.daemons, 0},
+		{role, "core share of openings", "openings per second x OpeningNanos(targets / groups) x copies", "copies are sent with the opening packet", s.openings / s.daemons * p.at(measure.OpeningNanos, s.targetsPerGroup()) * copies / 1e9, 0},
+		{role, "control, bytes per second", "GossipBytesByMembers(group) + upstreams by lease + DeltaBytes x busiest hour's changes", "probes of constant cost in groups of bounded size; deltas", gossip + delta*s.changeRate(), bytesLimit},
+		{role, "control, core share", "GossipMicros(group) + RankMillis x member changes + DeltaMicros x changes", "owners are ranked only when members change", probing + rank + apply, coreShare},
 		{role, "control, memory bytes", "HeldConfigurationBytes x 2 + UpstreamBytes(targets / groups)", "one configuration, its deltas, the group's upstreams", 2*held + deltasKept*delta, memoryLimit},
 	}
 }
 
-// deltasKept mirrors what a source keeps.
+// deltasKept is the number of deltas that a source keeps.
 const deltasKept = 1024.0
 
 func (p Page) relayLines(s size) []line {
-	const role = "Relay (a daemon that others follow)"
+	const role = "Relay (a daemon that other daemons follow)"
 	followers := math.Max(s.daemons/s.zones/s.relays, 1)
 	delta := p.at(measure.DeltaBytes, s.addresses)
-	poll := 200.0 / 5 // a question and its empty answer every 5 s
+	poll := 200.0 / 5 // a poll and its empty response every 5 s
 	spread := 2*p.at(measure.FanoutMicros, followers)/1e6 + 3*hopSeconds
 	return []line{
 		{role, "followers", "daemons / zones / relays", "long polls of one source (internal/configuration/source)", followers, 0},
-		{role, "control, bytes a second", "followers x (delta x busiest hour's changes + poll)", "deltas; whole only after 1,024 missed changes", followers * (delta*s.changeRate() + poll), bytesLimit},
-		{role, "seconds until a change is everywhere", "2 x FanoutMicros(followers) + 3 hops", "voters, relays, daemons: two levels", spread, spreadLimit},
-		{role, "bytes for a daemon that missed all", "WholeConfigurationBytes(addresses)", "sent once; 1,024 deltas cover an hour and a half of the plan", p.at(measure.WholeBytes, s.addresses), 0},
+		{role, "control, bytes per second", "followers x (delta x busiest hour's changes + poll)", "deltas; the whole configuration only after 1,024 missed changes", followers * (delta*s.changeRate() + poll), bytesLimit},
+		{role, "seconds until a change has reached all daemons", "2 x FanoutMicros(followers) + 3 hops", "voters, relays, daemons: two levels", spread, spreadLimit},
+		{role, "bytes for a daemon without a configuration", "WholeConfigurationBytes(addresses)", "sent once; 1,024 deltas cover an hour and a half at the plan's rate", p.at(measure.WholeBytes, s.addresses), 0},
 	}
 }
 
@@ -152,11 +152,11 @@
 	change := p.at(measure.LogBytes, 5000) / 5000
 	delta := p.at(measure.DeltaBytes, s.addresses)
 	return []line{
-		{role, "VMs set aside", "each VM with a disk votes", "today 3, which may share entry VMs", math.Min(s.voters, s.daemons), asideLimit},
-		{role, "core share of changes", "changes a second x (AcceptMicros + (voters - 1) x DeltaMicros)", "one sync a change", s.changeRate() * (p.at(measure.AcceptMicros, 1) + (s.voters-1)*p.at(measure.DeltaMicros, s.addresses)) / 1e6, 0},
-		{role, "bytes a second to relays", "zones x relays x delta x changes a second", "relays, not daemons, follow the voters", s.zones * s.relays * delta * s.changeRate(), 0},
+		{role, "dedicated VMs", "each VM with a disk votes", "today 3, which may run on VMs of balancers", math.Min(s.voters, s.daemons), dedicatedLimit},
+		{role, "core share of changes", "changes per second x (AcceptMicros + (voters - 1) x DeltaMicros)", "one sync per change", s.changeRate() * (p.at(measure.AcceptMicros, 1) + (s.voters-1)*p.at(measure.DeltaMicros, s.addresses)) / 1e6, 0},
+		{role, "bytes per second to relays", "zones x relays x delta x changes per second", "relays, not daemons, follow the voters", s.zones * s.relays * delta * s.changeRate(), 0},
 		{role, "change keys held, bytes", "6 days of keys x 200", "window of 100,000 keys", keys * 200, 0},
-		{role, "log between snapshots, bytes", "1,024 x LogBytes a change", "snapshot every 1,024 entries", 1024 * change, 0},
+		{role, "log between snapshots, bytes", "1,024 x LogBytes per change", "snapshot every 1,024 entries", 1024 * change, 0},
 		{role, "recovery, ms", "RecoveryMillis(1,024)", "snapshot and the log after it", p.at(measure.RecoveryMillis, 1024), 0},
 	}
 }
@@ -164,38 +164,39 @@
 func (p Page) otherLines(s size) []line {
 	renewals := s.targets * 3 / s.lease
 	return []line{
-		{"Upstream's announcement side", "announcements a second, all", "targets x 3 / lease", "HTTP to any balancer of the group", renewals, 0},
-		{"Upstream's announcement side", "announcements a second a daemon", "targets x 3 / lease / daemons", "soft state, spread by gossip", renewals / s.daemons, 0},
-		{"Operator", "changes a day", "given", "expected revision and change key", s.changesPerDay, 0},
-		{"Operator", "bytes a change", "DeltaBytes(addresses)", "whole services in a delta", p.at(measure.DeltaBytes, s.addresses), 0},
+		{"Upstream announcements", "announcements per second, total", "targets x 3 / lease", "HTTP to any balancer of the group", renewals, 0},
+		{"Upstream announcements", "announcements per second and daemon", "targets x 3 / lease / daemons", "soft state, distributed by gossip", renewals / s.daemons, 0},
+		{"Operator", "changes per day", "given", "expected revision and change key", s.changesPerDay, 0},
+		{"Operator", "bytes per change", "DeltaBytes(addresses)", "a delta holds whole services", p.at(measure.DeltaBytes, s.addresses), 0},
 	}
 }
 
-// repairSeconds is the trickle's time for the flows of lost members of a group.
+// repairSeconds returns the flows that a remaining member copies after members of a group were lost,
+// and the time of their background replication.
 func repairSeconds(s size, lost float64) (flows, seconds float64) {
-	// Each remaining member is first to repair an equal part of what the lost held.
+	// Each remaining member repairs an equal part of the flows of the lost members.
 	flows = s.flowsPerDaemon() * copies * lost / math.Max(s.group-lost, 1)
 	return flows, flows * recordBytes / (bytesLimit * 0.25)
 }
 
-func (p Page) renderBadDays(b *bytes.Buffer, s size) {
-	b.WriteString("\n## Bad days at the plan's size\n\n")
+func (p Page) renderFailures(b *bytes.Buffer, s size) {
+	b.WriteString("\n## Failures at the size of the plan\n\n")
 	one, oneSeconds := repairSeconds(s, 1)
-	_, _ = fmt.Fprintf(b, "- **One daemon dies** (26 a day): each of the %s others of its group copies %s flows anew. Busy flows are copied by their next two packets; silent ones trickle at a quarter of 14 KB/s in %s s. Two other copies remain until then.\n",
+	_, _ = fmt.Fprintf(b, "- **One daemon fails** (26 per day): each of the %s others of its group copies %s flows again. Active flows are copied with their next two packets; idle ones are copied in the background at a quarter of 14 KB/s in %s s. Two other copies remain until then.\n",
 		number(s.group-1), number(one), number(oneSeconds))
 	rack, rackSeconds := repairSeconds(s, 16)
-	_, _ = fmt.Fprintf(b, "- **A rack goes** (weekly; worked out for 16 daemons of one zone in a group of %s): %s flows to copy on each remaining daemon, %s s for the silent ones. Copies that all share a zone have their last in another one, so a rack never holds all three.\n",
+	_, _ = fmt.Fprintf(b, "- **A rack fails** (weekly; calculated for 16 daemons of one zone in a group of %s): %s flows to copy on each remaining daemon, %s s for the idle ones. The last copy is placed in another zone if all others share one, so a rack never holds all three.\n",
 		number(s.group), number(rack), number(rackSeconds))
 	zone, zoneSeconds := repairSeconds(s, s.group/3)
-	_, _ = fmt.Fprintf(b, "- **A zone goes** (once or twice a year): a third of each group of its region; %s flows on each remaining daemon, %s s for silent ones, and no flow without a copy elsewhere.\n",
+	_, _ = fmt.Fprintf(b, "- **A zone fails** (once or twice a year): a third of each group of its region is lost; %s flows to copy on each remaining daemon, %s s for the idle ones, and no flow without a copy elsewhere.\n",
 		number(zone), number(zoneSeconds))
 	missed := s.changeRate() * 600
-	_, _ = fmt.Fprintf(b, "- **A region is cut off for ten minutes**: it missed %s changes in the busiest hour, %s bytes of deltas a daemon, which fits into %s s of 14 KB/s; a region with no voter majority takes no change meanwhile and says so.\n",
+	_, _ = fmt.Fprintf(b, "- **A region is partitioned for ten minutes**: it missed %s changes in the busiest hour, %s bytes of deltas for each daemon, which take %s s at 14 KB/s; a region without a majority of voters rejects changes meanwhile with an error.\n",
 		number(missed), number(missed*p.at(measure.DeltaBytes, s.addresses)), number(missed*p.at(measure.DeltaBytes, s.addresses)/bytesLimit))
 	whole := p.at(measure.WholeBytes, s.addresses)
-	_, _ = fmt.Fprintf(b, "- **4,300 restarts a day and a rolling upgrade of all**: a restarted daemon without a disk takes the whole configuration, %s bytes: %s s of 14 KB/s, or once in full speed. A relay with all its %s followers restarting at once sends %s bytes.\n",
+	_, _ = fmt.Fprintf(b, "- **4,300 restarts per day and a rolling upgrade of all daemons**: a restarted daemon without a disk loads the whole configuration, %s bytes: %s s at 14 KB/s, or less if sent once at full speed. A relay whose %s followers all restart at once sends %s bytes.\n",
 		number(whole), number(whole/bytesLimit), number(s.daemons/s.zones/s.relays), number(whole*s.daemons/s.zones/s.relays))
-	morning := s.changesPerDay / (4 * 3600)
-	_, _ = fmt.Fprintf(b, "- **16,000 changes in one morning** (4 h): %s a second, %s bytes a second to each daemon; the limit of 14 KB/s is reached at %s changes a second.\n",
-		number(morning), number(morning*p.at(measure.DeltaBytes, s.addresses)), number((bytesLimit-p.gossipBytes(s))/p.at(measure.DeltaBytes, s.addresses)))
+	morningRate := s.changesPerDay / (4 * 3600)
+	_, _ = fmt.Fprintf(b, "- **16,000 changes in one morning** (4 h): %s per second, %s bytes per second to each daemon; the limit of 14 KB/s is reached at %s changes per second.\n",
+		number(morningRate), number(morningRate*p.at(measure.DeltaBytes, s.addresses)), number((bytesLimit-p.gossipBytes(s))/p.at(measure.DeltaBytes, s.addresses)))
 }
--- a/internal/capacity/page/page.go
+++ b/internal/capacity/page/page.go
@@ -8,24 +8,24 @@
 	"wasabideal/internal/capacity/slope"
 )
 
-// Measured is the file of slopes.
+// Measured is the content of the slopes file.
 type Measured struct {
 	Machine, Date string
 	Slopes        []slope.Slope
 }
 
-// MissingError says that a slope is not in the file.
+// MissingError reports a slope that the file does not contain.
 type MissingError struct{ Name string }
 
-func (e *MissingError) Error() string { return "no slope " + e.Name + "; run: task capacity" }
+func (e *MissingError) Error() string { return "slope " + e.Name + " is missing; run: task capacity" }
 
-// Page is the page before it is printed.
+// Page is the capacity page before rendering.
 type Page struct {
 	measured Measured
 	slopes   map[string]slope.Slope
 }
 
-// Read reads a file of slopes.
+// Read decodes a slopes file and checks that it contains every slope that the page uses.
 func Read(b []byte) (Page, error) {
 	var m Measured
 	if err := json.Unmarshal(b, &m); err != nil {
@@ -45,14 +45,14 @@
 
 func (p Page) at(name string, x float64) float64 { return max(p.slopes[name].Above(x), 0) }
 
-// Render prints the page in Markdown.
+// Render returns the page in Markdown.
 func (p Page) Render() []byte {
 	var b bytes.Buffer
 	today, fleet, plan := todaySize(), fleetSize(), planSize()
 	_, _ = fmt.Fprintf(&b, head, p.measured.Machine, p.measured.Date)
 	p.renderSummary(&b, plan)
 	p.renderLines(&b, today, fleet, plan)
-	p.renderBadDays(&b, plan)
+	p.renderFailures(&b, plan)
 	b.WriteString(limitsText)
 	b.WriteString(fleetText)
 	b.WriteString(sweepsText)
@@ -64,12 +64,12 @@
 	b.WriteString("| Role | Resource | Plan | Limit | Within |\n|---|---|---|---|---|\n")
 	for _, l := range p.lines(plan) {
 		if l.limit > 0 {
-			_, _ = fmt.Fprintf(b, "| %s | %s | %s | %s | %s |\n", l.role, l.resource, number(l.value), number(l.limit), verdict(l))
+			_, _ = fmt.Fprintf(b, "| %s | %s | %s | %s | %s |\n", l.role, l.resource, number(l.value), number(l.limit), withinLimit(l))
 		}
 	}
 }
 
-func verdict(l line) string {
+func withinLimit(l line) string {
 	if l.value <= l.limit {
 		return "yes"
 	}
@@ -92,27 +92,27 @@
 }
 
 func (p Page) renderLines(b *bytes.Buffer, today, fleet, plan size) {
-	b.WriteString("\n## Worked out, line by line\n")
-	was, played, is := p.lines(today), p.lines(fleet), p.lines(plan)
+	b.WriteString("\n## Calculation, line by line\n")
+	todayLines, fleetLines, planLines := p.lines(today), p.lines(fleet), p.lines(plan)
 	role := ""
-	for i, l := range is {
+	for i, l := range planLines {
 		if l.role != role {
 			role = l.role
-			_, _ = fmt.Fprintf(b, "\n### %s\n\n| Resource | Formula | Today | Fleet | Plan | Limit | Head-room | Mechanism |\n|---|---|---|---|---|---|---|---|\n", role)
+			_, _ = fmt.Fprintf(b, "\n### %s\n\n| Resource | Formula | Today | Fleet | Plan | Limit | Headroom | Mechanism |\n|---|---|---|---|---|---|---|---|\n", role)
 		}
-		limit, room := "none set", ""
+		limit, headroom := "none", ""
 		if l.limit > 0 {
 			limit = number(l.limit)
-			room = fmt.Sprintf("%.1f x", l.limit/max(l.value, 1e-9))
+			headroom = fmt.Sprintf("%.1f x", l.limit/max(l.value, 1e-9))
 		}
 		_, _ = fmt.Fprintf(b, "| %s | `%s` | %s | %s | %s | %s | %s | %s |\n",
-			l.resource, l.formula, number(was[i].value), number(played[i].value), number(l.value), limit, room, l.mechanism)
+			l.resource, l.formula, number(todayLines[i].value), number(fleetLines[i].value), number(l.value), limit, headroom, l.mechanism)
 	}
 }
 
 func (p Page) renderSlopes(b *bytes.Buffer) {
 	b.WriteString("\n## Slopes\n\nMeasured by `go run . capacity` (`task capacity`); the figures are in `docs/capacity/slopes.json`.\n\n" +
-		"| Slope | Points (size: cost) | Line | R2 | Bends at |\n|---|---|---|---|---|\n")
+		"| Slope | Points (size: cost) | Line | R2 | Deviates at size |\n|---|---|---|---|---|\n")
 	for _, s := range p.measured.Slopes {
 		points := ""
 		for i, q := range s.Points {
@@ -121,10 +121,10 @@
 			}
 			points += fmt.Sprintf("%s: %s", number(q.X), number(q.Y))
 		}
-		bend := "no bend"
+		bend := "none"
 		if s.Bend > 0 {
 			bend = number(s.Bend)
 		}
-		_, _ = fmt.Fprintf(b, "| %s (%s) | %s | %.4g + %.4g a %s | %.3f | %s |\n", s.Name, s.Unit, points, s.Intercept, s.Gradient, s.Per, s.Fit, bend)
+		_, _ = fmt.Fprintf(b, "| %s (%s) | %s | %.4g + %.4g per %s | %.3f | %s |\n", s.Name, s.Unit, points, s.Intercept, s.Gradient, s.Per, s.Fit, bend)
 	}
 }
--- a/internal/capacity/page/page_test.go
+++ b/internal/capacity/page/page_test.go
@@ -9,9 +9,9 @@
 	"wasabideal/internal/capacity/page"
 )
 
-// TestPageAgreesWithSlopes renders the page from the slopes file again: a
-// formula or a figure changed by hand on one side only is found here.
-func TestPageAgreesWithSlopes(t *testing.T) {
+// Guards against a page that does not match the slopes file, because a formula changed without a new
+// page or a figure was edited by hand.
+func TestPageMatchesSlopes(t *testing.T) {
 	slopes, err := os.ReadFile("../../../docs/capacity/slopes.json")
 	require.NoError(t, err)
 	want, err := os.ReadFile("../../../docs/CAPACITY.md")
@@ -19,11 +19,11 @@
 	p, err := page.Read(slopes)
 	require.NoError(t, err)
 	if string(want) != string(p.Render()) {
-		t.Fatal("docs/CAPACITY.md is not what the slopes give; run: go run . capacity --no-measure")
+		t.Fatal("docs/CAPACITY.md does not match the slopes; run: go run . capacity --no-measure")
 	}
 }
 
-func TestMissingSlopeIsNamed(t *testing.T) {
+func TestMissingSlopeIsReported(t *testing.T) {
 	_, err := page.Read([]byte(`{"Slopes":[]}`))
 	var missing *page.MissingError
 	require.ErrorAs(t, err, &missing)
