--- a/internal/soak/fleet/fleet.go
+++ b/internal/soak/fleet/fleet.go
@@ -40,7 +40,7 @@
 	mu      sync.Mutex
 	command *exec.Cmd
 	exited  chan struct{}
-	// exitExpected is set once the process was told to stop or killed.
+	// exitExpected is set once Stop or Kill was called.
 	exitExpected bool
 }
 
--- a/internal/soak/run/upstreams.go
+++ b/internal/soak/run/upstreams.go
@@ -131,7 +131,7 @@
 	b.self.State = upstream.Withdrawn
 }
 
-// restart drops all flows and starts a new life of the same incarnation, as after a crash. It does
+// restart drops all flows and sets a new start time for the same incarnation, as after a crash. It does
 // nothing if the upstream is draining or withdrawn.
 func (b *simulatedUpstream) restart() {
 	b.mu.Lock()
@@ -216,7 +216,7 @@
 	b.run.network.deliver(func() { _, _ = b.conn.WriteToUDPAddrPort(b.run.settings.World.Encode(s), to) })
 }
 
-// cookie returns the cookie that flows of the upstream's current life carry.
+// cookie returns the cookie of flows that were opened since the last restart.
 func (b *simulatedUpstream) cookie() uint32 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
