--- a/cmd/apply.go
+++ b/cmd/apply.go
@@ -84,7 +84,7 @@
 	if err != nil {
 		return err
 	}
-	delta := history.Between(current.Configuration, next)
+	delta := history.Diff(current.Configuration, next)
 	if c.JSON {
 		return printJSON(delta)
 	}
--- a/cmd/cmd.go
+++ b/cmd/cmd.go
@@ -60,5 +60,5 @@
 
 func fail(err error) int {
 	_, _ = fmt.Fprintln(os.Stderr, "wasabideal:", err)
-	return int(exit.Of(err))
+	return int(exit.StatusOf(err))
 }
--- a/cmd/explain.go
+++ b/cmd/explain.go
@@ -22,17 +22,17 @@
 
 // Run prints the relevant lines in order of time, and what they mean.
 func (c *explainCommand) Run() error {
-	var s story.Story
+	var s story.Timeline
 	for _, name := range c.Logs {
 		var err error
 		if s, err = readLog(s, name); err != nil {
 			return err
 		}
 	}
-	return s.Tell(os.Stdout, story.Question{Caller: c.Caller, Incarnation: c.Incarnation, Revision: c.Revision})
+	return s.Write(os.Stdout, story.Query{Caller: c.Caller, Incarnation: c.Incarnation, Revision: c.Revision})
 }
 
-func readLog(s story.Story, name string) (story.Story, error) {
+func readLog(s story.Timeline, name string) (story.Timeline, error) {
 	f, err := os.Open(name)
 	if err != nil {
 		return s, fmt.Errorf("open log: %w", err)
--- a/cmd/followers.go
+++ b/cmd/followers.go
@@ -23,7 +23,7 @@
 			return err
 		}
 	}
-	return f.Tell(os.Stdout)
+	return f.WriteTable(os.Stdout)
 }
 
 func readFollowers(f *followers.Followers, name string) error {
--- a/cmd/forget.go
+++ b/cmd/forget.go
@@ -20,7 +20,7 @@
 func (c *forgetCommand) Run(ctx context.Context) error {
 	ctx, cancel := c.context(ctx)
 	defer cancel()
-	if err := c.client().Forget(ctx, c.Name); err != nil {
+	if err := c.client().ForgetBalancer(ctx, c.Name); err != nil {
 		return err
 	}
 	_, err := fmt.Println("accepted; keys that only " + c.Name + " remembered are released after the deduplication window")
--- a/cmd/machine.go
+++ b/cmd/machine.go
@@ -1,6 +1,6 @@
 package cmd
 
-import "wasabideal/platform/machine"
+import "wasabideal/platform/process"
 
 // machineCommand runs a process on a VM of the users' platform.
 type machineCommand struct{}
@@ -11,4 +11,4 @@
 }
 
 // Run serves until a graceful shutdown.
-func (machineCommand) Run() error { return machine.Run() }
+func (machineCommand) Run() error { return process.Run() }
--- a/cmd/serve.go
+++ b/cmd/serve.go
@@ -5,14 +5,14 @@
 
 	"github.com/samber/do/v2"
 
-	"wasabideal/internal/start/fill"
+	"wasabideal/internal/start/applydefaults"
+	"wasabideal/internal/start/checksettings"
 	"wasabideal/internal/start/logging"
-	"wasabideal/internal/start/read"
-	"wasabideal/internal/start/route"
+	"wasabideal/internal/start/readsettings"
+	"wasabideal/internal/start/serve"
 	"wasabideal/internal/start/stage"
-	"wasabideal/internal/start/verify"
-	"wasabideal/internal/start/vote"
-	"wasabideal/internal/start/wait"
+	"wasabideal/internal/start/startbalancer"
+	"wasabideal/internal/start/startvoter"
 )
 
 // serveCommand runs a balancer, a control voter or both.
@@ -28,12 +28,12 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	return stage.Run(ctx, do.New(), []stage.Stage{
-		read.Stage{File: c.Config},
-		fill.Stage{},
-		verify.Stage{File: c.Config},
+		readsettings.Stage{File: c.Config},
+		applydefaults.Stage{},
+		checksettings.Stage{File: c.Config},
 		logging.Stage{},
-		vote.Stage{},
-		route.Stage{},
-		wait.Stage{},
+		startvoter.Stage{},
+		startbalancer.Stage{},
+		serve.Stage{},
 	})
 }
--- a/cmd/soak.go
+++ b/cmd/soak.go
@@ -53,9 +53,9 @@
 			break
 		}
 		seed := c.Seed + uint64(n)
-		result, err := run.Play(ctx, run.Settings{
+		result, err := run.Execute(ctx, run.Settings{
 			Seed: seed, For: c.For, Program: program, Folder: filepath.Join(folder, fmt.Sprint("seed-", seed)),
-			Zones: 3, Balancers: c.Balancers, Upstreams: c.Upstreams, Callers: c.Callers, Busy: c.Busy, World: standin.New(),
+			Zones: 3, Balancers: c.Balancers, Upstreams: c.Upstreams, Callers: c.Callers, Busy: c.Busy, Platform: standin.New(),
 		})
 		var violation *run.BrokenError
 		switch {
--- a/internal/balancer/reducer/changes_test.go
+++ b/internal/balancer/reducer/changes_test.go
@@ -55,7 +55,7 @@
 			continue
 		}
 		f.after(time.Duration(i)*200*time.Millisecond, func() {
-			f.reduce(n, event.Event{Kind: event.Offered, Configuration: &c})
+			f.reduce(n, event.Event{Kind: event.ConfigurationReceived, Configuration: &c})
 		})
 	}
 }
@@ -76,6 +76,6 @@
 	c.Presets[0].SpillPercent = percent
 	f.config = c
 	for _, n := range f.nodes {
-		f.reduce(n, event.Event{Kind: event.Offered, Configuration: &c})
+		f.reduce(n, event.Event{Kind: event.ConfigurationReceived, Configuration: &c})
 	}
 }
--- a/internal/balancer/reducer/failures_test.go
+++ b/internal/balancer/reducer/failures_test.go
@@ -76,7 +76,7 @@
 	b := &backend{alive: true, connections: map[string]bool{}, Upstream: u.Upstream}
 	b.Service, b.Incarnation, b.Sequence = "notes", uint64(f.now.UnixNano()), 0
 	// The new process listens only after its announcement was accepted.
-	f.reduce(f.pickNode(b.Zone), event.Event{Kind: event.Announced, Upstream: &b.Upstream, TokenSha256: upstreamTokenDigest})
+	f.reduce(f.pickNode(b.Zone), event.Event{Kind: event.UpstreamAnnounced, Upstream: &b.Upstream, TokenSha256: upstreamTokenDigest})
 	f.run(time.Second)
 	f.upstreams[u.Address] = b
 	f.announce(b)
@@ -98,11 +98,11 @@
 	u.State = upstream.Withdrawn
 	u.Sequence++
 	x := u.Upstream
-	f.reduce(f.nodes["b000"], event.Event{Kind: event.Announced, Upstream: &x, TokenSha256: upstreamTokenDigest})
+	f.reduce(f.nodes["b000"], event.Event{Kind: event.UpstreamAnnounced, Upstream: &x, TokenSha256: upstreamTokenDigest})
 	u.alive = false
 	f.run(3 * time.Second)
 	for _, n := range f.nodes {
-		f.reduce(n, event.Event{Kind: event.Announced, Upstream: &old, TokenSha256: upstreamTokenDigest})
+		f.reduce(n, event.Event{Kind: event.UpstreamAnnounced, Upstream: &old, TokenSha256: upstreamTokenDigest})
 		require.Len(t, n.reducer.Serving(f.now, "orders"), 14, n.name)
 	}
 }
--- a/internal/balancer/reducer/fleet_test.go
+++ b/internal/balancer/reducer/fleet_test.go
@@ -203,7 +203,7 @@
 		BusyKeep: 10 * time.Second, FetchEvery: 200 * time.Millisecond, Source: n.peer,
 	}, f.now)
 	start := n.start
-	f.reduce(n, event.Event{Kind: event.Offered, Configuration: &f.config})
+	f.reduce(n, event.Event{Kind: event.ConfigurationReceived, Configuration: &f.config})
 	var tick func()
 	tick = func() {
 		if !n.alive || n.start != start {
@@ -252,7 +252,7 @@
 			f.deliver(n.zone, to.zone, n.name, to.name, func() {
 				c := to.reducer.Status(f.now).Configuration
 				f.deliver(to.zone, n.zone, to.name, n.name, func() {
-					f.reduce(n, event.Event{Kind: event.Offered, Configuration: &c})
+					f.reduce(n, event.Event{Kind: event.ConfigurationReceived, Configuration: &c})
 				})
 			})
 		}
@@ -308,7 +308,7 @@
 	if n == nil || f.cut != nil && f.cut(b.Zone, n.zone) {
 		return
 	}
-	f.reduce(n, event.Event{Kind: event.Announced, Upstream: &u, TokenSha256: upstreamTokenDigest})
+	f.reduce(n, event.Event{Kind: event.UpstreamAnnounced, Upstream: &u, TokenSha256: upstreamTokenDigest})
 }
 
 // pickNode returns a random live balancer, preferably of the zone.
--- a/internal/balancer/reducer/pool_test.go
+++ b/internal/balancer/reducer/pool_test.go
@@ -47,7 +47,7 @@
 	var out effect.List
 	apply := func(e evacuation.Evacuations) {
 		for _, n := range f.nodes {
-			require.NoError(t, n.reducer.Reduce(f.now, event.Event{Kind: event.Evacuated, Evacuations: &e}, &out))
+			require.NoError(t, n.reducer.Reduce(f.now, event.Event{Kind: event.EvacuationsReceived, Evacuations: &e}, &out))
 		}
 	}
 	apply(first)
--- a/internal/balancer/reducer/reducer.go
+++ b/internal/balancer/reducer/reducer.go
@@ -9,7 +9,7 @@
 	"wasabideal/internal/core/event"
 	"wasabideal/internal/flow/ownership"
 	"wasabideal/internal/flow/router"
-	"wasabideal/internal/member/busy"
+	"wasabideal/internal/member/repairstatus"
 	"wasabideal/internal/member/swim"
 	"wasabideal/internal/model/configuration"
 	"wasabideal/internal/model/evacuation"
@@ -41,7 +41,7 @@
 	router          *router.Router
 	swim            *swim.Swim
 	registry        *registry.Registry
-	repairs         *busy.Tracker
+	repairs         *repairstatus.Tracker
 	follower        *follower.Follower
 	peers           map[netip.AddrPort]bool
 	swimVersion     uint64
@@ -64,11 +64,11 @@
 	s.Swim.Self.Passive = r.joining
 	r.router = router.New(s.Router, now)
 	r.registry = registry.New(s.Registry)
-	r.repairs = busy.New(func() bool { return !r.router.Repaired() }, s.BusyKeep)
+	r.repairs = repairstatus.New(func() bool { return !r.router.Repaired() }, s.BusyKeep)
 	r.follower = follower.New(s.Source)
 	r.swim = swim.New(s.Swim, r.follower, r.repairs, r.registry)
 	if r.joining {
-		r.router.SetJoining(router.Newborn)
+		r.router.SetJoining(router.Discovering)
 	}
 	r.router.SetIsolated(r.swim.Isolated())
 	return r
@@ -104,14 +104,14 @@
 		Revision: c.Revision, InForce: c.InForce, RevisionAge: r.follower.Age(now),
 		Isolated: r.swim.Isolated(), Leaving: !r.leavingSince.IsZero(), Drained: r.drained,
 		Flows: r.router.Flows(), Openings: r.router.Openings(), Refused: r.rejected,
-		Members: r.swim.All(), Upstreams: r.registry.All(), Evacuated: r.registry.Evacuations().Names(),
+		Members: r.swim.All(), Upstreams: r.registry.All(), Evacuated: r.registry.Evacuations().EvacuatedZones(),
 		Router: r.router.Counters, Swim: r.swim.Counters, Configuration: c,
 	}
 }
 
-// BadInput returns the number of datagrams that were malformed, unsigned or from
+// InvalidDatagrams returns the number of datagrams that were malformed, unsigned or from
 // non-members.
-func (r *Reducer) BadInput() uint64 {
+func (r *Reducer) InvalidDatagrams() uint64 {
 	return r.rejected + r.router.Counters.Malformed + r.swim.Counters.Refused
 }
 
@@ -144,11 +144,11 @@
 		r.reducePeer(now, e, out)
 	case event.Ticked:
 		r.reduceTick(now, out)
-	case event.Announced:
+	case event.UpstreamAnnounced:
 		err = r.registry.Announce(now, *e.Upstream, e.TokenSha256)
-	case event.Offered:
+	case event.ConfigurationReceived:
 		r.reduceOffer(now, *e.Configuration)
-	case event.Evacuated:
+	case event.EvacuationsReceived:
 		r.registry.SetEvacuations(*e.Evacuations)
 	case event.StopPlanned:
 		r.startLeaving(now)
@@ -172,7 +172,7 @@
 		r.rejected++
 		return
 	}
-	r.router.Packet(now, packet, out)
+	r.router.RoutePacket(now, packet, out)
 }
 
 func (r *Reducer) reducePeer(now time.Time, e event.Event, out *effect.List) {
@@ -192,11 +192,11 @@
 	}
 	switch e.Data[0] {
 	case relay.Kind:
-		r.router.Relayed(now, e.Data, out)
+		r.router.RouteRelayed(now, e.Data, out)
 	case router.BatchKind:
-		r.router.Batch(now, e.From, e.Data, out)
+		r.router.HandleBatch(now, e.From, e.Data, out)
 	case router.BatchAckKind:
-		r.router.BatchAck(e.From, e.Data)
+		r.router.HandleBatchAck(e.From, e.Data)
 	default:
 		r.rejected++
 	}
@@ -208,7 +208,7 @@
 	r.updateRanking(now)
 	r.registry.Tick(now)
 	r.router.Tick(now, out)
-	if from, behind := r.follower.Behind(); behind && now.Sub(r.lastFetch) >= r.settings.FetchEvery {
+	if from, behind := r.follower.NewestPeer(); behind && now.Sub(r.lastFetch) >= r.settings.FetchEvery {
 		r.lastFetch = now
 		out.Add(effect.Effect{Kind: effect.Fetch, To: from})
 	}
@@ -249,7 +249,7 @@
 		r.joining = false
 		r.router.SetJoining(router.Joined)
 	case age >= joinAfter && r.swim.Self().Passive && r.leavingSince.IsZero():
-		r.router.SetJoining(router.Young)
+		r.router.SetJoining(router.Provisional)
 		r.swim.SetPassive(false)
 	}
 }
@@ -280,7 +280,7 @@
 		for _, s := range r.follower.Current().Services {
 			r.router.SetPool(s.Name, r.registry.Pool(now, s.Name))
 		}
-		r.router.SetHolders(r.registry.Holders())
+		r.router.SetAddressServices(r.registry.ServicesByAddress())
 	}
 }
 
@@ -294,7 +294,7 @@
 		r.peers[m.Address] = m.Name != r.settings.Router.Self
 		zones[m.Zone] = true
 	}
-	r.registry.SetReach(zones)
+	r.registry.SetReachableZones(zones)
 	r.router.SetIsolated(r.swim.Isolated())
 	r.router.SetUnreachable(r.swim.Unreachable())
 }
--- a/internal/balancer/reducer/spread_test.go
+++ b/internal/balancer/reducer/spread_test.go
@@ -18,7 +18,7 @@
 	f := suez(21)
 	f.loss = 1.0 / 3
 	c := f.config.WithPreset("peak").WithRevision(5)
-	f.reduce(f.nodes["b003"], event.Event{Kind: event.Offered, Configuration: &c})
+	f.reduce(f.nodes["b003"], event.Event{Kind: event.ConfigurationReceived, Configuration: &c})
 	f.run(10 * time.Second)
 	for _, n := range f.nodes {
 		require.Equal(t, "peak", n.reducer.Configuration().InForce, n.name)
@@ -154,7 +154,7 @@
 	c.Services = append(c.Services[:0:0], c.Services...)
 	c.Services[1].Group = "elsewhere"
 	for _, n := range f.nodes {
-		f.reduce(n, event.Event{Kind: event.Offered, Configuration: &c})
+		f.reduce(n, event.Event{Kind: event.ConfigurationReceived, Configuration: &c})
 	}
 	f.openFlows(20, "notes", time.Second, time.Second)
 	for _, u := range f.upstreams {
--- a/internal/balancer/trace/trace_test.go
+++ b/internal/balancer/trace/trace_test.go
@@ -78,10 +78,10 @@
 		Revision: 2, InForce: "ordinary", Presets: []configuration.Preset{{Name: "ordinary", SlotLimit: 2}},
 		Services: []configuration.Service{{Name: "orders", Protocol: configuration.TCP, Addresses: []netip.AddrPort{service}, TokenSha256: tokenDigest}},
 	}
-	r.feed(event.Event{Kind: event.Offered, Configuration: &c})
+	r.feed(event.Event{Kind: event.ConfigurationReceived, Configuration: &c})
 	u := upstream.Upstream{Identity: upstream.Identity{Service: "orders", Address: netip.MustParseAddrPort("127.0.0.2:6080"), Incarnation: 1}, Zone: "Adabiya", Slots: 2}
-	r.feed(event.Event{Kind: event.Announced, Upstream: &u, TokenSha256: "wrong"})
-	r.feed(event.Event{Kind: event.Announced, Upstream: &u, TokenSha256: tokenDigest})
+	r.feed(event.Event{Kind: event.UpstreamAnnounced, Upstream: &u, TokenSha256: "wrong"})
+	r.feed(event.Event{Kind: event.UpstreamAnnounced, Upstream: &u, TokenSha256: tokenDigest})
 	for range 20 {
 		r.feed(event.Event{Kind: event.Ticked})
 	}
@@ -92,7 +92,7 @@
 	r.feed(event.Event{Kind: event.FabricDatagram, Data: []byte{0, 4, 0, 0, 1, 2, 3}})
 	r.feed(event.Event{Kind: event.PeerDatagram, From: caller, Data: []byte{2, 0, 0}})
 	old := c.WithRevision(1)
-	r.feed(event.Event{Kind: event.Offered, Configuration: &old})
+	r.feed(event.Event{Kind: event.ConfigurationReceived, Configuration: &old})
 	r.feed(event.Event{Kind: event.StopPlanned})
 	for range 25 {
 		r.feed(event.Event{Kind: event.Ticked})
--- a/internal/capacity/measure/configuration.go
+++ b/internal/capacity/measure/configuration.go
@@ -78,14 +78,14 @@
 
 func deltaBytes(size float64) (float64, error) {
 	c := configurationOf(int(size))
-	return encodedBytes(history.Answer{Deltas: []history.Delta{history.Between(c, changed(c))}})
+	return encodedBytes(history.Response{Deltas: []history.Delta{history.Diff(c, changed(c))}})
 }
 
 func deltaMicros(size float64) (float64, error) {
 	c := configurationOf(int(size))
-	a := history.Answer{Deltas: []history.Delta{history.Between(c, changed(c))}}
+	a := history.Response{Deltas: []history.Delta{history.Diff(c, changed(c))}}
 	var followErr error
-	t := nanos(1, func() { _, followErr = history.Follow(c, a) })
+	t := nanos(1, func() { _, followErr = history.Apply(c, a) })
 	return t / float64(time.Microsecond), followErr
 }
 
@@ -131,8 +131,8 @@
 			defer wg.Done()
 			client := rpc.NewClient(address, groupToken)
 			defer client.Close()
-			q := source.Question{Revision: next.Revision - 1, Hold: fanoutTimeout}
-			if _, err := rpc.Call[source.Question, history.Answer](ctx, client, source.Method, q); err != nil {
+			q := source.Request{Revision: next.Revision - 1, Hold: fanoutTimeout}
+			if _, err := rpc.Call[source.Request, history.Response](ctx, client, source.Method, q); err != nil {
 				failures <- err
 			}
 		}()
--- a/internal/capacity/measure/cookie.go
+++ b/internal/capacity/measure/cookie.go
@@ -121,8 +121,8 @@
 }
 
 func viewMicros(size float64) (float64, error) {
-	v := view.New(view.Settings{ContactLease: time.Hour, InheritFor: time.Hour, ForgetAfter: time.Hour})
-	v.Take(cookieEpoch, "voter", 1, cookieDirectory(int(size)).Since(cookieEpoch, 0))
+	v := view.New(view.Settings{ContactLease: time.Hour, ProvisionalTTL: time.Hour, ForgetAfter: time.Hour})
+	v.ApplyNotices(cookieEpoch, "voter", 1, cookieDirectory(int(size)).Since(cookieEpoch, 0))
 	r, err := cookieRouter(1)
 	c, _ := v.Changes(cookieEpoch)
 	r.Update(cookieEpoch, c)
@@ -131,7 +131,7 @@
 		for n := range calls {
 			u := cookieUpstream(n)
 			u.State = upstream.State(n % 2)
-			v.Take(cookieEpoch, "voter", 1, []directory.Notice{{Upstream: u}})
+			v.ApplyNotices(cookieEpoch, "voter", 1, []directory.Notice{{Upstream: u}})
 			c, _ := v.Changes(cookieEpoch)
 			r.Update(cookieEpoch, c)
 		}
@@ -141,8 +141,8 @@
 func viewBytes(size float64) (float64, error) {
 	r, err := cookieRouter(1)
 	before := heap()
-	v := view.New(view.Settings{ContactLease: time.Hour, InheritFor: time.Hour, ForgetAfter: time.Hour})
-	v.Take(cookieEpoch, "voter", 1, cookieDirectory(int(size)).Since(cookieEpoch, 0))
+	v := view.New(view.Settings{ContactLease: time.Hour, ProvisionalTTL: time.Hour, ForgetAfter: time.Hour})
+	v.ApplyNotices(cookieEpoch, "voter", 1, cookieDirectory(int(size)).Since(cookieEpoch, 0))
 	c, _ := v.Changes(cookieEpoch)
 	r.Update(cookieEpoch, c)
 	held := heap() - before
@@ -154,15 +154,15 @@
 
 func newsBytes(size float64) (float64, error) {
 	f := feed.New(1, cookieDirectory(int(size)), func() time.Time { return cookieEpoch })
-	return encodedBytes(f.Since(context.Background(), feed.Question{}))
+	return encodedBytes(f.Since(context.Background(), feed.Request{}))
 }
 
 func questionMicros(size float64) (float64, error) {
 	d := cookieDirectory(int(size))
 	f := feed.New(1, d, func() time.Time { return cookieEpoch })
-	q := feed.Question{Life: 1, Version: d.Version()}
+	q := feed.Request{Life: 1, Version: d.Version()}
 	return callMicros(1, func(s *rpc.Server) { f.Serve(s, token) }, func(ctx context.Context, c *rpc.Client) error {
-		_, err := rpc.Call[feed.Question, feed.Answer](ctx, c, feed.SinceMethod, q)
+		_, err := rpc.Call[feed.Request, feed.Response](ctx, c, feed.SinceMethod, q)
 		return err
 	})
 }
--- a/internal/capacity/measure/fanout.go
+++ b/internal/capacity/measure/fanout.go
@@ -16,7 +16,7 @@
 	"wasabideal/internal/model/upstream"
 	"wasabideal/internal/upstream/directory"
 	"wasabideal/internal/upstream/handover"
-	"wasabideal/internal/upstream/home"
+	"wasabideal/internal/upstream/owner"
 	"wasabideal/internal/upstream/view"
 	"wasabideal/internal/wire/rpc"
 )
@@ -42,7 +42,7 @@
 func knownOrigins(voters int) *origins.Origins {
 	o := origins.New()
 	for n := range voters {
-		o.Take(cookieEpoch, origins.Origin{Known: origins.Known{Voter: voterName(n), Life: 1 << 60, Version: 100_000, Doubts: 100}})
+		o.Apply(cookieEpoch, origins.Update{Known: origins.Known{Voter: voterName(n), Life: 1 << 60, Version: 100_000, Doubts: 100}})
 	}
 	return o
 }
@@ -53,15 +53,15 @@
 	view    *view.View
 }
 
-func (p parentBalancer) News(now time.Time, q relay.Question) (relay.Answer, bool) {
-	all, news := p.origins.After(now, q.Known)
+func (p parentBalancer) Updates(now time.Time, q relay.Request) (relay.Response, bool) {
+	all, news := p.origins.UpdatesSince(now, q.Known)
 	for i, x := range all {
 		all[i].Notices = p.view.Since(now, x.Voter, x.Life, x.Version)
 	}
-	return relay.Answer{Origins: all}, news
+	return relay.Response{Origins: all}, news
 }
 
-func (parentBalancer) Leaving() bool { return false }
+func (parentBalancer) ShuttingDown() bool { return false }
 
 const fiveVoters = 5
 
@@ -72,12 +72,12 @@
 		for u := range int(size) / fiveVoters {
 			notices = append(notices, directory.Notice{Upstream: cookieUpstream(u*fiveVoters + n)})
 		}
-		p.view.Hear(cookieEpoch, view.News{Voter: voterName(n), Life: 1 << 60, Version: 100_000, Contact: cookieEpoch, Notices: notices})
+		p.view.Apply(cookieEpoch, view.Update{Voter: voterName(n), Life: 1 << 60, Version: 100_000, Contact: cookieEpoch, Notices: notices})
 	}
 	r := relay.New(p, func() time.Time { return cookieEpoch }, 1)
-	q := relay.Question{From: "10.1.0.10:7720", Known: p.origins.Known(cookieEpoch)}
+	q := relay.Request{From: "10.1.0.10:7720", Known: p.origins.Known(cookieEpoch)}
 	return callMicros(1, func(s *rpc.Server) { r.Serve(s, token) }, func(ctx context.Context, c *rpc.Client) error {
-		_, err := rpc.Call[relay.Question, relay.Answer](ctx, c, relay.SinceMethod, q)
+		_, err := rpc.Call[relay.Request, relay.Response](ctx, c, relay.SinceMethod, q)
 		return err
 	})
 }
@@ -85,19 +85,19 @@
 func followBytes(size float64) (float64, error) {
 	o := knownOrigins(int(size))
 	known := o.Known(cookieEpoch)
-	all, _ := o.After(cookieEpoch, known)
-	question, err := encodedBytes(relay.Question{From: "10.1.0.10:7720", Known: known})
+	all, _ := o.UpdatesSince(cookieEpoch, known)
+	question, err := encodedBytes(relay.Request{From: "10.1.0.10:7720", Known: known})
 	if err != nil {
 		return 0, err
 	}
-	answer, err := encodedBytes(relay.Answer{Origins: all})
+	answer, err := encodedBytes(relay.Response{Origins: all})
 	return question + answer, err
 }
 
 func handoverMicros(size float64) (float64, error) {
 	f := feed.New(1, cookieDirectory(int(size)), func() time.Time { return cookieEpoch })
 	u := upstreams.New(upstreams.Settings{
-		Token: token, Clock: func() time.Time { return cookieEpoch }, Answering: func() []home.Voter { return nil },
+		Token: token, Clock: func() time.Time { return cookieEpoch }, Responsive: func() []owner.Voter { return nil },
 	}, f, hclog.NewNullLogger())
 	sequence := uint64(1)
 	return callMicros(announcementsPerCall, u.Serve, func(ctx context.Context, c *rpc.Client) error {
@@ -108,7 +108,7 @@
 			x.Sequence, x.State = sequence, upstream.Ready
 			all = append(all, handover.Announcement{Upstream: x})
 		}
-		_, err := rpc.Call[[]handover.Announcement, struct{}](ctx, c, upstreams.HandOverMethod, all)
+		_, err := rpc.Call[[]handover.Announcement, struct{}](ctx, c, upstreams.ForwardMethod, all)
 		return err
 	})
 }
@@ -133,7 +133,7 @@
 	const lookups = 50
 	return nanos(lookups, func() {
 		for n := range lookups {
-			shape.Of(addresses[n%len(addresses)], addresses)
+			shape.PlaceOf(addresses[n%len(addresses)], addresses)
 		}
 	}) / 1000, nil
 }
--- a/internal/capacity/measure/flows.go
+++ b/internal/capacity/measure/flows.go
@@ -60,11 +60,11 @@
 	return ms
 }
 
-func pool(n int) []router.Pooled {
-	ps := make([]router.Pooled, 0, n)
+func pool(n int) []router.PoolMember {
+	ps := make([]router.PoolMember, 0, n)
 	for i := range n {
 		a := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 2, byte(i >> 8), byte(i)}), 6080)
-		ps = append(ps, router.Pooled{Identity: upstream.Identity{Service: "orders", Address: a, Incarnation: 1}, Share: 1, Zone: fmt.Sprintf("zone-%d", i%3)})
+		ps = append(ps, router.PoolMember{Identity: upstream.Identity{Service: "orders", Address: a, Incarnation: 1}, Share: 1, Zone: fmt.Sprintf("zone-%d", i%3)})
 	}
 	return ps
 }
@@ -106,7 +106,7 @@
 	var out effect.List
 	for _, p := range ps {
 		out.Reset()
-		r.Packet(settled, p, &out)
+		r.RoutePacket(settled, p, &out)
 	}
 }
 
--- a/internal/capacity/measure/group.go
+++ b/internal/capacity/measure/group.go
@@ -116,7 +116,7 @@
 	g := newGroup(n, 10_000)
 	c := oneServiceConfiguration()
 	for _, a := range g.order {
-		g.dispatch(a, event.Event{Kind: event.Offered, Configuration: &c})
+		g.dispatch(a, event.Event{Kind: event.ConfigurationReceived, Configuration: &c})
 	}
 	ps := pool(upstreams)
 	renewTicks := int(renewEvery / tick)
@@ -126,7 +126,7 @@
 				continue
 			}
 			u := upstream.Upstream{Identity: p.Identity, Zone: "zone-1", Slots: 2, Sequence: uint64(g.now.Sub(epoch))}
-			g.dispatch(g.order[i%len(g.order)], event.Event{Kind: event.Announced, Upstream: &u, TokenSha256: tokenDigest})
+			g.dispatch(g.order[i%len(g.order)], event.Event{Kind: event.UpstreamAnnounced, Upstream: &u, TokenSha256: tokenDigest})
 		}
 	}
 	g.run(2*settleTicks, renew)
--- a/internal/configuration/follower/follower.go
+++ b/internal/configuration/follower/follower.go
@@ -52,20 +52,20 @@
 	return true
 }
 
-// Behind returns the peer that announced the newest revision, and whether it is newer
+// NewestPeer returns the peer that announced the newest revision, and whether it is newer
 // than the applied one.
-func (f *Follower) Behind() (netip.AddrPort, bool) {
+func (f *Follower) NewestPeer() (netip.AddrPort, bool) {
 	return f.newestAt, f.newest > f.current.Revision
 }
 
-// Load encodes the own revision for gossip, so that peers can fetch it.
-func (f *Follower) Load(time.Time, int) []byte {
+// Payload encodes the own revision for gossip, so that peers can fetch it.
+func (f *Follower) Payload(time.Time, int) []byte {
 	b, _ := cbor.Marshal(wireRevision{Revision: f.current.Revision, Source: f.source})
 	return b
 }
 
-// Unload records the revision of a peer.
-func (f *Follower) Unload(_ time.Time, _ swim.Member, data []byte) {
+// HandlePayload records the revision of a peer.
+func (f *Follower) HandlePayload(_ time.Time, _ swim.Member, data []byte) {
 	var w wireRevision
 	if cbor.Unmarshal(data, &w) != nil || !w.Source.IsValid() {
 		return
--- a/internal/configuration/history/history.go
+++ b/internal/configuration/history/history.go
@@ -30,8 +30,8 @@
 	Digest uint64
 }
 
-// Answer updates a follower to the newest revision, by Whole or by Deltas in order.
-type Answer struct {
+// Response updates a follower to the newest revision, by Whole or by Deltas in order.
+type Response struct {
 	Whole  *configuration.Configuration
 	Deltas []Delta
 	// Revision is the newest revision that the responding process knows.
@@ -73,7 +73,7 @@
 
 // With returns the history with a newer configuration.
 func (h History) With(c configuration.Configuration) History {
-	d := Between(h.current, c)
+	d := Diff(h.current, c)
 	known := h.current.Revision > 0
 	h.current = c
 	if !known {
@@ -86,8 +86,8 @@
 }
 
 // Since returns the update for a follower at a revision.
-func (h History) Since(revision uint64) Answer {
-	a := Answer{Revision: h.current.Revision}
+func (h History) Since(revision uint64) Response {
+	a := Response{Revision: h.current.Revision}
 	if revision >= h.current.Revision {
 		return a
 	}
@@ -101,8 +101,8 @@
 	return a
 }
 
-// Follow applies an answer to a follower's configuration.
-func Follow(held configuration.Configuration, a Answer) (configuration.Configuration, error) {
+// Apply applies an answer to a follower's configuration.
+func Apply(held configuration.Configuration, a Response) (configuration.Configuration, error) {
 	if a.Whole != nil {
 		return *a.Whole, nil
 	}
@@ -129,8 +129,8 @@
 	return xxhash.Sum64(b)
 }
 
-// Between returns the delta from one configuration to another.
-func Between(from, to configuration.Configuration) Delta {
+// Diff returns the delta from one configuration to another.
+func Diff(from, to configuration.Configuration) Delta {
 	d := Delta{From: from.Revision, To: to.Revision, InForce: to.InForce, Digest: Digest(to)}
 	d.Services, d.RemovedServices = changes(from.Services, to.Services, serviceName)
 	d.Presets, d.RemovedPresets = changes(from.Presets, to.Presets, presetName)
--- a/internal/configuration/history/history_test.go
+++ b/internal/configuration/history/history_test.go
@@ -28,7 +28,7 @@
 	h := history.New(8).With(routes(1, 80, 443)).With(routes(2, 80, 8080, 443)).With(routes(5, 9090, 8080))
 	answer := h.Since(1)
 	require.Len(t, answer.Deltas, 2)
-	c, err := history.Follow(routes(1, 80, 443), answer)
+	c, err := history.Apply(routes(1, 80, 443), answer)
 	require.NoError(t, err)
 	require.Equal(t, uint64(5), c.Revision)
 	require.ElementsMatch(t, routes(5, 9090, 8080).Routes, c.Routes)
@@ -36,7 +36,7 @@
 
 func TestDeltaOnDifferentConfigurationIsRejected(t *testing.T) {
 	h := history.New(8).With(routes(1, 80)).With(routes(2, 80, 443))
-	_, err := history.Follow(routes(1, 81), h.Since(1))
+	_, err := history.Apply(routes(1, 81), h.Since(1))
 	var digest *history.DigestError
 	require.ErrorAs(t, err, &digest)
 }
--- a/internal/configuration/puller/puller.go
+++ b/internal/configuration/puller/puller.go
@@ -79,7 +79,7 @@
 	c := rpc.NewClient(address, p.settings.Token)
 	defer c.Close()
 	for ctx.Err() == nil {
-		if err := p.Ask(ctx, c, p.settings.Hold); err != nil {
+		if err := p.Poll(ctx, c, p.settings.Hold); err != nil {
 			p.log.Debug("source failed", "Address", address, "Error", err)
 			return
 		}
@@ -94,13 +94,13 @@
 	return fmt.Sprintf("source has revision %d and cannot tell whether it is the newest", e.Revision)
 }
 
-// Ask sends a request to a source and passes the response to the store.
-func (p *Puller) Ask(ctx context.Context, c *rpc.Client, hold time.Duration) error {
+// Poll sends a request to a source and passes the response to the store.
+func (p *Puller) Poll(ctx context.Context, c *rpc.Client, hold time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, hold+p.settings.Grace)
 	defer cancel()
 	held := p.store.Configuration()
-	q := source.Question{Revision: held.Revision, RosterVersion: p.store.RosterVersion(), Evacuations: p.store.Evacuations().Revision, Hold: hold}
-	a, err := rpc.Call[source.Question, history.Answer](ctx, c, source.Method, q)
+	q := source.Request{Revision: held.Revision, RosterVersion: p.store.RosterVersion(), Evacuations: p.store.Evacuations().Revision, Hold: hold}
+	a, err := rpc.Call[source.Request, history.Response](ctx, c, source.Method, q)
 	if err != nil {
 		return err
 	}
@@ -110,7 +110,7 @@
 	if a.Roster != nil {
 		p.store.OfferRoster(*a.Roster)
 	}
-	next, err := history.Follow(held, a)
+	next, err := history.Apply(held, a)
 	if err != nil {
 		p.log.Warn("delta does not match, requesting full configuration", "Error", err)
 		return p.requestFull(ctx, c)
@@ -125,7 +125,7 @@
 }
 
 func (p *Puller) requestFull(ctx context.Context, c *rpc.Client) error {
-	a, err := rpc.Call[source.Question, history.Answer](ctx, c, source.Method, source.Question{})
+	a, err := rpc.Call[source.Request, history.Response](ctx, c, source.Method, source.Request{})
 	if err != nil {
 		return err
 	}
--- a/internal/configuration/source/source.go
+++ b/internal/configuration/source/source.go
@@ -18,8 +18,8 @@
 // maxDeltas is how many changes a follower may miss and still get deltas.
 const maxDeltas = 1024
 
-// Question is a follower's request, with the versions that it has.
-type Question struct {
+// Request is a follower's request, with the versions that it has.
+type Request struct {
 	Revision uint64
 	// RosterVersion is the version of the roster.
 	RosterVersion uint64
@@ -48,7 +48,7 @@
 
 // Serve registers the source's method at a server.
 func (s *Source) Serve(r *rpc.Server, token string) {
-	rpc.Handle(r, Method, token, func(ctx context.Context, q Question) (history.Answer, error) {
+	rpc.Handle(r, Method, token, func(ctx context.Context, q Request) (history.Response, error) {
 		return s.Since(ctx, q), nil
 	})
 }
@@ -98,7 +98,7 @@
 }
 
 // Since responds as soon as there are changes for the follower, or after q.Hold.
-func (s *Source) Since(ctx context.Context, q Question) history.Answer {
+func (s *Source) Since(ctx context.Context, q Request) history.Response {
 	hold := time.NewTimer(q.Hold)
 	defer hold.Stop()
 	for {
@@ -124,7 +124,7 @@
 }
 
 // hasChanges reports whether anything is newer than what the follower has.
-func (x state) hasChanges(q Question) bool {
+func (x state) hasChanges(q Request) bool {
 	return x.history.Current().Revision > q.Revision || x.roster.Version > q.RosterVersion || x.evacuations.Revision > q.Evacuations
 }
 
@@ -134,7 +134,7 @@
 	return state{history: s.history, roster: s.roster, evacuations: s.evacuations}, s.changed
 }
 
-func (s *Source) answer(x state, q Question) history.Answer {
+func (s *Source) answer(x state, q Request) history.Response {
 	a := x.history.Since(q.Revision)
 	a.Current = s.current()
 	if x.roster.Version > q.RosterVersion {
--- a/internal/control/agreement/agreement.go
+++ b/internal/control/agreement/agreement.go
@@ -23,16 +23,16 @@
 	EntriesPerMessage int
 	// Tolerate is the number of simultaneous disk losses to survive.
 	Tolerate int
-	// Meet are further voters that receive join requests.
-	Meet []Voter
-	// Joins prevents bootstrapping a new cluster: the cluster already exists, so
+	// JoinTargets are further voters that receive join requests.
+	JoinTargets []Voter
+	// JoinOnly prevents bootstrapping a new cluster: the cluster already exists, so
 	// an empty disk means a replaced or additional voter.
-	Joins bool
-	// FirstElection is the maximum election timeout after a start, or 0 to use
+	JoinOnly bool
+	// InitialElectionTimeout is the maximum election timeout after a start, or 0 to use
 	// Election. After a power loss of all voters there is no leader, and waiting
 	// longer prolongs the outage. If there is a leader, the other voters reject
 	// the early pre-vote.
-	FirstElection time.Duration
+	InitialElectionTimeout time.Duration
 }
 
 // Role is the current role of a voter.
@@ -83,8 +83,8 @@
 	receivedAt   time.Time
 }
 
-// Agreement is the Raft state of one voter; it is not safe for concurrent use.
-type Agreement struct {
+// Node is the Raft state of one voter; it is not safe for concurrent use.
+type Node struct {
 	settings         Settings
 	role             Role
 	vote             Vote
@@ -113,9 +113,9 @@
 }
 
 // New returns a voter with the state read from its disk.
-func New(s Settings, d Durable, now time.Time) *Agreement {
+func New(s Settings, d PersistentState, now time.Time) *Node {
 	s.Tolerate = max(s.Tolerate, 1)
-	a := &Agreement{
+	a := &Node{
 		settings: s, role: Follower, vote: d.Vote, snapshot: d.Snapshot, entries: d.Entries,
 		voters: d.Snapshot.Voters, votersAt: d.Snapshot.Index,
 		commit: d.Snapshot.Index, applied: d.Snapshot.Index, lastLeaderContact: now,
@@ -131,8 +131,8 @@
 		a.role = Unfounded
 	}
 	a.resetElectionDeadline(now)
-	if s.FirstElection > 0 {
-		a.electionDeadline = now.Add(time.Duration(a.rng.Int64N(int64(s.FirstElection))))
+	if s.InitialElectionTimeout > 0 {
+		a.electionDeadline = now.Add(time.Duration(a.rng.Int64N(int64(s.InitialElectionTimeout))))
 	}
 	return a
 }
@@ -149,7 +149,7 @@
 	Voters  []Voter
 	// VotersAt is the index of the entry that holds the list of voters.
 	VotersAt uint64
-	// Current reports whether this voter has every committed entry.
+	// HoldsLease reports whether this voter has every committed entry.
 	Current bool
 	// Silence is the time since the last leader message, 0 on the leader itself.
 	Silence time.Duration
@@ -158,10 +158,10 @@
 }
 
 // Status returns the state shown to operators.
-func (a *Agreement) Status(now time.Time) Status {
+func (a *Node) Status(now time.Time) Status {
 	s := Status{
 		Role: a.role, Name: a.settings.Self.Name, Leader: a.voter(a.leader), Term: a.vote.Term, Commit: a.commit,
-		Last: a.lastIndex(), Applied: a.applied, Voters: a.voters, VotersAt: a.votersAt, Current: a.Current(now), Kept: len(a.entries),
+		Last: a.lastIndex(), Applied: a.applied, Voters: a.voters, VotersAt: a.votersAt, Current: a.HoldsLease(now), Kept: len(a.entries),
 	}
 	if a.role != Leader {
 		s.Silence = now.Sub(a.lastLeaderContact)
@@ -169,13 +169,13 @@
 	return s
 }
 
-func (a *Agreement) voter(id string) Voter {
+func (a *Node) voter(id string) Voter {
 	v, _ := lo.Find(a.voters, func(v Voter) bool { return v.Id == id })
 	return v
 }
 
 // Reduce applies one event and returns the effects to execute, in order.
-func (a *Agreement) Reduce(now time.Time, e Event) []Effect {
+func (a *Node) Reduce(now time.Time, e Event) []Effect {
 	a.effects = nil
 	switch {
 	case e.DiskFailed:
@@ -195,7 +195,7 @@
 }
 
 // Replay returns effects that apply the entries known to be committed at start.
-func (a *Agreement) Replay() []Effect {
+func (a *Node) Replay() []Effect {
 	a.effects = nil
 	a.apply()
 	return a.effects
@@ -203,7 +203,7 @@
 
 // Propose appends a command to the log and returns its entry. The change is
 // committed if the entry applied at that index has the same term.
-func (a *Agreement) Propose(now time.Time, data []byte) (Entry, []Effect, error) {
+func (a *Node) Propose(now time.Time, data []byte) (Entry, []Effect, error) {
 	if a.role != Leader {
 		return Entry{}, nil, &NotLeaderError{Leader: a.voter(a.leader)}
 	}
@@ -213,11 +213,11 @@
 	return e, a.effects, nil
 }
 
-func (a *Agreement) lastIndex() uint64 { return a.snapshot.Index + uint64(len(a.entries)) }
+func (a *Node) lastIndex() uint64 { return a.snapshot.Index + uint64(len(a.entries)) }
 
 // termAt returns the term of the entry at an index, and false if the log does
 // not hold that entry.
-func (a *Agreement) termAt(i uint64) (uint64, bool) {
+func (a *Node) termAt(i uint64) (uint64, bool) {
 	switch {
 	case i == a.snapshot.Index:
 		return a.snapshot.Term, true
@@ -228,7 +228,7 @@
 	}
 }
 
-func (a *Agreement) lastTerm() uint64 {
+func (a *Node) lastTerm() uint64 {
 	t, _ := a.termAt(a.lastIndex())
 	return t
 }
@@ -239,7 +239,7 @@
 const bytesPerMessage = 1 << 20
 
 // entriesFrom returns entries from an index on, up to a count and a total size.
-func (a *Agreement) entriesFrom(i uint64, limit int) []Entry {
+func (a *Node) entriesFrom(i uint64, limit int) []Entry {
 	es := a.entries[i-a.snapshot.Index-1:]
 	n, size := 0, 0
 	for n < min(len(es), limit) && (n == 0 || size+len(es[n].Data) <= bytesPerMessage) {
@@ -249,12 +249,12 @@
 	return slices.Clone(es[:n])
 }
 
-func (a *Agreement) resetElectionDeadline(now time.Time) {
+func (a *Node) resetElectionDeadline(now time.Time) {
 	spread := time.Duration(a.rng.Int64N(int64(a.settings.Election)))
 	a.electionDeadline = now.Add(a.settings.Election + spread)
 }
 
-func (a *Agreement) send(m Message) {
+func (a *Node) send(m Message) {
 	m.From, m.Address = a.settings.Self.Id, a.settings.Self.Address
 	if m.Term == 0 {
 		m.Term = a.vote.Term
@@ -263,21 +263,21 @@
 }
 
 // persist writes a vote or entries to disk and sends the messages after that.
-func (a *Agreement) persist(p Persist) {
-	for i := range p.Then {
-		p.Then[i].From, p.Then[i].Address = a.settings.Self.Id, a.settings.Self.Address
-		p.Then[i].Term = a.vote.Term
+func (a *Node) persist(p Persist) {
+	for i := range p.SendAfterSync {
+		p.SendAfterSync[i].From, p.SendAfterSync[i].Address = a.settings.Self.Id, a.settings.Self.Address
+		p.SendAfterSync[i].Term = a.vote.Term
 	}
 	a.effects = append(a.effects, Effect{Persist: &p})
 }
 
-func (a *Agreement) setVote(term uint64, candidate string, then ...Message) {
+func (a *Node) setVote(term uint64, candidate string, then ...Message) {
 	a.vote = Vote{Term: term, For: candidate}
 	v := a.vote
-	a.persist(Persist{Vote: &v, Then: then})
+	a.persist(Persist{Vote: &v, SendAfterSync: then})
 }
 
-func (a *Agreement) tick(now time.Time) {
+func (a *Node) tick(now time.Time) {
 	switch {
 	case a.role == Unfounded || !a.canVote():
 		a.sendJoinRequests(now)
@@ -289,7 +289,7 @@
 }
 
 // apply emits an Apply effect for each newly committed entry.
-func (a *Agreement) apply() {
+func (a *Node) apply() {
 	for a.applied < a.commit {
 		a.applied++
 		e := a.entries[a.applied-a.snapshot.Index-1]
@@ -298,7 +298,7 @@
 }
 
 // compact replaces the applied entries by a snapshot.
-func (a *Agreement) compact(data []byte) {
+func (a *Node) compact(data []byte) {
 	if a.applied <= a.snapshot.Index {
 		return
 	}
@@ -310,13 +310,13 @@
 	a.persistSnapshot()
 }
 
-func (a *Agreement) persistSnapshot(then ...Message) {
+func (a *Node) persistSnapshot(then ...Message) {
 	s, v := a.snapshot, a.vote
-	a.persist(Persist{Vote: &v, Snapshot: &s, Entries: a.entries, Then: then})
+	a.persist(Persist{Vote: &v, Snapshot: &s, Entries: a.entries, SendAfterSync: then})
 }
 
 // persisted counts this voter's own disk towards the majority once it is synced.
-func (a *Agreement) persisted(now time.Time, index uint64) {
+func (a *Node) persisted(now time.Time, index uint64) {
 	a.durableIndex = max(a.durableIndex, min(index, a.lastIndex()))
 	if a.role == Leader {
 		a.advanceCommit(now)
--- a/internal/control/agreement/agreement_test.go
+++ b/internal/control/agreement/agreement_test.go
@@ -47,8 +47,8 @@
 	cluster  *cluster
 	name, id string
 	disk     *fault.Folder
-	wal      *wal.Wal
-	state    *agreement.Agreement
+	wal      *wal.Log
+	state    *agreement.Node
 	ledger   *ledger.Ledger
 	up       bool
 	applied  uint64
@@ -149,7 +149,7 @@
 		n.up = false
 		return
 	}
-	for _, m := range p.Then {
+	for _, m := range p.SendAfterSync {
 		n.cluster.send(m)
 	}
 	last := uint64(0)
@@ -260,7 +260,7 @@
 func (c *cluster) checkLease() {
 	current := 0
 	for _, name := range c.names {
-		if n := c.nodes[name]; n.up && n.state.Current(c.now) {
+		if n := c.nodes[name]; n.up && n.state.HoldsLease(c.now) {
 			current++
 		}
 	}
@@ -269,7 +269,7 @@
 
 func (c *cluster) leader() *node {
 	for _, name := range c.names {
-		if n := c.nodes[name]; n.up && n.state.Current(c.now) {
+		if n := c.nodes[name]; n.up && n.state.HoldsLease(c.now) {
 			return n
 		}
 	}
@@ -324,7 +324,7 @@
 		require.Equal(c.t, c.leader().applied, n.applied, "%s did not catch up", name)
 		require.Equal(c.t, c.leader().ledger.Current(), n.ledger.Current())
 		for key, a := range c.results {
-			got, ok := n.ledger.Answered(key)
+			got, ok := n.ledger.StoredAnswer(key)
 			require.True(c.t, ok, "%s lost the committed change %s", name, key)
 			require.Equal(c.t, a, got)
 		}
@@ -374,7 +374,7 @@
 		_ = c.propose(n, key, expect, rapid.SampledFrom([]string{"a", "b", "none"}).Draw(t, "preset"))
 	case 10:
 		if n.up {
-			n.execute(n.state.HandOver(c.now))
+			n.execute(n.state.TransferLeadership(c.now))
 		}
 	case 11:
 		if commit := n.state.Commit(); n.up && commit > 0 {
--- a/internal/control/agreement/durable.go
+++ b/internal/control/agreement/durable.go
@@ -50,8 +50,8 @@
 	Learner bool
 }
 
-// Durable is the state that a voter reads from its disk at start.
-type Durable struct {
+// PersistentState is the state that a voter reads from its disk at start.
+type PersistentState struct {
 	Vote     Vote
 	Snapshot Snapshot
 	Entries  []Entry
@@ -67,7 +67,7 @@
 }
 
 // Put adds an entry and drops all entries from its index on.
-func (d *Durable) Put(e Entry) error {
+func (d *PersistentState) Put(e Entry) error {
 	next := d.Snapshot.Index + uint64(len(d.Entries)) + 1
 	if e.Index > next {
 		return &OrderError{Index: e.Index, Expected: next}
@@ -84,6 +84,6 @@
 	Snapshot *Snapshot
 	// Commit is stored so that a voter that restarts in a partition still knows
 	// which configuration was in force.
-	Commit uint64
-	Then   []Message
+	Commit        uint64
+	SendAfterSync []Message
 }
--- a/internal/control/agreement/election.go
+++ b/internal/control/agreement/election.go
@@ -9,13 +9,13 @@
 )
 
 // sendJoinRequests asks to bootstrap the cluster or to be added to its voters.
-func (a *Agreement) sendJoinRequests(now time.Time) {
+func (a *Node) sendJoinRequests(now time.Time) {
 	if now.Sub(a.lastHeartbeat) < a.settings.Heartbeat {
 		return
 	}
 	a.lastHeartbeat = now
 	contacted := map[string]bool{a.settings.Self.Name: true}
-	for _, f := range slices.Concat(a.settings.Founders, a.settings.Meet, a.voters) {
+	for _, f := range slices.Concat(a.settings.Founders, a.settings.JoinTargets, a.voters) {
 		if !contacted[f.Name] {
 			contacted[f.Name] = true
 			a.send(Message{Kind: JoinRequest, To: f.Name, Voter: a.settings.Self, Granted: a.role != Unfounded})
@@ -26,8 +26,8 @@
 
 // bootstrap writes the initial list of voters once all founders have reported an
 // empty disk: a founder that does not respond may already hold a log.
-func (a *Agreement) bootstrap(now time.Time) {
-	if a.role != Unfounded || a.settings.Joins {
+func (a *Node) bootstrap(now time.Time) {
+	if a.role != Unfounded || a.settings.JoinOnly {
 		return
 	}
 	voters := []Voter{a.settings.Self}
@@ -50,7 +50,7 @@
 	}
 }
 
-func (a *Agreement) bootstrapWith(now time.Time, voters []Voter) {
+func (a *Node) bootstrapWith(now time.Time, voters []Voter) {
 	data, _ := cbor.Marshal(voters)
 	a.role = Follower
 	a.vote = Vote{Term: 1}
@@ -62,7 +62,7 @@
 	a.resetElectionDeadline(now)
 }
 
-func (a *Agreement) receive(now time.Time, m Message) {
+func (a *Node) receive(now time.Time, m Message) {
 	if m.To != a.settings.Self.Id && m.To != a.settings.Self.Name {
 		// A voter whose disk was replaced remains in the list under its former id
 		// and the same address. Without this check, a leader would receive its own
@@ -113,13 +113,13 @@
 }
 
 // rejectStaleTerm informs a leader of an older term that its term is over.
-func (a *Agreement) rejectStaleTerm(m Message) {
+func (a *Node) rejectStaleTerm(m Message) {
 	if m.Kind == AppendEntries || m.Kind == InstallSnapshot {
 		a.send(Message{Kind: AppendEntriesResponse, To: m.From, Index: a.lastIndex()})
 	}
 }
 
-func (a *Agreement) receiveJoinRequest(now time.Time, m Message) {
+func (a *Node) receiveJoinRequest(now time.Time, m Message) {
 	a.joinRequests[m.Voter.Name] = joinRequest{voter: m.Voter, bootstrapped: m.Granted, receivedAt: now}
 	switch {
 	case a.role == Leader:
@@ -136,7 +136,7 @@
 	}
 }
 
-func (a *Agreement) receiveBootstrap(now time.Time, m Message) {
+func (a *Node) receiveBootstrap(now time.Time, m Message) {
 	if a.role != Unfounded {
 		return
 	}
@@ -156,14 +156,14 @@
 
 // hasActiveLeader reports whether a leader message arrived within the election timeout;
 // for the leader itself, whether its lease holds.
-func (a *Agreement) hasActiveLeader(now time.Time) bool {
+func (a *Node) hasActiveLeader(now time.Time) bool {
 	if a.role == Leader {
 		return now.Before(a.leaseEnd(now))
 	}
 	return a.leader != "" && now.Sub(a.lastLeaderContact) < a.settings.Election
 }
 
-func (a *Agreement) stepDown(now time.Time, term uint64) {
+func (a *Node) stepDown(now time.Time, term uint64) {
 	if term > a.vote.Term {
 		a.setVote(term, "")
 	}
@@ -177,7 +177,7 @@
 
 // startPreVote requests pre-votes, so that a voter that returns from a partition
 // does not raise the term of all others.
-func (a *Agreement) startPreVote(now time.Time) {
+func (a *Node) startPreVote(now time.Time) {
 	a.resetElectionDeadline(now)
 	a.leader = ""
 	a.role = Candidate
@@ -193,14 +193,14 @@
 }
 
 // isUpToDate reports whether the sender's log is at least as complete as this one.
-func (a *Agreement) isUpToDate(m Message) bool {
+func (a *Node) isUpToDate(m Message) bool {
 	if m.LogTerm != a.lastTerm() {
 		return m.LogTerm > a.lastTerm()
 	}
 	return m.Index >= a.lastIndex()
 }
 
-func (a *Agreement) receivePreVote(now time.Time, m Message) {
+func (a *Node) receivePreVote(now time.Time, m Message) {
 	if a.voter(m.From).Id == "" && m.Voter.Id != "" && a.role != Unfounded {
 		// A voter that was removed during a partition still has the old list and
 		// requests votes forever; treat the request as a join request.
@@ -214,7 +214,7 @@
 	a.send(Message{Kind: PreVoteResponse, To: m.From, Term: term, Granted: granted})
 }
 
-func (a *Agreement) receivePreVoteResponse(now time.Time, m Message) {
+func (a *Node) receivePreVoteResponse(now time.Time, m Message) {
 	if !m.Granted && m.Term > a.vote.Term {
 		// Otherwise a voter with a newer term and a shorter log would reject the
 		// voter with the most complete log forever.
@@ -228,20 +228,20 @@
 	a.checkPreVotes(now)
 }
 
-func (a *Agreement) countVotes() int {
+func (a *Node) countVotes() int {
 	return lo.CountBy(a.voters, func(v Voter) bool { return !v.Learner && a.votes[v.Id] })
 }
 
-func (a *Agreement) checkPreVotes(now time.Time) {
+func (a *Node) checkPreVotes(now time.Time) {
 	if a.countVotes() >= a.quorum() {
 		a.campaign(now, false)
 	}
 }
 
-// HandOver makes a leader that is about to stop transfer leadership to the
+// TransferLeadership makes a leader that is about to stop transfer leadership to the
 // follower with the most complete log. Without it, each planned stop would block
 // all changes for an election timeout.
-func (a *Agreement) HandOver(now time.Time) []Effect {
+func (a *Node) TransferLeadership(now time.Time) []Effect {
 	a.effects = nil
 	if a.role != Leader {
 		return nil
@@ -257,7 +257,7 @@
 	return a.effects
 }
 
-func (a *Agreement) receiveTimeoutNow(now time.Time, m Message) {
+func (a *Node) receiveTimeoutNow(now time.Time, m Message) {
 	if a.role == Follower && a.leader == m.From && a.canVote() {
 		a.role = Candidate
 		a.campaign(now, true)
@@ -266,7 +266,7 @@
 
 // campaign requests votes in a new term. In a leadership transfer, voters grant
 // them even though the leader was active recently.
-func (a *Agreement) campaign(now time.Time, transfer bool) {
+func (a *Node) campaign(now time.Time, transfer bool) {
 	a.preVoting = false
 	a.leader = ""
 	a.resetElectionDeadline(now)
@@ -284,7 +284,7 @@
 // the candidate's list decides. Otherwise a voter that was just promoted and has
 // not received that list could be missing from the majority forever. A replaced
 // disk cannot vote for its predecessor, since it has a different id.
-func (a *Agreement) receiveRequestVote(now time.Time, m Message) {
+func (a *Node) receiveRequestVote(now time.Time, m Message) {
 	canGrant := a.vote.For == "" || a.vote.For == m.From
 	if !canGrant || !a.isUpToDate(m) || a.role == Leader {
 		return
@@ -293,7 +293,7 @@
 	a.setVote(m.Term, m.From, Message{Kind: VoteResponse, To: m.From, Granted: true})
 }
 
-func (a *Agreement) receiveVoteResponse(now time.Time, m Message) {
+func (a *Node) receiveVoteResponse(now time.Time, m Message) {
 	if a.role != Candidate || a.preVoting || !m.Granted {
 		return
 	}
--- a/internal/control/agreement/failures_test.go
+++ b/internal/control/agreement/failures_test.go
@@ -73,7 +73,7 @@
 	_ = c.propose(former, "lost", 1, "b")
 	c.run(5 * time.Second)
 	require.NotContains(t, c.results, "lost")
-	require.False(t, former.state.Current(c.now))
+	require.False(t, former.state.HoldsLease(c.now))
 	require.NotNil(t, c.leader())
 	require.NotSame(t, former, c.leader())
 	clear(c.partitioned)
--- a/internal/control/agreement/lease.go
+++ b/internal/control/agreement/lease.go
@@ -7,9 +7,9 @@
 	"github.com/samber/lo"
 )
 
-// Current reports whether this voter is the leader and holds a lease, and so has
+// HoldsLease reports whether this voter is the leader and holds a lease, and so has
 // every committed change: a majority elects no other leader until the lease ends.
-func (a *Agreement) Current(now time.Time) bool {
+func (a *Node) HoldsLease(now time.Time) bool {
 	return a.role == Leader && a.commit >= a.termStartIndex && now.Before(a.leaseEnd(now))
 }
 
@@ -18,19 +18,19 @@
 const leaseFraction = 0.8
 
 // leaseEnd returns when the leader's lease ends.
-func (a *Agreement) leaseEnd(now time.Time) time.Time {
+func (a *Node) leaseEnd(now time.Time) time.Time {
 	return a.quorumAckTime(now).Add(time.Duration(float64(a.settings.Election) * leaseFraction))
 }
 
 // ConfirmedSince reports whether this voter was still the leader after a given
 // time: a majority acknowledged a message sent later. A lease alone does not make
 // reads safe, since a suspended VM does not notice that its lease expired.
-func (a *Agreement) ConfirmedSince(now, since time.Time) bool {
+func (a *Node) ConfirmedSince(now, since time.Time) bool {
 	return a.role == Leader && a.commit >= a.termStartIndex && !a.quorumAckTime(now).Before(since)
 }
 
-// Confirm contacts the followers without waiting for the next heartbeat.
-func (a *Agreement) Confirm(now time.Time) []Effect {
+// SendHeartbeats contacts the followers without waiting for the next heartbeat.
+func (a *Node) SendHeartbeats(now time.Time) []Effect {
 	a.effects = nil
 	if a.role == Leader {
 		a.replicateIdle(now)
@@ -39,10 +39,10 @@
 }
 
 // Commit returns the highest index known to be committed.
-func (a *Agreement) Commit() uint64 { return a.commit }
+func (a *Node) Commit() uint64 { return a.commit }
 
 // quorumAckTime returns the latest send time that a majority has acknowledged.
-func (a *Agreement) quorumAckTime(now time.Time) time.Time {
+func (a *Node) quorumAckTime(now time.Time) time.Time {
 	times := lo.FilterMap(a.voters, func(v Voter, _ int) (time.Time, bool) {
 		switch p := a.progress[v.Id]; {
 		case v.Learner:
--- a/internal/control/agreement/members.go
+++ b/internal/control/agreement/members.go
@@ -8,26 +8,26 @@
 	"github.com/samber/lo"
 )
 
-func (a *Agreement) self() Voter { return a.voter(a.settings.Self.Id) }
+func (a *Node) self() Voter { return a.voter(a.settings.Self.Id) }
 
 // canVote reports whether this voter is in the list as a full voter. A voter with
 // a replaced disk is not: it has lost its votes and entries, and its vote could
 // help to elect a leader without committed entries.
-func (a *Agreement) canVote() bool {
+func (a *Node) canVote() bool {
 	v := a.self()
 	return v.Id != "" && !v.Learner
 }
 
-func (a *Agreement) peers() []Voter {
+func (a *Node) peers() []Voter {
 	return lo.Filter(a.voters, func(v Voter, _ int) bool { return v.Id != a.settings.Self.Id })
 }
 
-func (a *Agreement) quorum() int { return a.quorumOf(len(a.voting())) }
+func (a *Node) quorum() int { return a.quorumOf(len(a.voting())) }
 
-func (a *Agreement) quorumOf(voters int) int { return voters/2 + 1 }
+func (a *Node) quorumOf(voters int) int { return voters/2 + 1 }
 
 // adoptVoters puts a list of voters in force as soon as it is in the log.
-func (a *Agreement) adoptVoters(e Entry) {
+func (a *Node) adoptVoters(e Entry) {
 	if e.Kind != Voters {
 		return
 	}
@@ -38,7 +38,7 @@
 }
 
 // recomputeVoters finds the list in force after entries were truncated.
-func (a *Agreement) recomputeVoters() {
+func (a *Node) recomputeVoters() {
 	a.voters, a.votersAt = a.snapshot.Voters, a.snapshot.Index
 	for _, e := range a.entries {
 		a.adoptVoters(e)
@@ -46,7 +46,7 @@
 }
 
 // votersAtIndex returns the list of voters in force at an index.
-func (a *Agreement) votersAtIndex(index uint64) []Voter {
+func (a *Node) votersAtIndex(index uint64) []Voter {
 	vs := a.snapshot.Voters
 	for _, e := range a.entries {
 		if e.Index <= index && e.Kind == Voters {
@@ -58,7 +58,7 @@
 
 // addLearner adds a voter that is not in the list as a learner; it is promoted
 // once it has the log.
-func (a *Agreement) addLearner(now time.Time, v Voter) {
+func (a *Node) addLearner(now time.Time, v Voter) {
 	if a.voterChangePending() || a.commit < a.termStartIndex || a.voter(v.Id).Id != "" {
 		return
 	}
@@ -73,7 +73,7 @@
 }
 
 // timeSinceAck returns the time since a follower last acknowledged a message.
-func (a *Agreement) timeSinceAck(now time.Time, v Voter) time.Duration {
+func (a *Node) timeSinceAck(now time.Time, v Voter) time.Duration {
 	since := a.leaderSince
 	if p := a.progress[v.Id]; p != nil && p.ackedSendTime.After(since) {
 		since = p.ackedSendTime
@@ -81,7 +81,7 @@
 	return now.Sub(since)
 }
 
-func (a *Agreement) removeVoter(now time.Time, v Voter) {
+func (a *Node) removeVoter(now time.Time, v Voter) {
 	a.proposeVoters(now, lo.Filter(a.voters, func(o Voter, _ int) bool { return o.Id != v.Id }))
 }
 
@@ -94,7 +94,7 @@
 // forever. The voter is added again if it returns. The list keeps enough voters to
 // retain a majority after Tolerate losses: while two of six voters are partitioned
 // for some seconds, the loss of two disks among the other four must not be fatal.
-func (a *Agreement) removeUnreachable(now time.Time) {
+func (a *Node) removeUnreachable(now time.Time) {
 	if a.quorumOf(len(a.voting())-1)+a.settings.Tolerate > len(a.voting())-1 {
 		return
 	}
@@ -110,7 +110,7 @@
 // removalTimeout returns how long a voter may be unreachable before it is
 // removed. It is shorter for a voter that has a successor of the same name: its
 // disk was replaced, so it never responds again.
-func (a *Agreement) removalTimeout(v Voter) time.Duration {
+func (a *Node) removalTimeout(v Voter) time.Duration {
 	if lo.ContainsBy(a.voting(), func(o Voter) bool { return o.Name == v.Name && o.Id != v.Id }) {
 		return a.settings.Election
 	}
@@ -118,17 +118,17 @@
 }
 
 // voting returns the voters that are not learners.
-func (a *Agreement) voting() []Voter {
+func (a *Node) voting() []Voter {
 	return lo.Filter(a.voters, func(v Voter, _ int) bool { return !v.Learner })
 }
 
 // voterChangePending reports whether a change of voters is not yet committed.
-func (a *Agreement) voterChangePending() bool { return a.votersAt > a.commit }
+func (a *Node) voterChangePending() bool { return a.votersAt > a.commit }
 
 // updateVoters proposes the next change of voters, if any. A learner that has
 // caught up is promoted before an unreachable voter is removed, so that the list
 // is not shorter than necessary.
-func (a *Agreement) updateVoters(now time.Time) {
+func (a *Node) updateVoters(now time.Time) {
 	if a.voterChangePending() || a.commit < a.termStartIndex {
 		return
 	}
@@ -143,13 +143,13 @@
 	a.removeUnreachable(now)
 }
 
-func (a *Agreement) proposeVoters(now time.Time, vs []Voter) {
+func (a *Node) proposeVoters(now time.Time, vs []Voter) {
 	data, _ := cbor.Marshal(vs)
 	a.append(now, Voters, data)
 }
 
 // Remove removes a voter from the list.
-func (a *Agreement) Remove(now time.Time, name string) ([]Effect, error) {
+func (a *Node) Remove(now time.Time, name string) ([]Effect, error) {
 	if a.role != Leader {
 		return nil, &NotLeaderError{Leader: a.voter(a.leader)}
 	}
@@ -165,7 +165,7 @@
 
 // Addresses returns the sorted addresses of this voter, the voters in the list
 // and the senders of recent join requests.
-func (a *Agreement) Addresses(now time.Time) []string {
+func (a *Node) Addresses(now time.Time) []string {
 	known := []string{a.settings.Self.Address}
 	for _, v := range a.voters {
 		known = append(known, v.Address)
@@ -179,28 +179,28 @@
 	return slices.Compact(known)
 }
 
-// Voting returns the addresses of the voters that have a vote. It is empty while
+// VotingAddresses returns the addresses of the voters that have a vote. It is empty while
 // there is no list of voters: with an empty disk or before the bootstrap.
-func (a *Agreement) Voting() []string {
+func (a *Node) VotingAddresses() []string {
 	return lo.Map(a.voting(), func(v Voter, _ int) string { return v.Address })
 }
 
-// Meet adds a voter to which join requests are sent.
-func (a *Agreement) Meet(v Voter) {
-	if !lo.ContainsBy(a.settings.Meet, func(o Voter) bool { return o.Name == v.Name }) {
-		a.settings.Meet = append(slices.Clone(a.settings.Meet), v)
+// AddJoinTarget adds a voter to which join requests are sent.
+func (a *Node) AddJoinTarget(v Voter) {
+	if !lo.ContainsBy(a.settings.JoinTargets, func(o Voter) bool { return o.Name == v.Name }) {
+		a.settings.JoinTargets = append(slices.Clone(a.settings.JoinTargets), v)
 	}
 }
 
 // AddressOf returns the address of a voter that sent a join request, by id, or of
 // one that join requests are sent to, by name.
-func (a *Agreement) AddressOf(id string) string {
+func (a *Node) AddressOf(id string) string {
 	for _, h := range a.joinRequests {
 		if h.voter.Id == id {
 			return h.voter.Address
 		}
 	}
-	for _, v := range a.settings.Meet {
+	for _, v := range a.settings.JoinTargets {
 		if v.Name == id {
 			return v.Address
 		}
--- a/internal/control/agreement/members_test.go
+++ b/internal/control/agreement/members_test.go
@@ -31,7 +31,7 @@
 // Guards against a cluster that accepts no changes although two of three machines
 // run. Each machine in turn is replaced by an empty one at another address. If
 // the old voters stay in the list, the majority counts them: two of five in the end.
-func TestMachinesThatAreGoneLeaveTheList(t *testing.T) {
+func TestUnreachableVotersAreRemoved(t *testing.T) {
 	c := bootstrappedCluster(t)
 	for _, step := range []struct{ removed, replacement string }{{"v1", "v4"}, {"v2", "v5"}, {"v3", "v6"}} {
 		c.nodes[step.removed].crash()
@@ -76,7 +76,7 @@
 	c.run(10 * time.Second)
 	require.NotNil(t, c.leader())
 	former.up = true
-	require.True(t, former.state.Current(suspendedAt), "the lease holds by the suspended clock")
+	require.True(t, former.state.HoldsLease(suspendedAt), "the lease holds by the suspended clock")
 	require.False(t, former.state.ConfirmedSince(suspendedAt, suspendedAt.Add(time.Millisecond)))
 	current := c.leader()
 	since := c.now
@@ -110,7 +110,7 @@
 func TestStoppingLeaderTransfersLeadership(t *testing.T) {
 	c := bootstrappedCluster(t)
 	former := c.leader()
-	former.execute(former.state.HandOver(c.now))
+	former.execute(former.state.TransferLeadership(c.now))
 	c.run(600 * time.Millisecond) // the minimum election timeout is one second
 	require.NotNil(t, c.leader())
 	require.NotSame(t, former, c.leader())
@@ -123,7 +123,7 @@
 // A voter with a replaced disk is promoted, and the leader fails before that
 // voter receives the new list. The others need its vote, but by its own list it
 // has none.
-func TestVoterVotesBeforeItKnowsThatItMay(t *testing.T) {
+func TestPromotedVoterVotesBeforeReceivingNewList(t *testing.T) {
 	c := bootstrappedCluster(t)
 	leader := c.leader()
 	replaced := c.others(leader)[0]
@@ -160,7 +160,7 @@
 // Guards against a crash with "at most one leader per term" (soak, seed 211). A
 // voter with a replaced disk becomes the leader while its former id, at the same
 // address, is still in the list, and so receives its own messages to that id.
-func TestMessageToAFormerIdIsIgnored(t *testing.T) {
+func TestMessageToFormerIdIsIgnored(t *testing.T) {
 	c := bootstrappedCluster(t)
 	leader := c.leader()
 	s := leader.state.Status(c.now)
--- a/internal/control/agreement/replication.go
+++ b/internal/control/agreement/replication.go
@@ -8,7 +8,7 @@
 )
 
 // append adds an entry to the leader's log and replicates it.
-func (a *Agreement) append(now time.Time, kind EntryKind, data []byte) Entry {
+func (a *Node) append(now time.Time, kind EntryKind, data []byte) Entry {
 	e := Entry{Index: a.lastIndex() + 1, Term: a.vote.Term, Kind: kind, Data: data}
 	a.entries = append(a.entries, e)
 	a.adoptVoters(e)
@@ -18,7 +18,7 @@
 }
 
 // replicateIdle sends entries to each follower without a message in flight.
-func (a *Agreement) replicateIdle(now time.Time) {
+func (a *Node) replicateIdle(now time.Time) {
 	for _, v := range a.peers() {
 		if p := a.progressOf(v.Id); !p.pending {
 			a.replicate(now, v.Id, p)
@@ -27,7 +27,7 @@
 }
 
 // progressOf returns the progress of a follower, created on first use.
-func (a *Agreement) progressOf(id string) *progress {
+func (a *Node) progressOf(id string) *progress {
 	p := a.progress[id]
 	if p == nil {
 		p = &progress{next: a.lastIndex() + 1}
@@ -37,7 +37,7 @@
 }
 
 // tickLeader sends heartbeats, and steps down if a majority does not respond.
-func (a *Agreement) tickLeader(now time.Time) {
+func (a *Node) tickLeader(now time.Time) {
 	if now.Sub(a.lastHeartbeat) < a.settings.Heartbeat {
 		return
 	}
@@ -57,7 +57,7 @@
 
 // replicate sends a follower its missing entries, with one message in flight. A
 // lost message is retried with the next heartbeat.
-func (a *Agreement) replicate(now time.Time, id string, p *progress) {
+func (a *Node) replicate(now time.Time, id string, p *progress) {
 	previous := p.next - 1
 	term, kept := a.termAt(previous)
 	if !kept {
@@ -72,7 +72,7 @@
 	})
 }
 
-func (a *Agreement) sendSnapshot(now time.Time, id string, p *progress) {
+func (a *Node) sendSnapshot(now time.Time, id string, p *progress) {
 	if now.Sub(p.snapshotSentAt) < snapshotInterval {
 		return
 	}
@@ -83,7 +83,7 @@
 }
 
 // followLeader records a message of the current leader and resets the timeout.
-func (a *Agreement) followLeader(now time.Time, m Message) {
+func (a *Node) followLeader(now time.Time, m Message) {
 	a.leader = m.From
 	a.lastLeaderContact = now
 	a.role = Follower
@@ -91,7 +91,7 @@
 	a.resetElectionDeadline(now)
 }
 
-func (a *Agreement) receiveAppendEntries(now time.Time, m Message) {
+func (a *Node) receiveAppendEntries(now time.Time, m Message) {
 	if a.role == Leader {
 		panic(&BrokenPromiseError{Invariant: "at most one leader per term"})
 	}
@@ -108,11 +108,11 @@
 		a.send(response)
 		return
 	}
-	a.persist(Persist{Entries: added, Then: []Message{response}})
+	a.persist(Persist{Entries: added, SendAfterSync: []Message{response}})
 }
 
 // mergeEntries adds entries to the log and returns the new ones.
-func (a *Agreement) mergeEntries(entries []Entry) []Entry {
+func (a *Node) mergeEntries(entries []Entry) []Entry {
 	for i, e := range entries {
 		if e.Index <= a.snapshot.Index {
 			continue
@@ -131,7 +131,7 @@
 	return nil
 }
 
-func (a *Agreement) receiveInstallSnapshot(now time.Time, m Message) {
+func (a *Node) receiveInstallSnapshot(now time.Time, m Message) {
 	a.followLeader(now, m)
 	s := *m.Snapshot
 	response := Message{Kind: AppendEntriesResponse, To: m.From, Index: s.Index, Granted: true, Sent: m.Sent}
@@ -147,7 +147,7 @@
 	a.persistSnapshot(response)
 }
 
-func (a *Agreement) receiveAppendEntriesResponse(now time.Time, m Message) {
+func (a *Node) receiveAppendEntriesResponse(now time.Time, m Message) {
 	if a.role != Leader {
 		return
 	}
@@ -170,7 +170,7 @@
 // replicateCommit sends followers missing entries and the new commit index at
 // once. A follower that learned of a commit only with the next heartbeat delayed
 // the balancers that follow it by a quarter of a second.
-func (a *Agreement) replicateCommit(now time.Time) {
+func (a *Node) replicateCommit(now time.Time) {
 	for _, v := range a.peers() {
 		p := a.progressOf(v.Id)
 		if !p.pending && (p.next <= a.lastIndex() || p.sentCommit < a.commit) {
@@ -181,7 +181,7 @@
 
 // advanceCommit commits entries that a majority has synced, in the leader's own
 // term only: an older entry may still be replaced (Ongaro, 2014, 3.6.2).
-func (a *Agreement) advanceCommit(now time.Time) {
+func (a *Node) advanceCommit(now time.Time) {
 	matches := lo.FilterMap(a.voters, func(v Voter, _ int) (uint64, bool) {
 		if v.Id == a.settings.Self.Id {
 			return a.durableIndex, !v.Learner
--- a/internal/control/audit/audit.go
+++ b/internal/control/audit/audit.go
@@ -77,8 +77,8 @@
 	}
 }
 
-// Deny appends a call that was rejected for a missing or wrong token.
-func (t *Trail) Deny(now time.Time, method string) {
+// WriteDenied appends a call that was rejected for a missing or wrong token.
+func (t *Trail) WriteDenied(now time.Time, method string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.append(Line{Record: ledger.Record{When: now, Verdict: Refused, Reason: method}})
--- a/internal/control/feed/answer.go
+++ b/internal/control/feed/answer.go
@@ -13,7 +13,7 @@
 )
 
 // Since answers a long poll: at once if there are updates, otherwise on the next update or after q.Hold.
-func (f *Feed) Since(ctx context.Context, q Question) Answer {
+func (f *Feed) Since(ctx context.Context, q Request) Response {
 	hold := time.NewTimer(q.Hold)
 	defer hold.Stop()
 	for {
@@ -57,13 +57,13 @@
 }
 
 // Configuration returns the deltas from a held revision to the newest, or the whole configuration.
-func (f *Feed) Configuration(revision uint64) history.Answer {
+func (f *Feed) Configuration(revision uint64) history.Response {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.since(revision)
 }
 
-func (f *Feed) since(revision uint64) history.Answer {
+func (f *Feed) since(revision uint64) history.Response {
 	a := f.history.Since(revision)
 	if len(a.Deltas) > maxDeltas {
 		return f.history.Since(0)
@@ -83,7 +83,7 @@
 
 // attachEncodedNotices adds all notices to an answer in encoded form, cached across balancers. It
 // reports false if the balancer asks for changes only or does not accept that form.
-func (f *Feed) attachEncodedNotices(now time.Time, q Question, version uint64, a *Answer) bool {
+func (f *Feed) attachEncodedNotices(now time.Time, q Request, version uint64, a *Response) bool {
 	if version != 0 || !q.Encoded {
 		return false
 	}
@@ -102,7 +102,7 @@
 
 // Decoded returns the answer with all notices decoded into Notices. Those that the voter received
 // itself come last, so that they override those of other voters.
-func (a Answer) Decoded() (Answer, error) {
+func (a Response) Decoded() (Response, error) {
 	var remoteUpstreams, own []directory.Notice
 	if len(a.Elsewhere) > 0 {
 		if err := cbor.Unmarshal(a.Elsewhere, &remoteUpstreams); err != nil {
@@ -119,7 +119,7 @@
 	return a, nil
 }
 
-func (f *Feed) answer(q Question) (Answer, bool, chan struct{}) {
+func (f *Feed) answer(q Request) (Response, bool, chan struct{}) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	version := q.Version
@@ -127,7 +127,7 @@
 		version = 0
 	}
 	now := f.clock()
-	a := Answer{
+	a := Response{
 		Revision: f.history.Current().Revision, Life: f.life, Version: f.directory.Version(), Members: f.members,
 		DoubtsVersion: f.doubtsVersion(), Zone: f.zone,
 	}
--- a/internal/control/feed/feed.go
+++ b/internal/control/feed/feed.go
@@ -17,7 +17,7 @@
 	"wasabideal/internal/model/upstream"
 	"wasabideal/internal/silence/accrual"
 	"wasabideal/internal/silence/confirmation"
-	"wasabideal/internal/silence/word"
+	"wasabideal/internal/silence/evidence"
 	"wasabideal/internal/upstream/directory"
 	"wasabideal/internal/upstream/handover"
 	"wasabideal/internal/wire/rpc"
@@ -51,8 +51,8 @@
 // whole configuration is shorter.
 const maxDeltas = 64
 
-// Question is a long-poll request of a balancer.
-type Question struct {
+// Request is a long-poll request of a balancer.
+type Request struct {
 	// Revision is the newest configuration revision known to the balancer.
 	Revision uint64
 	// Life and Version identify the state of the voter's directory that the balancer
@@ -84,8 +84,8 @@
 	Evacuations uint64
 }
 
-// Answer holds the updates after the state given in a Question.
-type Answer struct {
+// Response holds the updates after the state given in a Question.
+type Response struct {
 	// Revision is the revision of the newest configuration.
 	Revision uint64
 	// Life changes when the voter restarts.
@@ -96,13 +96,13 @@
 	Encoded cbor.RawMessage `cbor:",omitempty"`
 	// Elsewhere holds the encoded notices of other voters, for a starting balancer.
 	Elsewhere cbor.RawMessage `cbor:",omitempty"`
-	// Configuration is an encoded history.Answer for a balancer without a configuration.
+	// Configuration is an encoded history.Response for a balancer without a configuration.
 	Configuration cbor.RawMessage `cbor:",omitempty"`
 	// Members are the RPC addresses of all known voters.
 	Members []string
 	// Doubts lists all upstreams that leave packets unanswered. It is set only if the
 	// request carries another Life or DoubtsVersion. DoubtsVersion rises with each change.
-	Doubts        []word.Doubt
+	Doubts        []evidence.Suspicion
 	DoubtsVersion uint64
 	// Zone is the voter's availability zone.
 	Zone string
@@ -134,13 +134,13 @@
 	pending  bool
 	// silence accrues evidence of unresponsive upstreams; evaluationScheduled is set while a
 	// timer for its next evaluation runs.
-	silence             *accrual.Accrual
+	silence             *accrual.Detector
 	evaluationScheduled bool
 	// confirmation holds the results of probes of those upstreams' hosts.
-	confirmation *confirmation.Confirmation
+	confirmation *confirmation.Confirmer
 	prober       Prober
 	// doubtsPacing limits the rate of answers with doubts.
-	doubtsPacing pacing.Pacing
+	doubtsPacing pacing.Pacer
 	// lastPoll holds the last poll of each active balancer, by name.
 	lastPoll        map[string]lastPoll
 	remoteUpstreams remoteUpstreams
@@ -177,7 +177,7 @@
 
 // Serve registers the feed's RPC methods on a server.
 func (f *Feed) Serve(r *rpc.Server, token string) {
-	rpc.Handle(r, SinceMethod, token, func(ctx context.Context, q Question) (Answer, error) { return f.Since(ctx, q), nil })
+	rpc.Handle(r, SinceMethod, token, func(ctx context.Context, q Request) (Response, error) { return f.Since(ctx, q), nil })
 	rpc.Handle(r, ConfigurationMethod, token, func(_ context.Context, revision uint64) (cbor.RawMessage, error) {
 		return f.encodedConfiguration(revision)
 	})
@@ -213,8 +213,8 @@
 	return f.services == nil || f.services[service]
 }
 
-// SetMembers sets the RPC addresses of all known voters.
-func (f *Feed) SetMembers(addresses []string) {
+// SetVoters sets the RPC addresses of all known voters.
+func (f *Feed) SetVoters(addresses []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.members = addresses
@@ -223,11 +223,11 @@
 // Announce records an upstream's announcement. It reports whether that changes the directory and
 // whether it clears a suspicion.
 func (f *Feed) Announce(now time.Time, u upstream.Upstream, cold time.Duration) (hasUpdates, clearsDoubt bool) {
-	return f.HandedOver(now, handover.Announcement{Upstream: u, Cold: cold})
+	return f.AnnounceRelayed(now, handover.Announcement{Upstream: u, Cold: cold})
 }
 
-// HandedOver records an announcement that a balancer received some time ago.
-func (f *Feed) HandedOver(now time.Time, a handover.Announcement) (hasUpdates, clearsDoubt bool) {
+// AnnounceRelayed records an announcement that a balancer received some time ago.
+func (f *Feed) AnnounceRelayed(now time.Time, a handover.Announcement) (hasUpdates, clearsDoubt bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	hasUpdates, newer := f.directory.Announce(now.Add(-a.Age), a.Upstream, a.Cold)
@@ -238,11 +238,11 @@
 	return hasUpdates, newer && a.Upstream.State != upstream.Withdrawn && f.clearDoubt(now, a)
 }
 
-// Recall restores an upstream from the state of another voter after a restart of this one.
-func (f *Feed) Recall(now time.Time, u upstream.Upstream, cold time.Duration) {
+// Restore restores an upstream from the state of another voter after a restart of this one.
+func (f *Feed) Restore(now time.Time, u upstream.Upstream, cold time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.directory.Recall(now, u, cold)
+	f.directory.Restore(now, u, cold)
 }
 
 // wakeIfDue completes polls for pending changes of upstreams if the interval since the last time
--- a/internal/control/feed/feed_test.go
+++ b/internal/control/feed/feed_test.go
@@ -15,8 +15,8 @@
 	"wasabideal/internal/fanout/members"
 	"wasabideal/internal/model/configuration"
 	"wasabideal/internal/model/upstream"
+	"wasabideal/internal/silence/evidence"
 	"wasabideal/internal/silence/probe"
-	"wasabideal/internal/silence/word"
 	"wasabideal/internal/upstream/directory"
 )
 
@@ -38,13 +38,13 @@
 // answer to each balancer.
 func TestUpstreamChangesAreBatched(t *testing.T) {
 	f := newFeed()
-	answers := make(chan feed.Answer)
-	go func() { answers <- f.Since(context.Background(), feed.Question{Life: 1, Hold: time.Hour}) }()
+	answers := make(chan feed.Response)
+	go func() { answers <- f.Since(context.Background(), feed.Request{Life: 1, Hold: time.Hour}) }()
 	f.Announce(epoch, announced(1), 0)
 	first := <-answers
 	require.Len(t, first.Notices, 1, "the first change is sent at once")
 	go func() {
-		answers <- f.Since(context.Background(), feed.Question{Life: 1, Version: first.Version, Hold: time.Hour})
+		answers <- f.Since(context.Background(), feed.Request{Life: 1, Version: first.Version, Hold: time.Hour})
 	}()
 	for n := range uint64(20) {
 		f.Announce(epoch.Add(time.Millisecond), announced(10+n), 0)
@@ -64,7 +64,7 @@
 	f.Announce(epoch, announced(1), 0)
 	f.Announce(epoch, announced(2), 0)
 	f.Publish(history.New(1).With(configuration.Configuration{Revision: 4}))
-	a := f.Since(context.Background(), feed.Question{Life: 1, Version: 1, Hold: time.Hour})
+	a := f.Since(context.Background(), feed.Request{Life: 1, Version: 1, Hold: time.Hour})
 	require.Equal(t, uint64(4), a.Revision)
 	require.Len(t, a.Notices, 1, "batched changes are included")
 	require.Nil(t, f.Configuration(4).Whole)
@@ -77,9 +77,9 @@
 func TestRecalledUpstreamsAreSentOnRequestOnly(t *testing.T) {
 	f := newFeed()
 	f.Announce(epoch, announced(1), 0)
-	f.Recall(epoch, announced(2), 0)
-	require.Len(t, f.Since(t.Context(), feed.Question{}).Notices, 1)
-	require.Len(t, f.Since(t.Context(), feed.Question{Recalled: true}).Notices, 2)
+	f.Restore(epoch, announced(2), 0)
+	require.Len(t, f.Since(t.Context(), feed.Request{}).Notices, 1)
+	require.Len(t, f.Since(t.Context(), feed.Request{Recalled: true}).Notices, 2)
 }
 
 // Guards against balancers that each have to detect a failed upstream themselves. Two balancers
@@ -88,21 +88,21 @@
 	f := newFeed()
 	f.SetProber(fixedProber(probe.Unanswered))
 	f.Announce(epoch.Add(-time.Second), announced(1), 0)
-	answers := make(chan feed.Answer)
+	answers := make(chan feed.Response)
 	ask := func(version uint64) {
-		a := f.Since(context.Background(), feed.Question{Life: 1, From: "b3", Version: f.Version(), Doubts: version, Hold: time.Hour})
+		a := f.Since(context.Background(), feed.Request{Life: 1, From: "b3", Version: f.Version(), Doubts: version, Hold: time.Hour})
 		answers <- a
 	}
 	go ask(0)
 	u := announced(1)
 	u.Sequence++
-	missed := word.Event{Incarnation: 1, Age: 200 * time.Millisecond, Weight: 5}
-	f.Report(epoch, word.Report{From: "b1", Events: []word.Event{missed, missed}})
+	missed := evidence.Event{Incarnation: 1, Age: 200 * time.Millisecond, Weight: 5}
+	f.Report(epoch, evidence.Report{From: "b1", Events: []evidence.Event{missed, missed}})
 	first := <-answers
-	require.Equal(t, word.Subject{Incarnation: 1}, first.Doubts[0].Subject)
+	require.Equal(t, evidence.Subject{Incarnation: 1}, first.Doubts[0].Subject)
 	require.False(t, first.Doubts[0].Unresponsive)
 	go ask(first.DoubtsVersion)
-	f.Report(epoch, word.Report{From: "b2", Events: []word.Event{missed}})
+	f.Report(epoch, evidence.Report{From: "b2", Events: []evidence.Event{missed}})
 	f.Tick(epoch.Add(100 * time.Millisecond))
 	second := <-answers
 	if !second.Doubts[0].Unresponsive {
@@ -130,14 +130,14 @@
 		f := newFeed()
 		f.SetProber(fixedProber(o))
 		f.Announce(epoch.Add(-time.Second), announced(1), 0)
-		missed := word.Event{Incarnation: 1, Age: 200 * time.Millisecond, Weight: 5}
+		missed := evidence.Event{Incarnation: 1, Age: 200 * time.Millisecond, Weight: 5}
 		for _, from := range []string{"b1", "b2", "b3"} {
-			f.Since(t.Context(), feed.Question{From: from})
-			f.Report(epoch, word.Report{From: from, Events: []word.Event{missed, missed}})
+			f.Since(t.Context(), feed.Request{From: from})
+			f.Report(epoch, evidence.Report{From: from, Events: []evidence.Event{missed, missed}})
 		}
 		for n := range 12 {
 			f.Tick(epoch.Add(time.Duration(n) * 100 * time.Millisecond))
-			a := f.Since(t.Context(), feed.Question{From: "b1"})
+			a := f.Since(t.Context(), feed.Request{From: "b1"})
 			require.NotEmpty(t, a.Doubts, "new flows avoid the upstream")
 			require.False(t, a.Doubts[0].Unresponsive, o.String())
 			time.Sleep(time.Millisecond)
@@ -151,18 +151,18 @@
 	f := newFeed()
 	const balancers, hold = 50, 20 * time.Millisecond
 	for i := range balancers {
-		f.Since(t.Context(), feed.Question{From: fmt.Sprint("b", i), Passing: 2})
+		f.Since(t.Context(), feed.Request{From: fmt.Sprint("b", i), Passing: 2})
 	}
-	missed := func(id uint64) word.Report {
-		e := word.Event{Incarnation: id, Age: 200 * time.Millisecond, Weight: 5}
-		return word.Report{From: "b1", Events: []word.Event{e, e}}
+	missed := func(id uint64) evidence.Report {
+		e := evidence.Event{Incarnation: id, Age: 200 * time.Millisecond, Weight: 5}
+		return evidence.Report{From: "b1", Events: []evidence.Event{e, e}}
 	}
 	f.Report(epoch, missed(1))
-	first := f.Since(t.Context(), feed.Question{From: "b1", Passing: 2})
+	first := f.Since(t.Context(), feed.Request{From: "b1", Passing: 2})
 	require.Len(t, first.Doubts, 1, "the first suspicion is sent at once")
 	f.Report(epoch, missed(2))
 	start := time.Now()
-	a := f.Since(t.Context(), feed.Question{Life: 1, From: "b1", Passing: 2, Doubts: first.DoubtsVersion, Version: first.Version, Hold: hold})
+	a := f.Since(t.Context(), feed.Request{Life: 1, From: "b1", Passing: 2, Doubts: first.DoubtsVersion, Version: first.Version, Hold: hold})
 	require.GreaterOrEqual(t, time.Since(start), hold)
 	require.Len(t, a.Doubts, 2)
 }
@@ -172,16 +172,16 @@
 func TestBalancersReceiveTheFleetOfTheirZone(t *testing.T) {
 	f := newFeed()
 	f.SetZone("a")
-	a := f.Since(t.Context(), feed.Question{From: "b1", Self: self("b1", "a")})
+	a := f.Since(t.Context(), feed.Request{From: "b1", Self: self("b1", "a")})
 	require.Equal(t, "a", a.Zone)
 	require.Len(t, a.Fleet, 1)
-	f.Since(t.Context(), feed.Question{From: "b2", Self: self("b2", "b")})
-	f.Attend(epoch, []members.Attendance{{Member: *self("b3", "a")}})
-	a = f.Since(t.Context(), feed.Question{From: "b1", Self: self("b1", "a"), Life: a.Life, Fleet: a.FleetVersion})
+	f.Since(t.Context(), feed.Request{From: "b2", Self: self("b2", "b")})
+	f.RecordFollowers(epoch, []members.Heartbeat{{Member: *self("b3", "a")}})
+	a = f.Since(t.Context(), feed.Request{From: "b1", Self: self("b1", "a"), Life: a.Life, Fleet: a.FleetVersion})
 	require.Len(t, a.Fleet, 2, "a follower is reported by its parent")
-	a = f.Since(t.Context(), feed.Question{From: "b1", Self: self("b1", "a"), Life: a.Life, Fleet: a.FleetVersion})
+	a = f.Since(t.Context(), feed.Request{From: "b1", Self: self("b1", "a"), Life: a.Life, Fleet: a.FleetVersion})
 	require.Empty(t, a.Fleet, "the list is unchanged")
-	require.Empty(t, f.Since(t.Context(), feed.Question{}).Fleet, "other voters need no list")
+	require.Empty(t, f.Since(t.Context(), feed.Request{}).Fleet, "other voters need no list")
 }
 
 // Guards against high CPU use of a voter that many balancers poll. With 30 balancers, each change
@@ -189,12 +189,12 @@
 func TestBatchingIntervalGrowsWithBalancers(t *testing.T) {
 	f := newFeed()
 	for n := range 30 {
-		f.Since(t.Context(), feed.Question{From: fmt.Sprint("b", n)})
+		f.Since(t.Context(), feed.Request{From: fmt.Sprint("b", n)})
 	}
 	f.Announce(epoch, announced(1), 0)
-	answers := make(chan feed.Answer)
+	answers := make(chan feed.Response)
 	go func() {
-		answers <- f.Since(context.Background(), feed.Question{From: "b1", Life: 1, Version: 1, Hold: time.Hour})
+		answers <- f.Since(context.Background(), feed.Request{From: "b1", Life: 1, Version: 1, Hold: time.Hour})
 	}()
 	f.Announce(epoch.Add(time.Millisecond), announced(2), 0)
 	f.Tick(epoch.Add(200 * time.Millisecond))
@@ -228,11 +228,11 @@
 	return netip.AddrPort{}, false
 }
 
-func startingQuestion(zone string) feed.Question {
-	return feed.Question{Recalled: true, Encoded: true, Self: self("b1", zone)}
+func startingQuestion(zone string) feed.Request {
+	return feed.Request{Recalled: true, Encoded: true, Self: self("b1", zone)}
 }
 
-func noticeCount(t *testing.T, f *feed.Feed, q feed.Question) int {
+func noticeCount(t *testing.T, f *feed.Feed, q feed.Request) int {
 	a, err := f.Since(t.Context(), q).Decoded()
 	require.NoError(t, err)
 	return len(a.Notices)
@@ -242,17 +242,17 @@
 // polls one voter, which sent only the upstreams that announce themselves to it, those of its zone.
 func TestStartingBalancersReceiveAllUpstreams(t *testing.T) {
 	f := newFeed()
-	f.SetElsewhere(remoteSource{upstreams: 10, calls: new(int)})
+	f.SetRemoteSource(remoteSource{upstreams: 10, calls: new(int)})
 	f.Announce(epoch, announced(1), 0)
 	require.Equal(t, 11, noticeCount(t, f, startingQuestion("a")))
-	require.Equal(t, 1, noticeCount(t, f, feed.Question{Encoded: true, Self: self("b1", "a")}), "other balancers get them from those voters")
+	require.Equal(t, 1, noticeCount(t, f, feed.Request{Encoded: true, Self: self("b1", "a")}), "other balancers get them from those voters")
 }
 
 // Guards against a configuration that is acknowledged only after 7 s. While 300 balancers started
 // within seconds, a voter encoded and sent all 3,000 upstreams for each of them.
 func TestMassStartReusesEncodedUpstreams(t *testing.T) {
 	f, calls := newFeed(), 0
-	f.SetElsewhere(remoteSource{upstreams: 3000, calls: &calls})
+	f.SetRemoteSource(remoteSource{upstreams: 3000, calls: &calls})
 	f.Announce(epoch, announced(1), 0)
 	for range 50 {
 		require.Equal(t, 1501, noticeCount(t, f, startingQuestion("a")), "upstreams of its own zone")
@@ -264,7 +264,7 @@
 // A voter's own notices override those of other voters, which may be out of date.
 func TestOwnNoticesOverrideThoseOfOthers(t *testing.T) {
 	f := newFeed()
-	f.SetElsewhere(remoteSource{upstreams: 1, calls: new(int)})
+	f.SetRemoteSource(remoteSource{upstreams: 1, calls: new(int)})
 	f.Announce(epoch, announced(100), 0)
 	a, err := f.Since(t.Context(), startingQuestion("a")).Decoded()
 	require.NoError(t, err)
--- a/internal/control/feed/fleet.go
+++ b/internal/control/feed/fleet.go
@@ -13,8 +13,8 @@
 const AttendMethod = "Feed.Attend"
 
 func (f *Feed) serveFleet(r *rpc.Server, token string) {
-	rpc.Handle(r, AttendMethod, token, func(_ context.Context, all []members.Attendance) (empty, error) {
-		f.Attend(f.clock(), all)
+	rpc.Handle(r, AttendMethod, token, func(_ context.Context, all []members.Heartbeat) (empty, error) {
+		f.RecordFollowers(f.clock(), all)
 		return empty{}, nil
 	})
 }
@@ -26,12 +26,12 @@
 	f.zone = zone
 }
 
-// Attend records the direct and indirect followers of a balancer that polls this voter.
-func (f *Feed) Attend(now time.Time, all []members.Attendance) {
+// RecordFollowers records the direct and indirect followers of a balancer that polls this voter.
+func (f *Feed) RecordFollowers(now time.Time, all []members.Heartbeat) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, a := range all {
-		f.fleet.Hear(now, a)
+		f.fleet.Refresh(now, a)
 	}
 }
 
@@ -45,11 +45,11 @@
 // attachFleet records the polling balancer and adds the balancers of its zone to the answer, if
 // their list has changed. Such a change does not complete a poll: a position in the tree that is
 // one second out of date does no harm.
-func (f *Feed) attachFleet(now time.Time, q Question, a *Answer) {
+func (f *Feed) attachFleet(now time.Time, q Request, a *Response) {
 	if q.Self == nil {
 		return
 	}
-	f.fleet.Hear(now, members.Attendance{Member: *q.Self})
+	f.fleet.Refresh(now, members.Heartbeat{Member: *q.Self})
 	a.Balancers = f.fleet.Len()
 	a.FleetVersion = f.fleet.Version(q.Self.Zone)
 	if q.Life != f.life || q.Fleet != a.FleetVersion {
--- a/internal/control/feed/probe.go
+++ b/internal/control/feed/probe.go
@@ -8,8 +8,8 @@
 	"github.com/samber/lo"
 
 	"wasabideal/internal/silence/confirmation"
+	"wasabideal/internal/silence/evidence"
 	"wasabideal/internal/silence/probe"
-	"wasabideal/internal/silence/word"
 )
 
 // referenceCount is the number of recently announced upstreams that are probed along with a suspect.
@@ -29,14 +29,14 @@
 }
 
 // suspicions returns the suspicions that follow from the evidence of balancers.
-func (f *Feed) suspicions(now time.Time) []confirmation.Suspicion {
-	return lo.Map(f.silence.Doubts(now), func(d word.Doubt, _ int) confirmation.Suspicion {
-		return confirmation.Suspicion{Doubt: d, Upstreams: f.silence.Implicated(d.Subject)}
+func (f *Feed) suspicions(now time.Time) []confirmation.Candidate {
+	return lo.Map(f.silence.Suspicions(now), func(d evidence.Suspicion, _ int) confirmation.Candidate {
+		return confirmation.Candidate{Suspicion: d, Upstreams: f.silence.Implicated(d.Subject)}
 	})
 }
 
 // confirmedDoubts returns the doubts to report to balancers.
-func (f *Feed) confirmedDoubts(now time.Time) []word.Doubt {
+func (f *Feed) confirmedDoubts(now time.Time) []evidence.Suspicion {
 	return f.confirmation.Confirm(now, f.suspicions(now))
 }
 
@@ -48,37 +48,37 @@
 	if f.prober == nil {
 		return
 	}
-	due := f.confirmation.Due(now, f.suspicions(now))
+	due := f.confirmation.NextProbes(now, f.suspicions(now))
 	if len(due) == 0 {
 		return
 	}
-	references := f.directory.Heard(referenceCount, func(incarnation uint64) bool {
-		return f.silence.Questioned(word.Event{Incarnation: incarnation})
+	references := f.directory.RecentAddresses(referenceCount, func(incarnation uint64) bool {
+		return f.silence.Refutes(evidence.Event{Incarnation: incarnation})
 	})
 	for _, u := range due {
 		address, known := f.address(now, u)
 		if !known {
-			f.confirmation.Probed(now, now, u, probe.Inconclusive)
+			f.confirmation.RecordOutcome(now, now, u, probe.Inconclusive)
 			continue
 		}
 		go f.runProbe(now, u, address, references)
 	}
 }
 
-func (f *Feed) runProbe(start time.Time, u word.Subject, address netip.AddrPort, references []netip.AddrPort) {
+func (f *Feed) runProbe(start time.Time, u evidence.Subject, address netip.AddrPort, references []netip.AddrPort) {
 	o := f.prober.Check(context.Background(), address, references)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.clock()
 	before := f.doubtsVersion()
-	f.confirmation.Probed(now, start, u, o)
+	f.confirmation.RecordOutcome(now, start, u, o)
 	if f.doubtsVersion() != before {
 		f.wakeForDoubts(now)
 	}
 }
 
 // address returns the address of an upstream, from this voter's directory or another voter's.
-func (f *Feed) address(now time.Time, u word.Subject) (netip.AddrPort, bool) {
+func (f *Feed) address(now time.Time, u evidence.Subject) (netip.AddrPort, bool) {
 	if a, known := f.directory.Address(u.Incarnation, u.Born); known {
 		return a, true
 	}
--- a/internal/control/feed/remote.go
+++ b/internal/control/feed/remote.go
@@ -38,10 +38,10 @@
 	bodies map[string]cbor.RawMessage
 }
 
-// SetElsewhere sets the source of upstreams known to other voters. They are sent to balancers
+// SetRemoteSource sets the source of upstreams known to other voters. They are sent to balancers
 // that have just started, so that one voter suffices. When 200 balancers started at once, the
 // median time until ready fell from 265 ms with three voters each to 121 ms with one.
-func (f *Feed) SetElsewhere(r RemoteSource) {
+func (f *Feed) SetRemoteSource(r RemoteSource) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.remoteUpstreams = remoteUpstreams{source: r}
--- a/internal/control/feed/silence.go
+++ b/internal/control/feed/silence.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"wasabideal/internal/model/upstream"
-	"wasabideal/internal/silence/word"
+	"wasabideal/internal/silence/evidence"
 	"wasabideal/internal/upstream/handover"
 	"wasabideal/internal/wire/rpc"
 )
@@ -28,11 +28,11 @@
 type empty struct{}
 
 func (f *Feed) serveReports(r *rpc.Server, token string) {
-	rpc.Handle(r, ReportMethod, token, func(_ context.Context, report word.Report) (empty, error) {
+	rpc.Handle(r, ReportMethod, token, func(_ context.Context, report evidence.Report) (empty, error) {
 		f.Report(f.clock(), report)
 		return empty{}, nil
 	})
-	rpc.Handle(r, ReportsMethod, token, func(_ context.Context, reports []word.Report) (empty, error) {
+	rpc.Handle(r, ReportsMethod, token, func(_ context.Context, reports []evidence.Report) (empty, error) {
 		now := f.clock()
 		for _, report := range reports {
 			f.Report(now, report)
@@ -42,30 +42,30 @@
 }
 
 // Report records the observations of a balancer, or a sign of life received by a voter.
-func (f *Feed) Report(now time.Time, r word.Report) {
+func (f *Feed) Report(now time.Time, r evidence.Report) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, e := range r.Events {
-		f.silence.Note(now, r.From, e)
+		f.silence.Record(now, r.From, e)
 	}
 	f.evaluate(now)
 }
 
 // clearDoubt records an announcement as a sign of life and reports whether the upstream was doubted.
 func (f *Feed) clearDoubt(now time.Time, a handover.Announcement) bool {
-	e := Heard(a.Upstream)
+	e := LivenessEvent(a.Upstream)
 	e.Age = a.Age
-	if !f.silence.Questioned(e) {
+	if !f.silence.Refutes(e) {
 		return false
 	}
-	f.silence.Note(now, "", e)
+	f.silence.Record(now, "", e)
 	f.evaluate(now)
 	return true
 }
 
-// Heard returns the sign-of-life event of an announcement.
-func Heard(u upstream.Upstream) word.Event {
-	return word.Event{Incarnation: u.Incarnation, Born: u.Born, Zone: u.Zone, Answered: true}
+// LivenessEvent returns the sign-of-life event of an announcement.
+func LivenessEvent(u upstream.Upstream) evidence.Event {
+	return evidence.Event{Incarnation: u.Incarnation, Born: u.Born, Zone: u.Zone, Answered: true}
 }
 
 // evaluate decides on the evidence and reports changes to balancers, at once unless the rate limit
@@ -73,7 +73,7 @@
 // upstream.
 func (f *Feed) evaluate(now time.Time) {
 	before := f.doubtsVersion()
-	next := f.silence.Decide(now, f.activeBalancers(now), f.relayHops())
+	next := f.silence.Evaluate(now, f.activeBalancers(now), f.relayHops())
 	if f.doubtsVersion() != before {
 		f.wakeForDoubts(now)
 	}
@@ -97,16 +97,16 @@
 	if f.relayHops() > 0 {
 		pause = time.Duration(len(f.lastPoll)) * doubtsIntervalPerBalancer
 	}
-	at, schedule := f.doubtsPacing.News(now, pause)
+	at, schedule := f.doubtsPacing.Schedule(now, pause)
 	switch {
 	case !at.After(now):
-		f.doubtsPacing.Told(now)
+		f.doubtsPacing.Sent(now)
 		f.wake()
 	case schedule:
 		time.AfterFunc(at.Sub(now), func() {
 			f.mu.Lock()
 			defer f.mu.Unlock()
-			f.doubtsPacing.Told(f.clock())
+			f.doubtsPacing.Sent(f.clock())
 			f.wake()
 		})
 	}
--- a/internal/control/ledger/evacuate.go
+++ b/internal/control/ledger/evacuate.go
@@ -22,7 +22,7 @@
 // response was lost.
 func (l *Ledger) evacuate(c Change) Answer {
 	x := *c.Evacuate
-	current := l.evacuations.Of(x.Zone)
+	current := l.evacuations.Lookup(x.Zone)
 	if err := l.evacuations.Check(x.Zone); err != nil {
 		return Answer{Verdict: Invalid, Revision: current.Revision, Reason: err.Error()}
 	}
--- a/internal/control/ledger/evacuate_test.go
+++ b/internal/control/ledger/evacuate_test.go
@@ -26,7 +26,7 @@
 // waits in a stalled voter; the operator resends it to another voter and later ends the
 // evacuation; then the stalled voter proposes the first command. Commands carry no number,
 // so without the expected revision the last to arrive would apply.
-func TestDelayedOrderDoesNotUndoALaterOne(t *testing.T) {
+func TestDelayedCommandDoesNotUndoLaterOne(t *testing.T) {
 	l := ledger.New()
 	require.Equal(t, ledger.Accepted, applyEvacuation(t, l, "again", "a", true, 0).Verdict)
 	require.Equal(t, ledger.Accepted, applyEvacuation(t, l, "back", "a", false, 1).Verdict)
@@ -53,13 +53,13 @@
 	require.NoError(t, err)
 	restored := ledger.New()
 	require.NoError(t, restored.Restore(data))
-	require.Equal(t, l.Evacuations().Names(), restored.Evacuations().Names())
+	require.Equal(t, l.Evacuations().EvacuatedZones(), restored.Evacuations().EvacuatedZones())
 	require.Equal(t, l.Evacuations().Revision, restored.Evacuations().Revision)
 }
 
 // Guards against a voter that does not start after an upgrade because the snapshot on its
 // disk was written by a version without evacuations and is shorter.
-func TestSnapshotOfAnEarlierVersionIsRead(t *testing.T) {
+func TestRestoreSnapshotOfEarlierVersion(t *testing.T) {
 	type ledgerSnapshot struct {
 		_       struct{} `cbor:",toarray"`
 		Current configuration.Configuration
@@ -77,7 +77,7 @@
 
 // Checks that delayed, repeated and concurrent commands leave a zone in the state of the last
 // acknowledged command that was issued after its predecessor had been applied.
-func TestAcknowledgedOrdersAreNeverUndoneByOlderOnes(t *testing.T) {
+func TestAcknowledgedCommandsAreNotUndoneByOlderOnes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := ledger.New()
 		type command struct {
@@ -88,7 +88,7 @@
 		var delayed []command
 		last, lastAt := false, -1
 		for i := range rapid.IntRange(1, 40).Draw(t, "steps") {
-			x := command{on: rapid.Bool().Draw(t, "on"), expect: l.Evacuations().Of("a").Revision, at: i}
+			x := command{on: rapid.Bool().Draw(t, "on"), expect: l.Evacuations().Lookup("a").Revision, at: i}
 			if rapid.Bool().Draw(t, "delayed") {
 				delayed = append(delayed, x)
 				continue
--- a/internal/control/ledger/ledger.go
+++ b/internal/control/ledger/ledger.go
@@ -152,8 +152,8 @@
 // Current returns the configuration in force.
 func (l *Ledger) Current() configuration.Configuration { return l.current }
 
-// Answered returns the stored answer for a change key.
-func (l *Ledger) Answered(key string) (Answer, bool) {
+// StoredAnswer returns the stored answer for a change key.
+func (l *Ledger) StoredAnswer(key string) (Answer, bool) {
 	a, ok := l.answers[key]
 	return a, ok
 }
@@ -253,7 +253,7 @@
 // was read must not change.
 func (l *Ledger) publish(c Change) Answer {
 	current := l.Current()
-	if answer := Examine(*c.Publish); answer.Verdict == Invalid {
+	if answer := ValidatePublished(*c.Publish); answer.Verdict == Invalid {
 		return answer
 	}
 	next := withPresets(*c.Publish, current)
@@ -265,9 +265,9 @@
 	return Answer{Verdict: Accepted, Revision: next.Revision}
 }
 
-// Examine validates a published configuration without regard to the current one.
+// ValidatePublished validates a published configuration without regard to the current one.
 // It returns an Invalid answer with the reason, or an empty answer.
-func Examine(c configuration.Configuration) Answer {
+func ValidatePublished(c configuration.Configuration) Answer {
 	if err := withPresets(c, configuration.Configuration{}).Check(); err != nil {
 		return Answer{Verdict: Invalid, Reason: err.Error()}
 	}
--- a/internal/control/referral/referral.go
+++ b/internal/control/referral/referral.go
@@ -59,7 +59,7 @@
 	for i, m := range zone {
 		addresses[i] = m.Address
 	}
-	roots := r.shape.Top(addresses)
+	roots := r.shape.RootsOf(addresses)
 	var out []string
 	for _, m := range zone {
 		if m.Announcements != "" && !roots[m.Address] {
--- a/internal/control/referral/referral_test.go
+++ b/internal/control/referral/referral_test.go
@@ -42,7 +42,7 @@
 	for i, m := range all {
 		addresses[i] = m.Address
 	}
-	top := shape.Top(addresses)
+	top := shape.RootsOf(addresses)
 	counts := map[string]int{}
 	for i := range uint64(160) {
 		counts[r.Choose(epoch, announced(i, 1), all)]++
@@ -70,7 +70,7 @@
 // Guards against a balancer whose link is saturated by the announcements of 190 upstreams:
 // after a restart, all voters know only nine balancers of a zone and refer all upstreams to
 // the only one below the top of the tree.
-func TestBalancersAreReferredAFewUpstreams(t *testing.T) {
+func TestReferralsPerBalancerAreLimited(t *testing.T) {
 	r, referred := referral.New(shape), 0
 	for i := range uint64(200) {
 		if r.Choose(epoch, announced(i, 1), zone(5)) != "" {
--- a/internal/control/keeper/keeper.go
+++ b/internal/control/rostermanager/rostermanager.go
@@ -1,4 +1,4 @@
-package keeper
+package rostermanager
 
 import (
 	"cmp"
@@ -12,17 +12,17 @@
 
 // Settings configures a Keeper.
 type Settings struct {
-	// Gather is the minimum time between two changes of the list, so that balancers
+	// ChangeInterval is the minimum time between two changes of the list, so that balancers
 	// that start together are added in one change.
-	Gather time.Duration
+	ChangeInterval time.Duration
 	// Silent is how long a balancer stays in the list without a report.
 	Silent time.Duration
-	// Window is how long keys are stored.
-	Window time.Duration
+	// KeyRetention is how long keys are stored.
+	KeyRetention time.Duration
 }
 
-// Hello is the periodic report of a balancer to the leading voter.
-type Hello struct {
+// Record is the periodic report of a balancer to the leading voter.
+type Report struct {
 	Member  roster.Member
 	Leaving bool
 	// Moved is the epoch up to which the balancer has copied its records.
@@ -31,12 +31,12 @@
 
 // report is the last report of one balancer.
 type report struct {
-	Hello
+	Report
 	receivedAt time.Time
 }
 
-// Keeper tracks the reports of the balancers; it is not safe for concurrent use.
-type Keeper struct {
+// Manager tracks the reports of the balancers; it is not safe for concurrent use.
+type Manager struct {
 	settings    Settings
 	leaderSince time.Time
 	lastChange  time.Time
@@ -46,21 +46,21 @@
 }
 
 // New returns a keeper for a voter that becomes the leader now.
-func New(s Settings, now time.Time) *Keeper {
-	return &Keeper{settings: s, leaderSince: now, lastChange: now, reports: map[string]report{}, endedAt: map[string]time.Time{}}
+func New(s Settings, now time.Time) *Manager {
+	return &Manager{settings: s, leaderSince: now, lastChange: now, reports: map[string]report{}, endedAt: map[string]time.Time{}}
 }
 
-// Hello records a balancer's report.
-func (k *Keeper) Hello(now time.Time, h Hello) {
-	k.reports[h.Member.Name] = report{Hello: h, receivedAt: now}
+// Record records a balancer's report.
+func (k *Manager) Record(now time.Time, h Report) {
+	k.reports[h.Member.Name] = report{Report: h, receivedAt: now}
 }
 
 // Forget records that a balancer is gone for good, as stated by an operator.
-func (k *Keeper) Forget(now time.Time, name string) { k.endedAt[name] = now }
+func (k *Manager) Forget(now time.Time, name string) { k.endedAt[name] = now }
 
 // Decide returns the next change of the roster, if any.
-func (k *Keeper) Decide(now time.Time, r roster.Roster) *ledger.RosterChange {
-	if now.Sub(k.lastChange) < k.settings.Gather {
+func (k *Manager) Decide(now time.Time, r roster.Roster) *ledger.RosterChange {
+	if now.Sub(k.lastChange) < k.settings.ChangeInterval {
 		return nil
 	}
 	if !r.Settled() {
@@ -80,7 +80,7 @@
 
 // desiredMembers returns the balancers that report and are not leaving. A new
 // leader also keeps the listed ones until they have had time to report.
-func (k *Keeper) desiredMembers(now time.Time, r roster.Roster) []roster.Member {
+func (k *Manager) desiredMembers(now time.Time, r roster.Roster) []roster.Member {
 	var ms []roster.Member
 	for _, h := range k.reports {
 		if !h.Leaving && now.Sub(h.receivedAt) < k.settings.Silent {
@@ -100,10 +100,10 @@
 // majority of it has moved to the new epoch: no claim can succeed under the old
 // epoch, and every record that a majority held is copied. If a majority is known to
 // have ended, its records are unreachable and expire after a window.
-func (k *Keeper) settled(now time.Time, r roster.Roster) bool {
+func (k *Manager) settled(now time.Time, r roster.Roster) bool {
 	v := roster.NewView(r)
 	for slot := range ownership.Slots {
-		set := v.Before(slot)
+		set := v.Previous(slot)
 		if !k.slotSettled(now, r.Epoch, set) {
 			return false
 		}
@@ -112,7 +112,7 @@
 }
 
 // slotSettled reports whether one slot of the previous list is settled.
-func (k *Keeper) slotSettled(now time.Time, epoch uint64, set []roster.Member) bool {
+func (k *Manager) slotSettled(now time.Time, epoch uint64, set []roster.Member) bool {
 	moved, expiredCount := 0, 0
 	for _, m := range set {
 		switch h, ok := k.reports[m.Name]; {
@@ -130,12 +130,12 @@
 // expired reports whether a listed balancer process is known to have ended at
 // least a window ago: a newer process of the same name reported, or an operator
 // removed the balancer.
-func (k *Keeper) expired(now time.Time, m roster.Member) bool {
+func (k *Manager) expired(now time.Time, m roster.Member) bool {
 	if h, ok := k.reports[m.Name]; ok && h.Member.Start > m.Start {
 		if _, known := k.endedAt[m.Name]; !known {
 			k.endedAt[m.Name] = now
 		}
 	}
 	at, known := k.endedAt[m.Name]
-	return known && now.Sub(at) >= k.settings.Window
+	return known && now.Sub(at) >= k.settings.KeyRetention
 }
--- a/internal/control/upstreams/upstreams.go
+++ b/internal/control/upstreams/upstreams.go
@@ -14,19 +14,19 @@
 	"wasabideal/internal/control/referral"
 	"wasabideal/internal/fanout/member"
 	"wasabideal/internal/fanout/tree"
-	"wasabideal/internal/log/pace"
+	"wasabideal/internal/log/ratelimit"
 	"wasabideal/internal/model/upstream"
-	"wasabideal/internal/silence/word"
+	"wasabideal/internal/silence/evidence"
 	"wasabideal/internal/upstream/handover"
-	"wasabideal/internal/upstream/home"
+	"wasabideal/internal/upstream/owner"
 	"wasabideal/internal/wire/rpc"
 )
 
-// Method is the RPC method by which voters share announcements.
-const Method = "Upstreams.Share"
+// ShareMethod is the RPC method by which voters share announcements.
+const ShareMethod = "Upstreams.Share"
 
-// HandOverMethod is the RPC method by which balancers forward announcements.
-const HandOverMethod = "Upstreams.HandOver"
+// ForwardMethod is the RPC method by which balancers forward announcements.
+const ForwardMethod = "Upstreams.HandOver"
 
 // shareTimeout limits the wait for other voters. An upstream waits about a second
 // for a response before it tries another voter.
@@ -67,13 +67,13 @@
 	// Known returns the RPC addresses of all voters that receive announcements, and
 	// Voting those whose majority must hold a departure. Both may include this voter.
 	// Voting is empty while there is no list of voters.
-	Known, Voting func() []string
+	Known, VotingPeers func() []string
 	// Shape is the shape of the balancer trees to which upstreams are referred.
 	Shape tree.Shape
-	// AnnounceEvery is the announcement interval of an upstream.
-	AnnounceEvery time.Duration
-	// Answering returns the responsive voters, including this one.
-	Answering func() []home.Voter
+	// AnnounceInterval is the announcement interval of an upstream.
+	AnnounceInterval time.Duration
+	// Responsive returns the responsive voters, including this one.
+	Responsive func() []owner.Voter
 }
 
 // sharedAnnouncement is an announcement as sent between voters.
@@ -85,34 +85,34 @@
 
 type empty struct{}
 
-// Upstreams handles announcements; it is safe for concurrent use.
-type Upstreams struct {
+// Receiver handles announcements; it is safe for concurrent use.
+type Receiver struct {
 	settings Settings
 	feed     *feed.Feed
 	log      hclog.Logger
 	mu       sync.Mutex
 	clients  map[string]*rpc.Client
 	referral *referral.Referral
-	pace     *pace.Pace
+	pace     *ratelimit.Limiter
 	// voterHandovers are the queues of announcements for other voters, by address.
-	voterHandovers map[string]*handover.Handover
+	voterHandovers map[string]*handover.Batcher
 }
 
 // New returns an Upstreams that records announcements in a feed.
-func New(s Settings, f *feed.Feed, log hclog.Logger) *Upstreams {
-	return &Upstreams{
-		settings: s, feed: f, log: log, clients: map[string]*rpc.Client{}, referral: referral.New(s.Shape), pace: pace.New(rejectedLogsPerSecond),
-		voterHandovers: map[string]*handover.Handover{},
+func New(s Settings, f *feed.Feed, log hclog.Logger) *Receiver {
+	return &Receiver{
+		settings: s, feed: f, log: log, clients: map[string]*rpc.Client{}, referral: referral.New(s.Shape), pace: ratelimit.New(rejectedLogsPerSecond),
+		voterHandovers: map[string]*handover.Batcher{},
 	}
 }
 
 // Serve registers the methods for other voters and for balancers at a server.
-func (u *Upstreams) Serve(r *rpc.Server) {
-	rpc.Handle(r, Method, u.settings.Token, func(_ context.Context, s sharedAnnouncement) (empty, error) {
+func (u *Receiver) Serve(r *rpc.Server) {
+	rpc.Handle(r, ShareMethod, u.settings.Token, func(_ context.Context, s sharedAnnouncement) (empty, error) {
 		u.feed.Announce(u.settings.Clock(), s.Upstream, s.Cold)
 		return empty{}, nil
 	})
-	rpc.Handle(r, HandOverMethod, u.settings.Token, func(_ context.Context, all []handover.Announcement) (empty, error) {
+	rpc.Handle(r, ForwardMethod, u.settings.Token, func(_ context.Context, all []handover.Announcement) (empty, error) {
 		now := u.settings.Clock()
 		for _, a := range all {
 			u.receiveHandover(now, a)
@@ -124,7 +124,7 @@
 // receiveHandover records an announcement that a balancer forwarded. Departures are
 // accepted only from the upstream itself, since they are acknowledged only once a majority
 // holds them.
-func (u *Upstreams) receiveHandover(now time.Time, a handover.Announcement) {
+func (u *Receiver) receiveHandover(now time.Time, a handover.Announcement) {
 	if a.Upstream.State != upstream.Ready || !u.feed.Configured(a.Upstream.Service) {
 		u.logRejected(now, a.Upstream)
 		return
@@ -134,9 +134,9 @@
 
 // logRejected logs an announcement that a balancer accepted and this voter rejects. The rate
 // is limited, since a faulty announcer may send hundreds.
-func (u *Upstreams) logRejected(now time.Time, a upstream.Upstream) {
+func (u *Receiver) logRejected(now time.Time, a upstream.Upstream) {
 	u.mu.Lock()
-	suppressed, ok := u.pace.Take(now)
+	suppressed, ok := u.pace.Allow(now)
 	u.mu.Unlock()
 	if ok {
 		u.log.Warn("announcement forwarded by a balancer rejected", "Incarnation", fmt.Sprintf("%x", a.Incarnation),
@@ -146,7 +146,7 @@
 
 // Refer returns the address for the further announcements of an upstream, or "" if the
 // upstream stays with this voter.
-func (u *Upstreams) Refer(a upstream.Upstream) string {
+func (u *Receiver) Refer(a upstream.Upstream) string {
 	zone := u.feed.Fleet(a.Zone)
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -156,16 +156,16 @@
 // forwardToHome forwards an announcement to the upstream's home voter and reports whether
 // that voter accepted it. Such an announcement arrives here after the upstream's balancer
 // ended. In zones whose upstreams announce to voters only, it stays at the receiving voter.
-func (u *Upstreams) forwardToHome(ctx context.Context, a handover.Announcement) bool {
+func (u *Receiver) forwardToHome(ctx context.Context, a handover.Announcement) bool {
 	zone := lo.Map(u.feed.Fleet(a.Upstream.Zone), func(m member.Member, _ int) string { return m.Address })
-	if !u.settings.Shape.Grows(zone) {
+	if !u.settings.Shape.MultiLevel(zone) {
 		return false
 	}
-	to := home.Of(a.Upstream, u.settings.Answering())
+	to := owner.Of(a.Upstream, u.settings.Responsive())
 	if to == "" || to == u.settings.Self {
 		return false
 	}
-	err := u.handoverTo(to).Add(ctx, handover.Gather(u.settings.AnnounceEvery, 1, false), a)
+	err := u.handoverTo(to).Add(ctx, handover.BatchDelay(u.settings.AnnounceInterval, 1, false), a)
 	if err != nil {
 		u.log.Debug("failed to forward announcement", "Address", to, "Error", err)
 	}
@@ -173,7 +173,7 @@
 }
 
 // handoverTo returns the queue of announcements for another voter.
-func (u *Upstreams) handoverTo(to string) *handover.Handover {
+func (u *Receiver) handoverTo(to string) *handover.Batcher {
 	client := u.client(to)
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -182,7 +182,7 @@
 		h = handover.New(u.settings.Clock, func(ctx context.Context, all []handover.Announcement) error {
 			ctx, cancel := context.WithTimeout(ctx, shareTimeout)
 			defer cancel()
-			_, err := rpc.Call[[]handover.Announcement, empty](ctx, client, HandOverMethod, all)
+			_, err := rpc.Call[[]handover.Announcement, empty](ctx, client, ForwardMethod, all)
 			return err
 		})
 		u.voterHandovers[to] = h
@@ -191,8 +191,8 @@
 }
 
 // record stores an announcement in the feed, whether received now or earlier.
-func (u *Upstreams) record(now time.Time, x handover.Announcement) {
-	changed, refutesSuspicion := u.feed.HandedOver(now, x)
+func (u *Receiver) record(now time.Time, x handover.Announcement) {
+	changed, refutesSuspicion := u.feed.AnnounceRelayed(now, x)
 	a := x.Upstream
 	if refutesSuspicion {
 		u.reportAlive(a)
@@ -207,7 +207,7 @@
 // acknowledged. A departure must first be stored by a majority of the voters: if
 // only this voter had it and failed, balancers would still send new flows to an
 // upstream whose departure was acknowledged.
-func (u *Upstreams) Announce(ctx context.Context, a upstream.Upstream, cold time.Duration) error {
+func (u *Receiver) Announce(ctx context.Context, a upstream.Upstream, cold time.Duration) error {
 	if a.State != upstream.Withdrawn && !u.feed.Configured(a.Service) {
 		return &UnknownServiceError{Service: a.Service}
 	}
@@ -224,13 +224,13 @@
 
 // reportAlive reports to the other voters that a suspected upstream is alive, since they
 // do not receive its announcements.
-func (u *Upstreams) reportAlive(a upstream.Upstream) {
-	r := word.Report{Events: []word.Event{feed.Heard(a)}}
+func (u *Receiver) reportAlive(a upstream.Upstream) {
+	r := evidence.Report{Events: []evidence.Event{feed.LivenessEvent(a)}}
 	for _, address := range lo.Without(u.settings.Known(), u.settings.Self) {
 		go func() {
 			ctx, cancel := context.WithTimeout(context.Background(), shareTimeout)
 			defer cancel()
-			if _, err := rpc.Call[word.Report, empty](ctx, u.client(address), feed.ReportMethod, r); err != nil {
+			if _, err := rpc.Call[evidence.Report, empty](ctx, u.client(address), feed.ReportMethod, r); err != nil {
 				u.log.Debug("failed to report that upstream is alive", "Address", address, "Error", err)
 			}
 		}()
@@ -238,8 +238,8 @@
 }
 
 // share sends an announcement to the other voters and waits until a majority holds it.
-func (u *Upstreams) share(ctx context.Context, s sharedAnnouncement) error {
-	others, voting := lo.Without(u.settings.Known(), u.settings.Self), u.settings.Voting()
+func (u *Receiver) share(ctx context.Context, s sharedAnnouncement) error {
+	others, voting := lo.Without(u.settings.Known(), u.settings.Self), u.settings.VotingPeers()
 	needed := len(voting)/2 + 1
 	// The other voters must receive the announcement even if the caller gives up.
 	ctx = context.WithoutCancel(ctx)
@@ -248,7 +248,7 @@
 		go func() {
 			call, cancel := context.WithTimeout(ctx, shareTimeout)
 			defer cancel()
-			_, err := rpc.Call[sharedAnnouncement, empty](call, u.client(address), Method, s)
+			_, err := rpc.Call[sharedAnnouncement, empty](call, u.client(address), ShareMethod, s)
 			if err != nil {
 				u.log.Debug("failed to share announcement", "Address", address, "Error", err)
 				address = ""
@@ -275,7 +275,7 @@
 }
 
 // client returns the RPC client for an address.
-func (u *Upstreams) client(address string) *rpc.Client {
+func (u *Receiver) client(address string) *rpc.Client {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	c := u.clients[address]
--- a/internal/control/upstreams/upstreams_test.go
+++ b/internal/control/upstreams/upstreams_test.go
@@ -18,25 +18,25 @@
 	"wasabideal/internal/fanout/tree"
 	"wasabideal/internal/model/configuration"
 	"wasabideal/internal/model/upstream"
-	"wasabideal/internal/standin/server"
+	"wasabideal/internal/standin/rpctest"
 	"wasabideal/internal/upstream/directory"
 	"wasabideal/internal/upstream/handover"
-	"wasabideal/internal/upstream/home"
+	"wasabideal/internal/upstream/owner"
 	"wasabideal/internal/wire/rpc"
 )
 
 type voter struct {
 	known     []string
 	feed      *feed.Feed
-	upstreams *upstreams.Upstreams
+	upstreams *upstreams.Receiver
 }
 
 // voters starts n voters, the last down of which do not listen.
 func voters(t *testing.T, n, down int) []voter {
 	var addresses []string
-	var listeners []server.Server
+	var listeners []rpctest.Server
 	for range n {
-		l := server.Listen(t)
+		l := rpctest.Listen(t)
 		listeners = append(listeners, l)
 		addresses = append(addresses, l.Address())
 	}
@@ -45,10 +45,10 @@
 		f := feed.New(uint64(i+1), directory.New(directory.Settings{SilentAfter: time.Minute, ForgetAfter: time.Hour}), time.Now)
 		u := upstreams.New(upstreams.Settings{
 			Token: "group", Clock: time.Now, Self: addresses[i], Known: func() []string { return addresses },
-			Voting: func() []string { return addresses },
-			Shape:  tree.Shape{Roots: 4, Fanout: 8}, AnnounceEvery: 100 * time.Millisecond,
-			Answering: func() []home.Voter {
-				return lo.Map(addresses, func(a string, i int) home.Voter { return home.Voter{Address: a, Zone: zoneOf(i)} })
+			VotingPeers: func() []string { return addresses },
+			Shape:       tree.Shape{Roots: 4, Fanout: 8}, AnnounceInterval: 100 * time.Millisecond,
+			Responsive: func() []owner.Voter {
+				return lo.Map(addresses, func(a string, i int) owner.Voter { return owner.Voter{Address: a, Zone: zoneOf(i)} })
 			},
 		}, f, hclog.NewNullLogger())
 		out = append(out, voter{addresses, f, u})
@@ -93,11 +93,11 @@
 // started with an empty disk and received no message from another voter knows only
 // itself, and must not count itself as the majority.
 func TestVoterWithoutVoterListRejectsDeparture(t *testing.T) {
-	address := server.Listen(t).Address()
+	address := rpctest.Listen(t).Address()
 	f := feed.New(1, directory.New(directory.Settings{SilentAfter: time.Minute, ForgetAfter: time.Hour}), time.Now)
 	u := upstreams.New(upstreams.Settings{
 		Token: "group", Clock: time.Now, Self: address, Known: func() []string { return []string{address} },
-		Voting: func() []string { return nil },
+		VotingPeers: func() []string { return nil },
 	}, f, hclog.NewNullLogger())
 	var unlisted *upstreams.UnlistedError
 	require.ErrorAs(t, u.Announce(t.Context(), drainingUpstream(), 0), &unlisted)
@@ -117,7 +117,7 @@
 	voting := append([]string{known[0]}, known[3:]...)
 	u := upstreams.New(upstreams.Settings{
 		Token: "group", Clock: time.Now, Self: known[0], Known: func() []string { return known },
-		Voting: func() []string { return voting },
+		VotingPeers: func() []string { return voting },
 	}, vs[0].feed, hclog.NewNullLogger())
 	var unshared *upstreams.UnsharedError
 	require.ErrorAs(t, u.Announce(t.Context(), drainingUpstream(), 0), &unshared)
@@ -149,7 +149,7 @@
 func withBalancers(v voter, n int) {
 	for i := range n {
 		m := member.Member{Zone: "a", Address: fmt.Sprintf("10.1.0.%d:7720", i+1), Announcements: fmt.Sprintf("10.1.0.%d:7721", i+1)}
-		v.feed.Attend(time.Now(), []members.Attendance{{Member: m}})
+		v.feed.RecordFollowers(time.Now(), []members.Heartbeat{{Member: m}})
 	}
 }
 
@@ -184,7 +184,7 @@
 	u.Zone = "c"
 	for i := range 9 {
 		m := member.Member{Zone: "c", Address: fmt.Sprintf("10.3.0.%d:7720", i+1)}
-		all[0].feed.Attend(time.Now(), []members.Attendance{{Member: m}})
+		all[0].feed.RecordFollowers(time.Now(), []members.Heartbeat{{Member: m}})
 	}
 	require.NoError(t, all[0].upstreams.Announce(t.Context(), u, 0))
 	require.Equal(t, 1, noticeCount(all[0]))
@@ -203,7 +203,7 @@
 	all := voters(t, 1, 0)
 	client := rpc.NewClient(all[0].known[0], "group")
 	t.Cleanup(client.Close)
-	_, err := rpc.Call[[]handover.Announcement, struct{}](t.Context(), client, upstreams.HandOverMethod, []handover.Announcement{
+	_, err := rpc.Call[[]handover.Announcement, struct{}](t.Context(), client, upstreams.ForwardMethod, []handover.Announcement{
 		{Upstream: drainingUpstream()}, {Upstream: inZoneA(), Age: time.Second},
 	})
 	require.NoError(t, err)
--- a/internal/control/voter/effects.go
+++ b/internal/control/voter/effects.go
@@ -33,7 +33,7 @@
 }
 
 func (v *Voter) afterSync(p agreement.Persist) {
-	for _, m := range p.Then {
+	for _, m := range p.SendAfterSync {
 		v.send(m)
 	}
 	last := uint64(0)
--- a/internal/control/voter/evacuate.go
+++ b/internal/control/voter/evacuate.go
@@ -27,7 +27,7 @@
 // revision that this voter holds; if that is out of date, the verdict is Conflict and the caller
 // may retry.
 func (v *Voter) Evacuate(ctx context.Context, zone string, on bool, who string) (ledger.Answer, error) {
-	held := v.Evacuations().Of(zone)
+	held := v.Evacuations().Lookup(zone)
 	select {
 	case <-ctx.Done():
 		return ledger.Answer{}, &AbandonedError{Zone: zone}
--- a/internal/control/voter/leadership.go
+++ b/internal/control/voter/leadership.go
@@ -13,12 +13,12 @@
 	transferPollInterval = 10 * time.Millisecond
 )
 
-// HandOver transfers leadership before a planned stop. It returns when another voter leads or
+// TransferLeadership transfers leadership before a planned stop. It returns when another voter leads or
 // after transferTimeout.
-func (v *Voter) HandOver() {
+func (v *Voter) TransferLeadership() {
 	v.mu.Lock()
 	now := v.settings.Clock()
-	effects := v.agreement.HandOver(now)
+	effects := v.agreement.TransferLeadership(now)
 	v.execute(effects)
 	v.processEvents()
 	v.mu.Unlock()
@@ -32,12 +32,12 @@
 	}
 }
 
-// Meet adds addresses of other voters as contacts. A voter that is not yet in the membership
+// AddJoinTargets adds addresses of other voters as contacts. A voter that is not yet in the membership
 // asks them to admit it. The address also serves as the contact's name.
-func (v *Voter) Meet(addresses []string) {
+func (v *Voter) AddJoinTargets(addresses []string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	for _, a := range addresses {
-		v.agreement.Meet(agreement.Voter{Name: a, Address: a})
+		v.agreement.AddJoinTarget(agreement.Voter{Name: a, Address: a})
 	}
 }
--- a/internal/control/voter/metrics.go
+++ b/internal/control/voter/metrics.go
@@ -54,5 +54,5 @@
 	}
 }
 
-// AnnouncementRefused counts an announcement that is rejected because it does not identify an upstream.
-func (v *Voter) AnnouncementRefused() { v.counts.refusedAnnouncements.Inc(1) }
+// CountRejectedAnnouncement counts an announcement that is rejected because it does not identify an upstream.
+func (v *Voter) CountRejectedAnnouncement() { v.counts.refusedAnnouncements.Inc(1) }
--- a/internal/control/voter/operator.go
+++ b/internal/control/voter/operator.go
@@ -36,7 +36,7 @@
 func (v *Voter) propose(c ledger.Change) (chan ledger.Answer, ledger.Answer, error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if a, ok := v.ledger.Answered(c.ChangeKey); ok {
+	if a, ok := v.ledger.StoredAnswer(c.ChangeKey); ok {
 		return nil, a, nil
 	}
 	now := v.settings.Clock()
@@ -77,17 +77,17 @@
 	}
 }
 
-// Shown is a configuration and whether it is known to be the newest one.
-type Shown struct {
+// ConfigurationStatus is a configuration and whether it is known to be the newest one.
+type ConfigurationStatus struct {
 	Configuration configuration.Configuration
 	// Current is false if the voter may have missed committed changes.
 	Current bool
 }
 
-func (v *Voter) configuration(context.Context, empty) (Shown, error) {
+func (v *Voter) configuration(context.Context, empty) (ConfigurationStatus, error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return Shown{Configuration: v.ledger.Current(), Current: v.agreement.Current(v.settings.Clock())}, nil
+	return ConfigurationStatus{Configuration: v.ledger.Current(), Current: v.agreement.HoldsLease(v.settings.Clock())}, nil
 }
 
 func (v *Voter) remove(_ context.Context, name string) (empty, error) {
@@ -106,7 +106,7 @@
 	return v.trail.Last(last), nil
 }
 
-// Denied records a call with an invalid token in the audit trail.
-func (v *Voter) Denied(method string) {
-	v.trail.Deny(v.settings.Clock(), method)
+// RecordDenied records a call with an invalid token in the audit trail.
+func (v *Voter) RecordDenied(method string) {
+	v.trail.WriteDenied(v.settings.Clock(), method)
 }
--- a/internal/control/voter/publish.go
+++ b/internal/control/voter/publish.go
@@ -39,10 +39,10 @@
 // Publish commits a configuration that carries its own revision, on this voter or through the
 // leader. The highest revision wins; an equal or lower one changes nothing.
 func (v *Voter) Publish(ctx context.Context, c configuration.Configuration, key, who string) (ledger.Answer, error) {
-	if answer := ledger.Examine(c); answer.Verdict == ledger.Invalid {
+	if answer := ledger.ValidatePublished(c); answer.Verdict == ledger.Invalid {
 		return answer, nil
 	}
-	if held := v.Held(); c.Revision <= held.Revision {
+	if held := v.AppliedConfiguration(); c.Revision <= held.Revision {
 		return ledger.Answer{Verdict: ledger.Superseded, Revision: held.Revision}, nil
 	}
 	change := ledger.Change{ChangeKey: key, Who: who, Publish: &c}
@@ -53,8 +53,8 @@
 	return v.Change(ctx, c)
 }
 
-// Held returns the newest configuration that this voter has applied.
-func (v *Voter) Held() configuration.Configuration {
+// AppliedConfiguration returns the newest configuration that this voter has applied.
+func (v *Voter) AppliedConfiguration() configuration.Configuration {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.ledger.Current()
@@ -129,7 +129,7 @@
 	}
 	r := &pendingRead{since: now, done: make(chan configuration.Configuration, 1)}
 	v.reads = append(v.reads, r)
-	v.execute(v.agreement.Confirm(now))
+	v.execute(v.agreement.SendHeartbeats(now))
 	v.processEvents()
 	v.mu.Unlock()
 	timeout := time.NewTimer(leaderCallTimeout)
--- a/internal/control/voter/roster.go
+++ b/internal/control/voter/roster.go
@@ -5,33 +5,33 @@
 	"time"
 
 	"wasabideal/internal/control/agreement"
-	"wasabideal/internal/control/keeper"
 	"wasabideal/internal/control/ledger"
+	"wasabideal/internal/control/rostermanager"
 )
 
 // leaderKeeper returns the roster keeper while this voter leads with a valid lease. The caller holds the lock.
-func (v *Voter) leaderKeeper(now time.Time) (*keeper.Keeper, error) {
+func (v *Voter) leaderKeeper(now time.Time) (*rostermanager.Manager, error) {
 	s := v.agreement.Status(now)
 	if !s.Current {
 		v.keeper = nil
 		return nil, &agreement.NotLeaderError{Leader: s.Leader}
 	}
 	if v.keeper == nil {
-		v.keeper = keeper.New(v.settings.Keeper, now)
+		v.keeper = rostermanager.New(v.settings.RosterManager, now)
 	}
 	return v.keeper, nil
 }
 
-func (v *Voter) hello(_ context.Context, h keeper.Hello) (empty, error) {
-	return empty{}, v.withKeeper(func(now time.Time, k *keeper.Keeper) { k.Hello(now, h) })
+func (v *Voter) hello(_ context.Context, h rostermanager.Report) (empty, error) {
+	return empty{}, v.withKeeper(func(now time.Time, k *rostermanager.Manager) { k.Record(now, h) })
 }
 
 func (v *Voter) forget(_ context.Context, name string) (empty, error) {
-	return empty{}, v.withKeeper(func(now time.Time, k *keeper.Keeper) { k.Forget(now, name) })
+	return empty{}, v.withKeeper(func(now time.Time, k *rostermanager.Manager) { k.Forget(now, name) })
 }
 
 // withKeeper calls a function with the keeper, or returns an error that names the leader.
-func (v *Voter) withKeeper(update func(time.Time, *keeper.Keeper)) error {
+func (v *Voter) withKeeper(update func(time.Time, *rostermanager.Manager)) error {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	now := v.settings.Clock()
--- a/internal/control/voter/voter.go
+++ b/internal/control/voter/voter.go
@@ -15,8 +15,8 @@
 	"wasabideal/internal/configuration/source"
 	"wasabideal/internal/control/agreement"
 	"wasabideal/internal/control/audit"
-	"wasabideal/internal/control/keeper"
 	"wasabideal/internal/control/ledger"
+	"wasabideal/internal/control/rostermanager"
 	"wasabideal/internal/disk/wal"
 	"wasabideal/internal/model/evacuation"
 	"wasabideal/internal/wire/rpc"
@@ -47,12 +47,12 @@
 	Tick         time.Duration
 	// AcceptTimeout is how long Change waits until the change is applied.
 	AcceptTimeout time.Duration
-	Keeper        keeper.Settings
+	RosterManager rostermanager.Settings
 	// Clock returns the current time.
 	Clock func() time.Time
 	// Reopen reads the log again after a failed write. If it is nil, the voter stays
 	// read-only after such a failure.
-	Reopen func() (*wal.Wal, agreement.Durable, error)
+	Reopen func() (*wal.Log, agreement.PersistentState, error)
 	// Changed, if set, is called with the history of each configuration that takes effect.
 	Changed func(history.History)
 	// Evacuated, if set, is called with the evacuation orders in effect, before Changed is
@@ -79,13 +79,13 @@
 	settings  Settings
 	log       hclog.Logger
 	mu        sync.Mutex
-	agreement *agreement.Agreement
-	wal       *wal.Wal
+	agreement *agreement.Node
+	wal       *wal.Log
 	ledger    *ledger.Ledger
 	source    *source.Source
 	trail     *audit.Trail
 	waiters   map[uint64]waiter
-	keeper    *keeper.Keeper
+	keeper    *rostermanager.Manager
 	outboxes  map[string]*outbox
 	// senderAddresses holds the listen address of each voter that sent a message, by id.
 	senderAddresses map[string]string
@@ -117,7 +117,7 @@
 }
 
 // New returns a voter with the state read from its disk.
-func New(s Settings, w *wal.Wal, d agreement.Durable, trail *audit.Trail, log hclog.Logger) (*Voter, error) {
+func New(s Settings, w *wal.Log, d agreement.PersistentState, trail *audit.Trail, log hclog.Logger) (*Voter, error) {
 	v := &Voter{
 		settings: s, log: log, trail: trail,
 		waiters: map[uint64]waiter{}, outboxes: map[string]*outbox{}, senderAddresses: map[string]string{},
@@ -131,7 +131,7 @@
 }
 
 // load replaces the voter's state by that read from a disk.
-func (v *Voter) load(w *wal.Wal, d agreement.Durable) error {
+func (v *Voter) load(w *wal.Log, d agreement.PersistentState) error {
 	fresh := ledger.New()
 	if err := fresh.Restore(d.Snapshot.Data); err != nil {
 		return err
@@ -274,12 +274,12 @@
 }
 
 func (v *Voter) updateMembers() {
-	v.members.Store(&members{known: v.agreement.Addresses(v.settings.Clock()), voting: v.agreement.Voting()})
+	v.members.Store(&members{known: v.agreement.Addresses(v.settings.Clock()), voting: v.agreement.VotingAddresses()})
 }
 
 // Members returns the RPC addresses of all known voters, including this one.
 func (v *Voter) Members() []string { return v.members.Load().known }
 
-// Voting returns the RPC addresses of the voters that have a vote. It is empty while the
+// VotingMembers returns the RPC addresses of the voters that have a vote. It is empty while the
 // membership is unknown.
-func (v *Voter) Voting() []string { return v.members.Load().voting }
+func (v *Voter) VotingMembers() []string { return v.members.Load().voting }
--- a/internal/control/voter/voter_test.go
+++ b/internal/control/voter/voter_test.go
@@ -63,7 +63,7 @@
 		},
 		GroupToken: "group", CompactAfter: 64, Tick: 5 * time.Millisecond, AcceptTimeout: 300 * time.Millisecond, Clock: time.Now,
 		Changed: changed,
-		Reopen:  func() (*wal.Wal, agreement.Durable, error) { return wal.Open(disk) },
+		Reopen:  func() (*wal.Log, agreement.PersistentState, error) { return wal.Open(disk) },
 	}, w, d, trail, hclog.NewNullLogger())
 	require.NoError(t, err)
 	return v, func() func() {
@@ -100,7 +100,7 @@
 	eventually(t, func() bool { return publish(v, 5) == nil })
 	disk.full(true)
 	require.Error(t, publish(v, 6))
-	require.Equal(t, uint64(5), v.Held().Revision, "a change that was not synced is not applied")
+	require.Equal(t, uint64(5), v.AppliedConfiguration().Revision, "a change that was not synced is not applied")
 	disk.full(false)
 	eventually(t, func() bool { return publish(v, 7) == nil })
 	c, err := v.Read(t.Context())
@@ -115,14 +115,14 @@
 	a, err := v.Publish(t.Context(), other, "other", "test")
 	require.NoError(t, err)
 	require.Equal(t, ledger.Superseded, a.Verdict)
-	require.Empty(t, v.Held().Services, "other content with the same revision is ignored")
+	require.Empty(t, v.AppliedConfiguration().Services, "other content with the same revision is ignored")
 	require.NoError(t, publish(v, 3), "an older revision is acknowledged")
-	require.Equal(t, uint64(5), v.Held().Revision)
+	require.Equal(t, uint64(5), v.AppliedConfiguration().Revision)
 	a, err = v.Publish(t.Context(), configuration.Configuration{Revision: 9, Routes: []configuration.Route{{Name: "r"}}}, "bad", "test")
 	require.NoError(t, err)
 	var invalid *ledger.InvalidError
 	require.ErrorAs(t, a.Err(), &invalid)
-	require.Equal(t, uint64(5), v.Held().Revision)
+	require.Equal(t, uint64(5), v.AppliedConfiguration().Revision)
 }
 
 // Guards against a slow start after a power loss of all machines. A voter that started with a
@@ -146,7 +146,7 @@
 	}
 }
 
-func evacuated(v *voter.Voter) []string { return v.Evacuations().Names() }
+func evacuated(v *voter.Voter) []string { return v.Evacuations().EvacuatedZones() }
 
 // Guards against evacuated zones that get flows again after a power loss of all machines. The
 // voter restarts first from its log and later from a snapshot.
--- a/internal/cookie/follower/fetcher.go
+++ b/internal/cookie/follower/fetcher.go
@@ -144,7 +144,7 @@
 func (f *fetcher) fetchAll(ctx context.Context) {
 	pause := fetchBackoff
 	for {
-		held := f.listener.Held().Revision
+		held := f.listener.Configuration().Revision
 		address, again := f.nextSource(held)
 		if address == "" {
 			return
@@ -162,7 +162,7 @@
 			f.log.Warn("failed to fetch configuration", "Address", address, "Error", err)
 			continue
 		}
-		if f.listener.Held().Revision == held {
+		if f.listener.Configuration().Revision == held {
 			// The source counts as tried; an immediate retry would loop and keep both sides busy.
 			f.fallBackToVoters(address)
 			continue
@@ -199,7 +199,7 @@
 	defer cancel()
 	client := rpc.NewClient(address, f.token)
 	defer client.Close()
-	held := f.listener.Held()
+	held := f.listener.Configuration()
 	c, err := requestConfiguration(ctx, client, held, held.Revision)
 	var gap *history.GapError
 	var digest *history.DigestError
@@ -210,14 +210,14 @@
 	if err != nil {
 		return err
 	}
-	f.listener.Offered(address, c)
+	f.listener.OnConfiguration(address, c)
 	return nil
 }
 
 func requestConfiguration(ctx context.Context, client *rpc.Client, held configuration.Configuration, revision uint64) (configuration.Configuration, error) {
-	a, err := rpc.Call[uint64, history.Answer](ctx, client, feed.ConfigurationMethod, revision)
+	a, err := rpc.Call[uint64, history.Response](ctx, client, feed.ConfigurationMethod, revision)
 	if err != nil {
 		return held, err
 	}
-	return history.Follow(held, a)
+	return history.Apply(held, a)
 }
--- a/internal/cookie/follower/follower.go
+++ b/internal/cookie/follower/follower.go
@@ -12,17 +12,17 @@
 	"github.com/hashicorp/go-hclog"
 	"github.com/samber/lo"
 
-	"wasabideal/internal/fanout/census"
+	"wasabideal/internal/fanout/bootstrap"
 	"wasabideal/internal/fanout/member"
 	"wasabideal/internal/fanout/members"
+	"wasabideal/internal/fanout/membership"
 	"wasabideal/internal/fanout/origins"
 	"wasabideal/internal/fanout/selection"
 	"wasabideal/internal/fanout/tree"
-	"wasabideal/internal/fanout/turn"
 	"wasabideal/internal/model/configuration"
 	"wasabideal/internal/model/evacuation"
-	"wasabideal/internal/silence/witness"
-	"wasabideal/internal/silence/word"
+	"wasabideal/internal/silence/evaluators"
+	"wasabideal/internal/silence/evidence"
 	"wasabideal/internal/wire/pool"
 )
 
@@ -49,19 +49,19 @@
 // Listener receives the answers of the sources. Its methods are called one at a time, except those
 // for configurations, which several goroutines call.
 type Listener interface {
-	// Held returns the configuration in force.
-	Held() configuration.Configuration
-	// Informed reports whether any upstreams are known.
-	Informed() bool
-	// Offered receives a configuration from the voter or balancer at an address.
-	Offered(address string, c configuration.Configuration)
-	// Answered receives the state that a voter sent.
-	Answered(now time.Time, x origins.Origin)
+	// Configuration returns the configuration in force.
+	Configuration() configuration.Configuration
+	// HasUpstreams reports whether any upstreams are known.
+	HasUpstreams() bool
+	// OnConfiguration receives a configuration from the voter or balancer at an address.
+	OnConfiguration(address string, c configuration.Configuration)
+	// OnVoterState receives the state that a voter sent.
+	OnVoterState(now time.Time, x origins.Update)
 	// Evacuations returns the evacuation orders in force, and Evacuated receives those of the voter
 	// or balancer at an address. Evacuated is called before the rest of the same answer is applied,
 	// so that no flow is placed by that answer without them.
 	Evacuations() evacuation.Evacuations
-	Evacuated(address string, e evacuation.Evacuations)
+	OnEvacuations(address string, e evacuation.Evacuations)
 }
 
 // Settings configures a follower.
@@ -96,10 +96,10 @@
 	seeds     map[string]bool
 	origins   *origins.Origins
 	// bootstrap decides which voter is polled first after the start.
-	bootstrap turn.Sequencer
+	bootstrap bootstrap.Sequencer
 	// selection is nil if only voters are followed.
 	selection *selection.Selection
-	census    *census.Census
+	census    *membership.Membership
 	// followers are the direct and indirect followers of this balancer.
 	followers *members.Members
 	fetcher   *fetcher
@@ -123,7 +123,7 @@
 func New(s Settings, l Listener, log hclog.Logger) *Follower {
 	f := &Follower{
 		settings: s, log: log, listener: l, watches: map[string]*watch{}, voterSeen: map[string]time.Time{},
-		origins: origins.New(), census: census.New(), followers: members.New(), pool: pool.New(s.Token),
+		origins: origins.New(), census: membership.New(), followers: members.New(), pool: pool.New(s.Token),
 	}
 	f.fetcher = newFetcher(s.Token, l, f.knownVoters, log)
 	if s.Self.Address != "" {
@@ -146,7 +146,7 @@
 		defer f.running.Done()
 		f.runReconciler()
 	}()
-	f.Name(voters)
+	f.SetSources(voters)
 }
 
 // Wait blocks until all goroutines have ended.
@@ -155,8 +155,8 @@
 	f.pool.Close()
 }
 
-// Name sets the voter addresses from the settings (the seeds).
-func (f *Follower) Name(voters []string) {
+// SetSources sets the voter addresses from the settings (the seeds).
+func (f *Follower) SetSources(voters []string) {
 	f.mu.Lock()
 	f.seeds = lo.SliceToMap(voters, func(a string) (string, bool) { return a, true })
 	f.mu.Unlock()
@@ -211,7 +211,7 @@
 		if !wanted[a] {
 			w.stop()
 			delete(f.watches, a)
-			f.census.Drop(now, a)
+			f.census.RemoveSource(now, a)
 		}
 	}
 	for a := range wanted {
@@ -289,7 +289,7 @@
 	f.selection.EvaluateProbe(now)
 	if c, changed := f.selection.TakeChange(); changed {
 		f.log.Info("follows", "Parent", c.Parent, "Reason", string(c.Reason), "Level", f.selection.Level(),
-			"Balancers", len(f.census.Members()), "FreshVoters", f.origins.Fresh(now, f.settings.StaleAfter))
+			"Balancers", len(f.census.Members()), "FreshVoters", f.origins.CountFresh(now, f.settings.StaleAfter))
 	}
 	return f.selection.Decide(now)
 }
@@ -320,7 +320,7 @@
 	w := &watch{voter: voter, stop: cancel}
 	w.uplink = &uplink{
 		token: f.settings.Token, to: address, clock: f.settings.Clock, log: f.log, wake: make(chan struct{}, 1),
-		followerReport: func() []members.Attendance { return f.followerReport(address) },
+		followerReport: func() []members.Heartbeat { return f.followerReport(address) },
 	}
 	f.watches[address] = w
 	f.running.Add(2)
@@ -355,17 +355,17 @@
 }
 
 // Report reports upstreams that stopped or resumed answering.
-func (f *Follower) Report(events []word.Event) {
-	f.Pass(word.Report{From: f.settings.From, Events: events})
+func (f *Follower) Report(events []evidence.Event) {
+	f.Forward(evidence.Report{From: f.settings.From, Events: events})
 }
 
-// Pass forwards a follower's report. Each voter receives only the upstreams whose evidence it
+// Forward forwards a follower's report. Each voter receives only the upstreams whose evidence it
 // evaluates.
-func (f *Follower) Pass(r word.Report) {
+func (f *Follower) Forward(r evidence.Report) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	targets := f.reportTargets()
-	shares := witness.Share(targets, r.Events)
+	shares := evaluators.Assign(targets, r.Events)
 	for _, a := range targets {
 		if w := f.watches[a]; w != nil && len(shares[a]) > 0 {
 			w.uplink.enqueue(r.From, shares[a])
--- a/internal/cookie/follower/follower_test.go
+++ b/internal/cookie/follower/follower_test.go
@@ -21,7 +21,7 @@
 	"wasabideal/internal/model/configuration"
 	"wasabideal/internal/model/evacuation"
 	"wasabideal/internal/model/upstream"
-	"wasabideal/internal/standin/server"
+	"wasabideal/internal/standin/rpctest"
 	"wasabideal/internal/upstream/directory"
 	"wasabideal/internal/wire/rpc"
 )
@@ -40,14 +40,14 @@
 }
 
 func startVoter(t *testing.T, life uint64) *voter {
-	l := server.Listen(t)
+	l := rpctest.Listen(t)
 	v := &voter{
 		address: l.Address(),
 		history: history.New(8),
 		feed:    feed.New(life, directory.New(directory.Settings{SilentAfter: time.Minute, ForgetAfter: time.Hour}), time.Now),
 	}
 	s := rpc.NewServer(func(string) {})
-	rpc.Handle(s, feed.SinceMethod, "group", func(ctx context.Context, q feed.Question) (feed.Answer, error) {
+	rpc.Handle(s, feed.SinceMethod, "group", func(ctx context.Context, q feed.Request) (feed.Response, error) {
 		v.mu.Lock()
 		if q.Life == 0 {
 			v.initialPolls++
@@ -55,7 +55,7 @@
 		v.mu.Unlock()
 		return v.feed.Since(ctx, q), nil
 	})
-	rpc.Handle(s, feed.ConfigurationMethod, "group", func(ctx context.Context, revision uint64) (history.Answer, error) {
+	rpc.Handle(s, feed.ConfigurationMethod, "group", func(ctx context.Context, revision uint64) (history.Response, error) {
 		v.mu.Lock()
 		v.fetched++
 		stuck := v.stuck
@@ -96,31 +96,31 @@
 	return l.evacuations
 }
 
-func (l *listener) Evacuated(_ string, e evacuation.Evacuations) {
+func (l *listener) OnEvacuations(_ string, e evacuation.Evacuations) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.evacuations = e
 }
 
-func (l *listener) Held() configuration.Configuration {
+func (l *listener) Configuration() configuration.Configuration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.held
 }
 
-func (l *listener) Informed() bool {
+func (l *listener) HasUpstreams() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.informed
 }
 
-func (l *listener) Offered(_ string, c configuration.Configuration) {
+func (l *listener) OnConfiguration(_ string, c configuration.Configuration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.held = c
 }
 
-func (l *listener) Answered(_ time.Time, x origins.Origin) {
+func (l *listener) OnVoterState(_ time.Time, x origins.Update) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.notices[x.Voter] += len(x.Notices)
@@ -164,7 +164,7 @@
 		for _, v := range []*voter{a, b, c} {
 			v.publish(revision)
 		}
-		eventually(t, func() bool { return l.Held().Revision == revision })
+		eventually(t, func() bool { return l.Configuration().Revision == revision })
 	}
 	require.LessOrEqual(t, a.fetches()+b.fetches()+c.fetches(), 6, "one fetch per change or two in a race, not nine")
 }
@@ -175,9 +175,9 @@
 	l := startFollower(t, a.address)
 	a.publish(7)
 	eventually(t, func() bool { return a.fetches() > 0 })
-	a.feed.SetMembers([]string{a.address, b.address})
+	a.feed.SetVoters([]string{a.address, b.address})
 	b.publish(7)
-	eventually(t, func() bool { return l.Held().Revision == 7 })
+	eventually(t, func() bool { return l.Configuration().Revision == 7 })
 }
 
 func TestNoticesDoNotWaitForConfiguration(t *testing.T) {
@@ -188,7 +188,7 @@
 	eventually(t, func() bool { return a.fetches() > 0 })
 	a.feed.Announce(time.Now(), upstream.Upstream{Identity: upstream.Identity{Incarnation: 5}, Sequence: 1}, 0)
 	eventually(t, func() bool { return l.noticesFrom(a.address) == 1 })
-	require.Equal(t, uint64(1), l.Held().Revision)
+	require.Equal(t, uint64(1), l.Configuration().Revision)
 }
 
 // Guards against a slow start without a configuration: balancers became ready 90 ms after the first
@@ -201,7 +201,7 @@
 	a.feed.Announce(time.Now(), upstream.Upstream{Identity: upstream.Identity{Incarnation: 5}, Sequence: 1}, 0)
 	l := startFollowerHolding(t, 0, a.address)
 	eventually(t, func() bool { return l.noticesFrom(a.address) == 1 })
-	require.Equal(t, uint64(7), l.Held().Revision, "the configuration is applied before the notices")
+	require.Equal(t, uint64(7), l.Configuration().Revision, "the configuration is applied before the notices")
 }
 
 // A large configuration is fetched separately: the answers of several voters would fill a narrow
@@ -217,7 +217,7 @@
 	a.history = a.history.With(large)
 	a.feed.Publish(a.history)
 	l := startFollowerHolding(t, 0, a.address)
-	eventually(t, func() bool { return l.Held().Revision == 7 })
+	eventually(t, func() bool { return l.Configuration().Revision == 7 })
 	require.NotZero(t, a.fetches())
 }
 
@@ -225,16 +225,16 @@
 var nonRootShape = tree.Shape{Roots: 4, Fanout: 8}
 
 // below returns the address of a balancer below the roots of its zone, and the zone.
-func nonRootBalancer() (string, []members.Attendance) {
+func nonRootBalancer() (string, []members.Heartbeat) {
 	var addresses []string
-	var zone []members.Attendance
+	var zone []members.Heartbeat
 	for n := range 20 {
 		a := fmt.Sprintf("127.9.9.%d:7720", n+1)
 		addresses = append(addresses, a)
-		zone = append(zone, members.Attendance{Member: member.Member{Zone: "a", Address: a}})
+		zone = append(zone, members.Heartbeat{Member: member.Member{Zone: "a", Address: a}})
 	}
 	for _, a := range addresses {
-		if nonRootShape.Of(a, addresses).Level > 0 {
+		if nonRootShape.PlaceOf(a, addresses).Level > 0 {
 			return a, zone
 		}
 	}
@@ -262,14 +262,14 @@
 	self, zone := nonRootBalancer()
 	empty, complete := startVoter(t, 1), startVoter(t, 2)
 	for _, v := range []*voter{empty, complete} {
-		v.feed.Attend(time.Now(), zone)
+		v.feed.RecordFollowers(time.Now(), zone)
 	}
 	complete.feed.Announce(time.Now(), upstream.Upstream{Identity: upstream.Identity{Incarnation: 5}, Sequence: 1}, 0)
 	complete.publish(7)
 	// The clock stands still, so the period after which all voters are polled never ends.
 	frozen := time.Now()
 	_, l := startNonRoot(t, func() time.Time { return frozen }, self, []string{empty.address, complete.address})
-	eventually(t, func() bool { return l.Held().Revision == 7 && l.Informed() })
+	eventually(t, func() bool { return l.Configuration().Revision == 7 && l.HasUpstreams() })
 }
 
 // Guards against slow starts of a large fleet. After all VMs lost power, balancers became ready 265
@@ -281,14 +281,14 @@
 	var addresses []string
 	for life := range uint64(3) {
 		v := startVoter(t, life+1)
-		v.feed.Attend(time.Now(), zone)
+		v.feed.RecordFollowers(time.Now(), zone)
 		v.feed.Announce(time.Now(), upstream.Upstream{Identity: upstream.Identity{Incarnation: 5}, Sequence: 1}, 0)
 		v.publish(7)
 		voters = append(voters, v)
 		addresses = append(addresses, v.address)
 	}
 	f, l := startNonRoot(t, time.Now, self, addresses)
-	eventually(t, func() bool { return l.Held().Revision == 7 })
+	eventually(t, func() bool { return l.Configuration().Revision == 7 })
 	time.Sleep(100 * time.Millisecond)
 	polls := 0
 	for _, v := range voters {
--- a/internal/cookie/follower/handover.go
+++ b/internal/cookie/follower/handover.go
@@ -9,7 +9,7 @@
 	"wasabideal/internal/control/upstreams"
 	"wasabideal/internal/fanout/member"
 	"wasabideal/internal/upstream/handover"
-	"wasabideal/internal/upstream/home"
+	"wasabideal/internal/upstream/owner"
 	"wasabideal/internal/wire/pool"
 )
 
@@ -32,7 +32,7 @@
 	if parent != "" {
 		return f.handOverTo(ctx, parent, all)
 	}
-	byHome := lo.GroupBy(all, func(a handover.Announcement) string { return home.Of(a.Upstream, voters) })
+	byHome := lo.GroupBy(all, func(a handover.Announcement) string { return owner.Of(a.Upstream, voters) })
 	results := make(chan error, len(byHome))
 	for to, announcements := range byHome {
 		go func() { results <- f.handOverTo(ctx, to, announcements) }()
@@ -48,34 +48,34 @@
 	if to == "" {
 		return &NobodyError{}
 	}
-	_, err := pool.Call[[]handover.Announcement, empty](ctx, f.pool, to, upstreams.HandOverMethod, all)
+	_, err := pool.Call[[]handover.Announcement, empty](ctx, f.pool, to, upstreams.ForwardMethod, all)
 	return err
 }
 
 // reachableVoters returns the polled voters that answer, and the unpolled ones whose state is at
 // most ContactLease old. Unpolled voters count because an upstream that moves to another voter is
 // announced to the whole fleet again. The caller holds the lock.
-func (f *Follower) reachableVoters() []home.Voter {
+func (f *Follower) reachableVoters() []owner.Voter {
 	now := f.settings.Clock()
-	var out []home.Voter
+	var out []owner.Voter
 	for a := range f.voterSeen {
 		w, asked := f.watches[a]
-		if asked && w.answers || !asked && f.origins.Of(now, a).Age <= ContactLease {
-			out = append(out, home.Voter{Address: a, Zone: f.origins.Zone(a)})
+		if asked && w.answers || !asked && f.origins.State(now, a).Age <= ContactLease {
+			out = append(out, owner.Voter{Address: a, Zone: f.origins.Zone(a)})
 		}
 	}
 	return out
 }
 
 // Voters returns the reachable voters.
-func (f *Follower) Voters() []home.Voter {
+func (f *Follower) Voters() []owner.Voter {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.reachableVoters()
 }
 
-// Others returns the other balancers of the zone.
-func (f *Follower) Others() []member.Member {
+// OtherBalancers returns the other balancers of the zone.
+func (f *Follower) OtherBalancers() []member.Member {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return lo.Filter(f.census.Members(), func(m member.Member, _ int) bool { return m.Address != f.settings.Self.Address })
--- a/internal/cookie/follower/handover_test.go
+++ b/internal/cookie/follower/handover_test.go
@@ -9,7 +9,7 @@
 
 	"wasabideal/internal/fanout/member"
 	"wasabideal/internal/fanout/origins"
-	"wasabideal/internal/upstream/home"
+	"wasabideal/internal/upstream/owner"
 )
 
 // Guards against upstreams that move to another voter, and are announced to the whole fleet again,
@@ -22,7 +22,7 @@
 		f.voterSeen[voter] = now
 	}
 	recordState := func(voter string, age time.Duration) {
-		f.origins.Take(now, origins.Origin{Known: origins.Known{Voter: voter, Life: 1, Age: age}, Zone: "a"})
+		f.origins.Apply(now, origins.Update{Known: origins.Known{Voter: voter, Life: 1, Age: age}, Zone: "a"})
 	}
 	recordState("asked", 0)
 	recordState("fails", 0)
@@ -30,5 +30,5 @@
 	recordState("gone", 2*ContactLease)
 	f.watches["asked"] = &watch{voter: true, answers: true}
 	f.watches["fails"] = &watch{voter: true}
-	require.ElementsMatch(t, []home.Voter{{Address: "asked", Zone: "a"}, {Address: "heard", Zone: "a"}}, f.Voters())
+	require.ElementsMatch(t, []owner.Voter{{Address: "asked", Zone: "a"}, {Address: "heard", Zone: "a"}}, f.Voters())
 }
--- a/internal/cookie/follower/parent.go
+++ b/internal/cookie/follower/parent.go
@@ -4,7 +4,7 @@
 	"context"
 	"time"
 
-	"wasabideal/internal/fanout/census"
+	"wasabideal/internal/fanout/membership"
 	"wasabideal/internal/fanout/relay"
 	"wasabideal/internal/wire/rpc"
 )
@@ -49,7 +49,7 @@
 	f.log.Info("balancer does not answer", "Address", address, "Error", err)
 	now := f.settings.Clock()
 	delete(f.watches, address)
-	f.census.Drop(now, address)
+	f.census.RemoveSource(now, address)
 	f.selection.RecordFailure(now, address)
 	f.reconcile(now)
 }
@@ -59,7 +59,7 @@
 	call, cancel := context.WithTimeout(ctx, parentHold+parentGrace)
 	defer cancel()
 	sent := f.settings.Clock()
-	a, err := rpc.Call[relay.Question, relay.Answer](call, client, relay.SinceMethod, q)
+	a, err := rpc.Call[relay.Request, relay.Response](call, client, relay.SinceMethod, q)
 	if err != nil {
 		return false, err
 	}
@@ -68,7 +68,7 @@
 	roundTrip := max(now.Sub(sent)-a.Held, 0)
 	updated, fresh := a.Revision > q.Revision, 0
 	if a.Evacuations != nil {
-		f.listener.Evacuated(address, *a.Evacuations)
+		f.listener.OnEvacuations(address, *a.Evacuations)
 		updated = true
 	}
 	for _, x := range a.Origins {
@@ -83,7 +83,7 @@
 	f.fetcher.noteRevision(address, a.Revision)
 	f.setFleetSize(address, a.Balancers)
 	if q.Fleet != a.FleetVersion || len(a.Fleet) > 0 {
-		f.applyFleet(address, census.List{Version: a.FleetVersion, Members: a.Fleet})
+		f.applyFleet(address, membership.List{Version: a.FleetVersion, Members: a.Fleet})
 		updated = true
 	}
 	f.mu.Lock()
@@ -93,13 +93,13 @@
 	return updated, nil
 }
 
-func (f *Follower) parentRequest(address string) relay.Question {
+func (f *Follower) parentRequest(address string) relay.Request {
 	evacuations := f.listener.Evacuations().Revision
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return relay.Question{
+	return relay.Request{
 		Evacuations: evacuations,
 		From:        f.settings.Self.Address, Hold: parentHold, Revision: f.fetcher.revision(address),
-		Fleet: f.census.Of(address).Version, Known: f.origins.Known(f.settings.Clock()),
+		Fleet: f.census.List(address).Version, Known: f.origins.Known(f.settings.Clock()),
 	}
 }
--- a/internal/cookie/follower/standing.go
+++ b/internal/cookie/follower/standing.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Standing is the position of a balancer in the fan-out tree and the age of its state.
-type Standing struct {
+// Status is the position of a balancer in the fan-out tree and the age of its state.
+type Status struct {
 	// Parent is empty if the voters are followed.
 	Parent string
 	Level  int
@@ -26,13 +26,13 @@
 	return f.selection.Level()
 }
 
-// Standing returns the balancer's position and the age of its state.
-func (f *Follower) Standing(now time.Time) Standing {
+// Status returns the balancer's position and the age of its state.
+func (f *Follower) Status(now time.Time) Status {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	s := Standing{
-		Fresh: f.origins.Fresh(now, f.settings.StaleAfter), Balancers: len(f.census.Members()),
-		Followers: len(f.followers.Attendances(now)),
+	s := Status{
+		Fresh: f.origins.CountFresh(now, f.settings.StaleAfter), Balancers: len(f.census.Members()),
+		Followers: len(f.followers.Heartbeats(now)),
 	}
 	for i, k := range f.origins.Known(now) {
 		if i == 0 || k.Age < s.Age {
--- a/internal/cookie/follower/uplink.go
+++ b/internal/cookie/follower/uplink.go
@@ -11,7 +11,7 @@
 
 	"wasabideal/internal/control/feed"
 	"wasabideal/internal/fanout/members"
-	"wasabideal/internal/silence/word"
+	"wasabideal/internal/silence/evidence"
 	"wasabideal/internal/wire/rpc"
 )
 
@@ -32,7 +32,7 @@
 
 // pendingEvent is an event with the balancer that observed it and the time of its arrival here.
 type pendingEvent struct {
-	word.Event
+	evidence.Event
 	from string
 	at   time.Time
 }
@@ -44,7 +44,7 @@
 	clock     func() time.Time
 	log       hclog.Logger
 	// followerReport returns the followers to report, none if the target is not to receive any.
-	followerReport func() []members.Attendance
+	followerReport func() []members.Heartbeat
 	mu             sync.Mutex
 	pending        []pendingEvent
 	wake           chan struct{}
@@ -53,7 +53,7 @@
 // enqueue adds a balancer's events to the next report. Above the limit, the oldest unanswered
 // packets are dropped, as the least significant events. A lost liveness report could mark a live
 // upstream as unresponsive.
-func (u *uplink) enqueue(from string, events []word.Event) {
+func (u *uplink) enqueue(from string, events []evidence.Event) {
 	now := u.clock()
 	u.mu.Lock()
 	for _, e := range events {
@@ -84,7 +84,7 @@
 			return
 		case <-followerTimer.C:
 			u.sendFollowers(ctx, client)
-			followerTimer.Reset(members.AttendEvery)
+			followerTimer.Reset(members.ReportInterval)
 			continue
 		case <-u.wake:
 		}
@@ -106,20 +106,20 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
-	if _, err := rpc.Call[[]word.Report, empty](ctx, client, feed.ReportsMethod, reports); err != nil {
+	if _, err := rpc.Call[[]evidence.Report, empty](ctx, client, feed.ReportsMethod, reports); err != nil {
 		u.log.Debug("failed to report upstream events", "Address", u.to, "Error", err)
 	}
 }
 
 // drain returns the pending reports, one per balancer, with up-to-date ages.
-func (u *uplink) drain() []word.Report {
+func (u *uplink) drain() []evidence.Report {
 	now := u.clock()
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	byBalancer := lo.GroupBy(u.pending, func(s pendingEvent) string { return s.from })
 	u.pending = nil
-	return lo.MapToSlice(byBalancer, func(from string, all []pendingEvent) word.Report {
-		return word.Report{From: from, Events: lo.Map(all, func(s pendingEvent, _ int) word.Event {
+	return lo.MapToSlice(byBalancer, func(from string, all []pendingEvent) evidence.Report {
+		return evidence.Report{From: from, Events: lo.Map(all, func(s pendingEvent, _ int) evidence.Event {
 			s.Age += now.Sub(s.at)
 			return s.Event
 		})}
@@ -133,7 +133,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
-	if _, err := rpc.Call[[]members.Attendance, empty](ctx, client, feed.AttendMethod, all); err != nil {
+	if _, err := rpc.Call[[]members.Heartbeat, empty](ctx, client, feed.AttendMethod, all); err != nil {
 		u.log.Debug("failed to report followers", "Address", u.to, "Error", err)
 	}
 }
--- a/internal/cookie/follower/voters.go
+++ b/internal/cookie/follower/voters.go
@@ -9,7 +9,7 @@
 
 	"wasabideal/internal/configuration/history"
 	"wasabideal/internal/control/feed"
-	"wasabideal/internal/fanout/census"
+	"wasabideal/internal/fanout/membership"
 	"wasabideal/internal/fanout/origins"
 	"wasabideal/internal/model/configuration"
 	"wasabideal/internal/wire/rpc"
@@ -78,7 +78,7 @@
 
 // recordAnswer records whether a voter answered its last poll.
 func (f *Follower) recordAnswer(address string, w *watch, answered bool) {
-	complete := f.listener.Informed() && f.listener.Held().Revision > 0
+	complete := f.listener.HasUpstreams() && f.listener.Configuration().Revision > 0
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	w.answers = answered
@@ -101,7 +101,7 @@
 		return false
 	}
 	delete(f.watches, address)
-	f.census.Drop(now, address)
+	f.census.RemoveSource(now, address)
 	f.expireVoter(now, address)
 	return true
 }
@@ -114,12 +114,12 @@
 }
 
 // voterRequest returns the next poll for a voter.
-func (f *Follower) voterRequest(address string, held configuration.Configuration) feed.Question {
-	informed, evacuations := f.listener.Informed(), f.listener.Evacuations().Revision
+func (f *Follower) voterRequest(address string, held configuration.Configuration) feed.Request {
+	informed, evacuations := f.listener.HasUpstreams(), f.listener.Evacuations().Revision
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	known := f.origins.Of(f.settings.Clock(), address)
-	q := feed.Question{
+	known := f.origins.State(f.settings.Clock(), address)
+	q := feed.Request{
 		Hold: voterHold, Recalled: !informed, From: f.settings.From, Encoded: true,
 		Unconfigured: held.Revision == 0 && len(f.reportTargets()) == 0,
 		Life:         known.Life, Version: known.Version, Doubts: known.Doubts, Revision: f.fetcher.revision(address),
@@ -129,7 +129,7 @@
 		self := f.settings.Self
 		q.Self = &self
 		q.Passing = f.settings.Shape.Levels(len(f.census.Members())) - 1
-		if list := f.census.Of(address); list.Life == known.Life {
+		if list := f.census.List(address); list.Life == known.Life {
 			q.Fleet = list.Version
 		}
 	}
@@ -137,11 +137,11 @@
 }
 
 func (f *Follower) pollVoterOnce(ctx context.Context, client *rpc.Client, address string) error {
-	held := f.listener.Held()
+	held := f.listener.Configuration()
 	q := f.voterRequest(address, held)
 	call, cancel := context.WithTimeout(ctx, voterHold+voterGrace)
 	defer cancel()
-	a, err := rpc.Call[feed.Question, feed.Answer](call, client, feed.SinceMethod, q)
+	a, err := rpc.Call[feed.Request, feed.Response](call, client, feed.SinceMethod, q)
 	if err != nil {
 		return err
 	}
@@ -149,12 +149,12 @@
 		return err
 	}
 	if a.Evacuations != nil {
-		f.listener.Evacuated(address, *a.Evacuations)
+		f.listener.OnEvacuations(address, *a.Evacuations)
 	}
 	if len(a.Configuration) > 0 {
 		f.applyInlineConfiguration(address, held, a.Configuration)
 	}
-	f.applyOrigin(f.settings.Clock(), origins.Origin{
+	f.applyOrigin(f.settings.Clock(), origins.Update{
 		Known:   origins.Known{Voter: address, Life: a.Life, Version: a.Version, Doubts: a.DoubtsVersion},
 		Notices: a.Notices, Subjects: a.Doubts, Doubted: a.Life != q.Life || a.DoubtsVersion != q.Doubts, Zone: a.Zone,
 	})
@@ -166,25 +166,25 @@
 }
 
 // applyVoterFleet applies the balancer list in a voter's answer.
-func (f *Follower) applyVoterFleet(address string, q feed.Question, a feed.Answer) {
+func (f *Follower) applyVoterFleet(address string, q feed.Request, a feed.Response) {
 	if q.Self == nil || q.Fleet == a.FleetVersion && q.Life == a.Life {
 		return
 	}
-	f.applyFleet(address, census.List{Life: a.Life, Version: a.FleetVersion, Members: a.Fleet})
+	f.applyFleet(address, membership.List{Life: a.Life, Version: a.FleetVersion, Members: a.Fleet})
 }
 
 // applyFleet applies a source's list of balancers.
-func (f *Follower) applyFleet(source string, l census.List) {
+func (f *Follower) applyFleet(source string, l membership.List) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.settings.Clock()
-	f.census.Take(now, source, l)
+	f.census.SetList(now, source, l)
 	f.selection.UpdateZone(now, f.census.Addresses())
 }
 
 // applyOrigin applies a voter's state, in the order of its versions, and reports whether it was
 // new.
-func (f *Follower) applyOrigin(now time.Time, x origins.Origin) bool {
+func (f *Follower) applyOrigin(now time.Time, x origins.Update) bool {
 	f.applying.Lock()
 	defer f.applying.Unlock()
 	f.mu.Lock()
@@ -194,22 +194,22 @@
 	if !accepted {
 		return false
 	}
-	f.listener.Answered(now, x)
+	f.listener.OnVoterState(now, x)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.origins.Take(now, x)
+	return f.origins.Apply(now, x)
 }
 
 // applyInlineConfiguration applies a configuration that came with a voter's answer.
 func (f *Follower) applyInlineConfiguration(address string, held configuration.Configuration, encoded cbor.RawMessage) {
-	var a history.Answer
+	var a history.Response
 	err := cbor.Unmarshal(encoded, &a)
 	if err == nil {
-		held, err = history.Follow(held, a)
+		held, err = history.Apply(held, a)
 	}
 	if err != nil {
 		f.log.Warn("failed to decode configuration in voter answer", "Address", address, "Error", err)
 		return
 	}
-	f.listener.Offered(address, held)
+	f.listener.OnConfiguration(address, held)
 }
--- a/internal/cookie/router/choose.go
+++ b/internal/cookie/router/choose.go
@@ -157,10 +157,10 @@
 // three times in a row; paced, 25.
 const bufferedPendingMax = 1
 
-// HasRoom reports whether a buffered packet may be placed now. Packets that have just
+// MayPlace reports whether a buffered packet may be placed now. Packets that have just
 // arrived are placed at once: they are new, or the caller's last retransmission. Buffered
 // packets were retransmitted recently and have most of their time left.
-func (r *Router) HasRoom(now time.Time, p Packet) bool {
+func (r *Router) MayPlace(now time.Time, p Packet) bool {
 	if r.settings.Off.Has(mechanism.RoomAfterStart) {
 		return true
 	}
--- a/internal/cookie/router/cold.go
+++ b/internal/cookie/router/cold.go
@@ -44,7 +44,7 @@
 	if !bounded || !now.Before(until) || r.settings.Off.Has(mechanism.SlowStart) {
 		return true
 	}
-	return t.Zone == r.settings.Zone && t.coldWindow.Allows(now, t.service.coldRate) && r.assignment.Has(now, t.Incarnation)
+	return t.Zone == r.settings.Zone && t.coldWindow.Allows(now, t.service.coldRate) && r.assignment.Owns(now, t.Incarnation)
 }
 
 // takeColdToken counts a new flow against the rate limit of a cold upstream.
--- a/internal/cookie/router/cold_test.go
+++ b/internal/cookie/router/cold_test.go
@@ -163,7 +163,7 @@
 	require.Equal(t, router.Cold, v.Reason)
 	v = f.routers[0].Route(epoch.Add(1200*time.Millisecond), opening(2))
 	require.Equal(t, router.Drop, v.Action)
-	require.True(t, v.Reason.Early(), "the opening is buffered")
+	require.True(t, v.Reason.Temporary(), "the opening is buffered")
 	require.Equal(t, router.Forward, f.routers[0].Route(epoch.Add(coldFor), opening(2)).Action)
 }
 
--- a/internal/cookie/router/detection.go
+++ b/internal/cookie/router/detection.go
@@ -8,8 +8,8 @@
 
 	"wasabideal/internal/cookie/mechanism"
 	"wasabideal/internal/model/configuration"
-	"wasabideal/internal/silence/doubts"
-	"wasabideal/internal/silence/word"
+	"wasabideal/internal/silence/evidence"
+	"wasabideal/internal/silence/suspicions"
 )
 
 const (
@@ -43,7 +43,7 @@
 
 // suspicion is what the voters report about an upstream or a whole zone.
 type suspicion struct {
-	doubts.Doubt
+	suspicions.Suspicion
 	// refuted is set once this balancer has reported an answer since the voters' last
 	// update.
 	refuted bool
@@ -130,11 +130,11 @@
 }
 
 // evidence returns the suspicion that makes the upstream unresponsive.
-func (t *target) evidence() doubts.Doubt {
+func (t *target) evidence() suspicions.Suspicion {
 	if t.suspicion.unresponsive(t.lastAlive) {
-		return t.suspicion.Doubt
+		return t.suspicion.Suspicion
 	}
-	return t.zone.suspicion.Doubt
+	return t.zone.suspicion.Suspicion
 }
 
 // suspectedByVoters reports whether voters suspect the upstream or its zone and this
@@ -144,14 +144,14 @@
 }
 
 // report queues an event for the voters.
-func (r *Router) report(e word.Event) {
+func (r *Router) report(e evidence.Event) {
 	if !r.settings.Off.Has(mechanism.SharedSilence) {
 		r.reports = append(r.reports, e)
 	}
 }
 
 // Reports returns and clears the queued events for the voters.
-func (r *Router) Reports() []word.Event {
+func (r *Router) Reports() []evidence.Event {
 	out := r.reports
 	r.reports = nil
 	return out
@@ -188,7 +188,7 @@
 		return
 	}
 	r.reportBudget--
-	r.report(word.Event{
+	r.report(evidence.Event{
 		Incarnation: t.Incarnation, Born: t.Born, Zone: t.Zone, Age: now.Sub(f.sent), Weight: r.evidenceWeight(now, t, now.Sub(f.sent)),
 	})
 }
@@ -211,16 +211,16 @@
 		}
 	}
 	if refutes {
-		r.report(word.Event{
+		r.report(evidence.Event{
 			Incarnation: t.Incarnation, Born: t.Born, Zone: t.Zone, Age: now.Sub(t.lastAlive), Answered: true,
 		})
 	}
 }
 
-// Doubt replaces all suspicions of the voters. It returns a packet for each flow to reset
+// SetSuspicions replaces all suspicions of the voters. It returns a packet for each flow to reset
 // because its upstream is unresponsive: without a reset the caller waits until its timeout,
 // and its next request on the flow is lost as well.
-func (r *Router) Doubt(now time.Time, all map[word.Subject]doubts.Doubt) []Packet {
+func (r *Router) SetSuspicions(now time.Time, all map[evidence.Subject]suspicions.Suspicion) []Packet {
 	for _, t := range r.suspects {
 		t.suspicion = nil
 	}
@@ -249,8 +249,8 @@
 // suspect stores a suspicion and reports whether its subject is known. It is stored as not
 // yet refuted, so that an answer is reported again: a voter that restarted or was informed
 // late may have missed the last report.
-func (r *Router) suspect(s word.Subject, doubt doubts.Doubt) bool {
-	d := &suspicion{Doubt: doubt}
+func (r *Router) suspect(s evidence.Subject, doubt suspicions.Suspicion) bool {
+	d := &suspicion{Suspicion: doubt}
 	if z := r.zones[s.Zone]; s.Zone != "" && z != nil {
 		z.suspicion = d
 		return true
--- a/internal/cookie/router/detection_test.go
+++ b/internal/cookie/router/detection_test.go
@@ -13,9 +13,9 @@
 	"wasabideal/internal/model/configuration"
 	"wasabideal/internal/silence/accrual"
 	"wasabideal/internal/silence/confirmation"
-	"wasabideal/internal/silence/doubts"
+	"wasabideal/internal/silence/evidence"
 	"wasabideal/internal/silence/probe"
-	"wasabideal/internal/silence/word"
+	"wasabideal/internal/silence/suspicions"
 	"wasabideal/internal/standin/virtual"
 	"wasabideal/internal/upstream/view"
 )
@@ -38,13 +38,13 @@
 // poolSimulation simulates callers on open flows, balancers, upstreams and one voter in
 // virtual time.
 type poolSimulation struct {
-	virtual.Time
+	virtual.Clock
 	random  *rand.Rand
 	routers []*router.Router
-	accrual *accrual.Accrual
+	accrual *accrual.Detector
 	// confirmation is the voter's probing of the hosts of suspected upstreams.
-	confirmation *confirmation.Confirmation
-	doubts       []*doubts.Doubts
+	confirmation *confirmation.Confirmer
+	doubts       []*suspicions.Set
 	// shared is set if balancers report to the voter.
 	shared bool
 	// dead are the upstreams without power; slow multiplies the processing time of others.
@@ -84,7 +84,7 @@
 
 func newPoolSimulation(t *testing.T, seed uint64, shared bool) *poolSimulation {
 	s := &poolSimulation{
-		Time: virtual.Time{Now: epoch}, random: rand.New(rand.NewPCG(seed, 1)), accrual: accrual.New(), confirmation: confirmation.New(), shared: shared,
+		Clock: virtual.Clock{Now: epoch}, random: rand.New(rand.NewPCG(seed, 1)), accrual: accrual.New(), confirmation: confirmation.New(), shared: shared,
 		dead: map[uint64]bool{}, slow: map[uint64]float64{}, stalledUntil: make([]time.Time, poolBalancers),
 	}
 	var targets []view.Target
@@ -101,7 +101,7 @@
 		}}))
 		r.SetTargets(epoch.Add(-time.Minute), targets)
 		s.routers = append(s.routers, r)
-		s.doubts = append(s.doubts, doubts.New(3*time.Second))
+		s.doubts = append(s.doubts, suspicions.New(3*time.Second))
 	}
 	for i := range poolCallers {
 		u := &client{balancer: i % poolBalancers, class: configuration.Idempotent}
@@ -109,16 +109,16 @@
 			u.class = configuration.Unrepeatable
 		}
 		s.clients = append(s.clients, u)
-		s.After(time.Duration(s.random.Int64N(int64(poolThinkTime))), func() { s.startRequest(u) })
+		s.AfterFunc(time.Duration(s.random.Int64N(int64(poolThinkTime))), func() { s.startRequest(u) })
 	}
 	s.tick()
 	return s
 }
 
-func (s *poolSimulation) run(until time.Duration) { s.Run(epoch.Add(until)) }
+func (s *poolSimulation) run(until time.Duration) { s.RunUntil(epoch.Add(until)) }
 
 func (s *poolSimulation) tick() {
-	s.After(100*time.Millisecond, func() {
+	s.AfterFunc(100*time.Millisecond, func() {
 		for i, r := range s.routers {
 			if !s.Now.Before(s.stalledUntil[i]) {
 				r.Tick(s.Now)
@@ -150,7 +150,7 @@
 
 func (s *poolSimulation) stall(balancer int, lasts time.Duration) {
 	s.stalledUntil[balancer] = s.Now.Add(lasts)
-	s.After(lasts, func() {
+	s.AfterFunc(lasts, func() {
 		if s.Now.Before(s.stalledUntil[balancer]) {
 			return
 		}
@@ -176,10 +176,10 @@
 		return
 	}
 	delay := s.voterDelay()
-	s.After(delay, func() {
+	s.AfterFunc(delay, func() {
 		for _, e := range events {
 			e.Age += delay
-			s.accrual.Note(s.Now, string(rune('a'+balancer)), e)
+			s.accrual.Record(s.Now, string(rune('a'+balancer)), e)
 		}
 		s.decide()
 	})
@@ -197,9 +197,9 @@
 // decide lets the voter evaluate the evidence and send changed suspicions to all balancers.
 func (s *poolSimulation) decide() {
 	before := s.version()
-	next := s.accrual.Decide(s.Now, poolBalancers, s.relays)
+	next := s.accrual.Evaluate(s.Now, poolBalancers, s.relays)
 	if !next.IsZero() {
-		s.After(next.Sub(s.Now), s.decide)
+		s.AfterFunc(next.Sub(s.Now), s.decide)
 	}
 	if s.shared {
 		s.probe()
@@ -213,23 +213,23 @@
 // version increases with each change that balancers must receive.
 func (s *poolSimulation) version() uint64 { return s.accrual.Version() + s.confirmation.Version() }
 
-func (s *poolSimulation) suspicions() []confirmation.Suspicion {
-	return lo.Map(s.accrual.Doubts(s.Now), func(d word.Doubt, _ int) confirmation.Suspicion {
-		return confirmation.Suspicion{Doubt: d, Upstreams: s.accrual.Implicated(d.Subject)}
+func (s *poolSimulation) suspicions() []confirmation.Candidate {
+	return lo.Map(s.accrual.Suspicions(s.Now), func(d evidence.Suspicion, _ int) confirmation.Candidate {
+		return confirmation.Candidate{Suspicion: d, Upstreams: s.accrual.Implicated(d.Subject)}
 	})
 }
 
 // probe probes the hosts of suspected upstreams: a host whose process is starved of CPU
 // answers, a host without power does not.
 func (s *poolSimulation) probe() {
-	for _, u := range s.confirmation.Due(s.Now, s.suspicions()) {
+	for _, u := range s.confirmation.NextProbes(s.Now, s.suspicions()) {
 		begun, o, took := s.Now, probe.Accepted, 2*transit
 		if s.dead[u.Incarnation] {
-			o, took = probe.Unanswered, probe.Patience
+			o, took = probe.Unanswered, probe.Timeout
 		}
-		s.After(took, func() {
+		s.AfterFunc(took, func() {
 			before := s.version()
-			s.confirmation.Probed(s.Now, begun, u, o)
+			s.confirmation.RecordOutcome(s.Now, begun, u, o)
 			if s.version() != before {
 				s.sendSuspicions()
 			}
@@ -240,13 +240,13 @@
 func (s *poolSimulation) sendSuspicions() {
 	all := s.confirmation.Confirm(s.Now, s.suspicions())
 	for i := range s.routers {
-		s.After(s.voterDelay(), func() { s.whenRunning(i, func() { s.applySuspicions(i, all) }) })
+		s.AfterFunc(s.voterDelay(), func() { s.whenRunning(i, func() { s.applySuspicions(i, all) }) })
 	}
 }
 
-func (s *poolSimulation) applySuspicions(balancer int, all []word.Doubt) {
-	s.doubts[balancer].Take(s.Now, "voter", all)
-	for _, p := range s.routers[balancer].Doubt(s.Now, s.doubts[balancer].All()) {
+func (s *poolSimulation) applySuspicions(balancer int, all []evidence.Suspicion) {
+	s.doubts[balancer].Update(s.Now, "voter", all)
+	for _, p := range s.routers[balancer].SetSuspicions(s.Now, s.doubts[balancer].All()) {
 		for _, u := range s.clients {
 			if u.packet.Caller == p.Caller {
 				s.reset(u)
@@ -273,11 +273,11 @@
 	u.started, u.pending = s.Now, true
 	s.requests++
 	n := u.request
-	s.After(poolDeadline, func() {
+	s.AfterFunc(poolDeadline, func() {
 		if u.pending && u.request == n {
 			s.unanswered++
 			u.pending, u.target = false, 0
-			s.After(poolThinkTime, func() { s.startRequest(u) })
+			s.AfterFunc(poolThinkTime, func() { s.startRequest(u) })
 		}
 	})
 	s.send(u, 0)
@@ -301,7 +301,7 @@
 	})
 	if copies < len(retransmitAfter) {
 		flow := u.packet.Caller
-		s.After(retransmitAfter[copies]-u.elapsed(copies), func() {
+		s.AfterFunc(retransmitAfter[copies]-u.elapsed(copies), func() {
 			s.whenScheduled(0, func() {
 				if u.pending && u.request == n && u.packet.Caller == flow && u.target != 0 {
 					s.send(u, copies+1)
@@ -329,7 +329,7 @@
 	n := u.request
 	p := u.packet
 	for copies, d := range append([]time.Duration{0}, retransmitAfter[:2]...) {
-		s.After(d, func() {
+		s.AfterFunc(d, func() {
 			if !u.pending || u.request != n || u.target != 0 || u.packet.Caller != p.Caller {
 				return
 			}
@@ -338,7 +338,7 @@
 				if v.Action != router.Forward || s.dead[v.Incarnation] || s.packetLost() {
 					return
 				}
-				s.After(2*transit, func() {
+				s.AfterFunc(2*transit, func() {
 					if s.Now.Before(s.starved[v.Incarnation]) {
 						return
 					}
@@ -362,7 +362,7 @@
 		do()
 		return
 	}
-	s.After(s.starved[id].Sub(s.Now), do)
+	s.AfterFunc(s.starved[id].Sub(s.Now), do)
 }
 
 // arrive processes a request at an upstream, which answers the caller directly.
@@ -375,7 +375,7 @@
 
 func (s *poolSimulation) work(u *client, n int, id uint64) {
 	work := time.Duration((0.5 + s.random.ExpFloat64()/2) * float64(poolWork) * max(s.slow[id], 1))
-	s.After(work+transit, func() { s.whenScheduled(0, func() { s.answer(u, n, id) }) })
+	s.AfterFunc(work+transit, func() { s.whenScheduled(0, func() { s.answer(u, n, id) }) })
 }
 
 func (s *poolSimulation) answer(u *client, n int, id uint64) {
@@ -386,7 +386,7 @@
 	u.packet.Sequence += 300
 	u.packet.Acknowledged += 2000
 	s.sendToBalancer(u, u.packet, func(router.Verdict) {})
-	s.After(time.Duration(s.random.ExpFloat64()*float64(poolThinkTime)), func() { s.startRequest(u) })
+	s.AfterFunc(time.Duration(s.random.ExpFloat64()*float64(poolThinkTime)), func() { s.startRequest(u) })
 }
 
 // lossAfterPowerFailure simulates a pool of which a quarter loses power, and returns the
@@ -407,7 +407,7 @@
 // unanswered packets, and one request in ten got no answer while flows were reset only once
 // announcements were overdue. A quarter of a pool loses power while callers have open flows
 // there.
-func TestSilenceKnownTogetherSavesRequests(t *testing.T) {
+func TestSharedSuspicionsSaveRequests(t *testing.T) {
 	alone, together := 0.0, 0.0
 	for seed := range uint64(4) {
 		alone += lossAfterPowerFailure(t, seed, false) / 4
@@ -420,7 +420,7 @@
 var seeds = flag.Int("seeds", 100, "number of random simulations of pools with live upstreams")
 
 // Simulates packet loss, slow upstreams and stalled balancers at random.
-func TestUpstreamsThatLiveLoseNoFlow(t *testing.T) {
+func TestLiveUpstreamsLoseNoFlow(t *testing.T) {
 	for seed := range uint64(*seeds) {
 		s := newPoolSimulation(t, seed, true)
 		r := rand.New(rand.NewPCG(seed, 2))
@@ -430,7 +430,7 @@
 		}
 		for range r.IntN(4) {
 			balancer, lasts := r.IntN(poolBalancers), time.Duration(r.IntN(1500))*time.Millisecond
-			s.After(time.Duration(r.IntN(2000))*time.Millisecond, func() { s.stall(balancer, lasts) })
+			s.AfterFunc(time.Duration(r.IntN(2000))*time.Millisecond, func() { s.stall(balancer, lasts) })
 		}
 		s.run(3 * time.Second)
 		require.Zero(t, s.wronglyReset, "seed %d", seed)
@@ -446,11 +446,11 @@
 		r := rand.New(rand.NewPCG(seed, 3))
 		for range 1 + r.IntN(4) {
 			id, lasts := r.Uint64N(poolUpstreams+1), time.Duration(50+r.IntN(1450))*time.Millisecond
-			s.After(time.Duration(500+r.IntN(1500))*time.Millisecond, func() { s.starve(id, lasts) })
+			s.AfterFunc(time.Duration(500+r.IntN(1500))*time.Millisecond, func() { s.starve(id, lasts) })
 		}
 		if r.IntN(2) == 0 {
 			balancer, lasts := r.IntN(poolBalancers), time.Duration(r.IntN(1500))*time.Millisecond
-			s.After(time.Duration(r.IntN(2000))*time.Millisecond, func() { s.stall(balancer, lasts) })
+			s.AfterFunc(time.Duration(r.IntN(2000))*time.Millisecond, func() { s.stall(balancer, lasts) })
 		}
 		s.run(4 * time.Second)
 		require.Zero(t, s.wronglyReset, "seed %d", seed)
@@ -462,7 +462,7 @@
 // ms suffice for balancers that poll the voters directly, but not through other balancers
 // on narrow links, which batch what they relay. Upstreams are slow and 10 % of the packets
 // are lost.
-func TestRefutationsThroughOtherBalancersComeInTime(t *testing.T) {
+func TestRelayedRefutationsArriveInTime(t *testing.T) {
 	// With a limit of 60 ms, seed 353 reset a flow of a live upstream.
 	for _, seed := range append([]uint64{353}, lo.RangeFrom(uint64(0), *seeds)...) {
 		s := newPoolSimulation(t, seed, true)
@@ -502,11 +502,11 @@
 // the voters' next answer.
 func TestFlowToUnresponsiveZoneIsReset(t *testing.T) {
 	r := newRouter(t, target(1, "orders", "b"), target(2, "orders", "b"))
-	silent := map[word.Subject]doubts.Doubt{{Zone: "b"}: {First: epoch, Unresponsive: true}}
-	r.Doubt(epoch.Add(time.Second), silent)
+	silent := map[evidence.Subject]suspicions.Suspicion{{Zone: "b"}: {First: epoch, Unresponsive: true}}
+	r.SetSuspicions(epoch.Add(time.Second), silent)
 	v := r.Route(epoch.Add(time.Second), opening(1))
 	require.Equal(t, router.Reset, v.Action)
 	require.Equal(t, router.Unresponsive, v.Reason)
-	r.Doubt(epoch.Add(2*time.Second), nil)
+	r.SetSuspicions(epoch.Add(2*time.Second), nil)
 	require.Equal(t, router.Placed, r.Route(epoch.Add(2*time.Second), opening(1)).Reason)
 }
--- a/internal/cookie/router/evacuate_test.go
+++ b/internal/cookie/router/evacuate_test.go
@@ -21,7 +21,7 @@
 
 // Guards against new flows to an evacuated zone, where the cheapest upstream may be: the
 // balancer's own zone is evacuated while a flow is open and an opening is pending.
-func TestEvacuatedZoneTakesNoNewFlows(t *testing.T) {
+func TestEvacuatedZoneGetsNoNewFlows(t *testing.T) {
 	r := newRouter(t, target(1, "orders", "a"), target(2, "orders", "b"), target(3, "orders", "c"))
 	require.Equal(t, uint64(1), r.Route(epoch, opening(1)).Incarnation, "the local zone is cheapest")
 	r.Evacuate(epoch, evacuate("a"))
@@ -50,7 +50,7 @@
 	require.Equal(t, uint64(2), r.EvacuationRevision())
 }
 
-func TestServiceWithoutAnythingElsewhereIsRefusedAtOnce(t *testing.T) {
+func TestFullyEvacuatedServiceRejectsNewFlows(t *testing.T) {
 	r := newRouter(t, target(1, "orders", "a"), target(2, "notes", "b"))
 	r.Evacuate(epoch, evacuate("a"))
 	v := r.Route(epoch, opening(1))
--- a/internal/cookie/router/load_test.go
+++ b/internal/cookie/router/load_test.go
@@ -42,7 +42,7 @@
 
 // simulation simulates callers, balancers and upstreams in virtual time.
 type simulation struct {
-	virtual.Time
+	virtual.Clock
 	random   *rand.Rand
 	routers  []*router.Router
 	servers  map[uint64]*server
@@ -75,7 +75,7 @@
 // newSimulationOf is newSimulation with the given numbers of balancers and upstreams.
 func newSimulationOf(t *testing.T, knownSince time.Time, goal time.Duration, slow map[uint64]float64, balancers int, upstreams uint64) *simulation {
 	s := &simulation{
-		Time: virtual.Time{Now: epoch}, random: rand.New(rand.NewPCG(1, 2)), servers: map[uint64]*server{}, work: work,
+		Clock: virtual.Clock{Now: epoch}, random: rand.New(rand.NewPCG(1, 2)), servers: map[uint64]*server{}, work: work,
 		objective: objective,
 	}
 	var targets []view.Target
@@ -95,7 +95,7 @@
 	return s
 }
 
-func (s *simulation) run(until time.Duration) { s.Run(epoch.Add(until)) }
+func (s *simulation) run(until time.Duration) { s.RunUntil(epoch.Add(until)) }
 
 // call is one request with a flow of its own.
 type call struct {
@@ -107,7 +107,7 @@
 // offer starts requests at random intervals, perSecond of them in the mean.
 func (s *simulation) offer(perSecond float64) {
 	pause := time.Duration(s.random.ExpFloat64() / perSecond * float64(time.Second))
-	s.After(pause, func() {
+	s.AfterFunc(pause, func() {
 		c := &call{address: orders, begun: s.Now}
 		if s.random.IntN(4) == 0 {
 			c.address = notes
@@ -124,7 +124,7 @@
 }
 
 func (s *simulation) tick() {
-	s.After(100*time.Millisecond, func() {
+	s.AfterFunc(100*time.Millisecond, func() {
 		for _, r := range s.routers {
 			r.Tick(s.Now)
 		}
@@ -150,18 +150,18 @@
 	v := r.Route(s.Now, p)
 	if v.Action != router.Forward {
 		s.rejected++
-		s.After(2*transit, func() { s.try(c) })
+		s.AfterFunc(2*transit, func() { s.try(c) })
 		return
 	}
 	if s.servers[v.Incarnation].refuses {
 		s.refused++
-		s.After(2*transit, func() { s.try(c) })
+		s.AfterFunc(2*transit, func() { s.try(c) })
 		return
 	}
 	p.Opening, p.Cookie, p.Length = false, v.Cookie, 900
-	s.After(2*transit, func() {
+	s.AfterFunc(2*transit, func() {
 		r.Route(s.Now, p)
-		s.After(transit, func() { s.arrive(c, r, p, s.servers[v.Incarnation]) })
+		s.AfterFunc(transit, func() { s.arrive(c, r, p, s.servers[v.Incarnation]) })
 	})
 }
 
@@ -169,7 +169,7 @@
 func (s *simulation) arrive(c *call, r *router.Router, p router.Packet, x *server) {
 	finish := func() {
 		took := time.Duration((0.5 + s.random.ExpFloat64()/2) * float64(s.work) * x.slow)
-		s.After(took, func() {
+		s.AfterFunc(took, func() {
 			x.busy--
 			if len(x.queue) > 0 {
 				next := x.queue[0]
@@ -177,7 +177,7 @@
 				x.busy++
 				next()
 			}
-			s.After(transit, func() { s.answered(c, r, p, true) })
+			s.AfterFunc(transit, func() { s.answered(c, r, p, true) })
 		})
 	}
 	switch {
@@ -188,7 +188,7 @@
 		x.queue = append(x.queue, finish)
 	default:
 		s.queueFull++
-		s.After(transit, func() { s.answered(c, r, p, false) })
+		s.AfterFunc(transit, func() { s.answered(c, r, p, false) })
 	}
 }
 
@@ -221,7 +221,7 @@
 // Guards against overload that fills the queues of all upstreams, so that nearly every
 // answer is late though they work at full speed. Callers offer one and a half times the
 // capacity.
-func TestOverloadIsTurnedAwayAtTheOpening(t *testing.T) {
+func TestOverloadRejectsOpenings(t *testing.T) {
 	without, _ := simulate(t, 1.5*capacity, 0, nil)
 	with, s := simulate(t, 1.5*capacity, objective, nil)
 	t.Logf("in time %.2f, without admission %.2f", with, without)
@@ -234,7 +234,7 @@
 // callers that had already waited were rejected three times in a row, and one request in
 // six failed although the upstreams had capacity again within a second. All balancers lose
 // power, and all callers return at once.
-func TestNobodyIsTurnedAwayJustAfterAStart(t *testing.T) {
+func TestNoRejectionsDuringSettlePeriod(t *testing.T) {
 	s := newSimulation(t, epoch, objective, nil)
 	s.tick()
 	s.offer(1.5 * capacity)
@@ -256,7 +256,7 @@
 
 // Guards against idle slow upstreams that look as good as idle fast ones: one request in
 // ten was late at low load. Five of 14 upstreams take six times longer.
-func TestSlowUpstreamsAreTakenLast(t *testing.T) {
+func TestSlowUpstreamsAreChosenLast(t *testing.T) {
 	slow := map[uint64]float64{1: 6, 4: 6, 7: 6, 10: 6, 13: 6}
 	with, s := simulate(t, 0.35*capacity, objective, slow)
 	t.Logf("in time %.2f, rejected %d of %d", with, s.rejected, s.offered)
@@ -309,14 +309,14 @@
 			packets := buffered[i]
 			buffered[i] = nil
 			for _, p := range packets {
-				if paced && !r.HasRoom(s.Now, p) {
+				if paced && !r.MayPlace(s.Now, p) {
 					buffered[i] = append(buffered[i], p)
 					continue
 				}
 				s.place(&call{address: p.Address, begun: epoch.Add(-time.Second), tries: maxTries}, r, p)
 			}
 		}
-		s.After(5*time.Millisecond, retry)
+		s.AfterFunc(5*time.Millisecond, retry)
 	}
 	retry()
 	s.offer(0.4 * capacity)
@@ -330,7 +330,7 @@
 // Guards against buffered packets that fill the queues when placed at once: full queues
 // refuse three times in a row within some ms, and delay all other requests. After a power
 // loss, balancers place 300 buffered packets; each upstream has room for ten.
-func TestKeptPacketsArePlacedAsRoomComes(t *testing.T) {
+func TestBufferedPacketsArePlacedGradually(t *testing.T) {
 	atOnce := simulateRecovery(t, false)
 	paced := simulateRecovery(t, true)
 	t.Logf("full queues met: %d at once, %d paced", atOnce, paced)
@@ -425,7 +425,7 @@
 
 // Guards against rejections while upstreams are idle: connections refused by upstreams
 // counted as load.
-func TestRefusedConnectionsTakeNoRoom(t *testing.T) {
+func TestRefusedConnectionsUseNoConcurrency(t *testing.T) {
 	for _, share := range []float64{0.1, 0.25, 0.4, 0.5, 0.75} {
 		s := newSimulationOf(t, epoch.Add(-time.Minute), fleetObjective, nil, fleetBalancers, fleetUpstreams)
 		for id := range uint64(share * fleetUpstreams) {
@@ -510,7 +510,7 @@
 
 // Guards against callers that use up their tries in a zone whose upstreams have all ended,
 // because each balancer had to detect each of them.
-func TestZoneThatRefusesIsLeftAtOnce(t *testing.T) {
+func TestRefusingZoneIsAvoided(t *testing.T) {
 	const crash, restart = 2 * time.Second, 5 * time.Second
 	s := newSimulationOf(t, epoch.Add(-time.Minute), fleetObjective, nil, fleetBalancers, fleetUpstreams)
 	var targets []view.Target
@@ -531,8 +531,8 @@
 			s.servers[id+1].refuses = is
 		}
 	}
-	s.After(crash, func() { refuse(true) })
-	s.After(restart, func() { refuse(false) })
+	s.AfterFunc(crash, func() { refuse(true) })
+	s.AfterFunc(restart, func() { refuse(false) })
 	s.work, s.objective = work, fleetObjective
 	s.tick()
 	s.offer(0.3 * fleetUpstreams * slotsPerUpstream / work.Seconds())
--- a/internal/cookie/router/packet.go
+++ b/internal/cookie/router/packet.go
@@ -102,9 +102,9 @@
 	"Known", "Placed", "Repeated", "Unconfigured", "NoRoute", "NoUpstream", "UnknownCookie", "Ended", "Busy", "Waiting", "Overloaded", "Unresponsive", "Evacuated", "Cold", "Stray",
 }
 
-// Early reports whether a packet dropped for this reason may be placed soon, once more
+// Temporary reports whether a packet dropped for this reason may be placed soon, once more
 // state is known.
-func (r Reason) Early() bool {
+func (r Reason) Temporary() bool {
 	return r == Unconfigured || r == UnknownCookie || r == NoUpstream || r == Cold
 }
 
--- a/internal/cookie/router/router.go
+++ b/internal/cookie/router/router.go
@@ -8,7 +8,7 @@
 	"wasabideal/internal/fanout/assignment"
 	"wasabideal/internal/model/configuration"
 	"wasabideal/internal/model/evacuation"
-	"wasabideal/internal/silence/word"
+	"wasabideal/internal/silence/evidence"
 	"wasabideal/internal/upstream/view"
 )
 
@@ -63,7 +63,7 @@
 	suspects []*target
 	// reports are the queued events for the voters, reportBudget the number of unanswered
 	// packets that may still be reported.
-	reports      []word.Event
+	reports      []evidence.Event
 	reportBudget int
 	// rotation advances with each choice, so that equal upstreams are chosen in turn.
 	rotation int
--- a/internal/cookie/router/router_test.go
+++ b/internal/cookie/router/router_test.go
@@ -11,8 +11,8 @@
 	"wasabideal/internal/cookie/router"
 	"wasabideal/internal/model/configuration"
 	"wasabideal/internal/model/upstream"
-	"wasabideal/internal/silence/doubts"
-	"wasabideal/internal/silence/word"
+	"wasabideal/internal/silence/evidence"
+	"wasabideal/internal/silence/suspicions"
 	"wasabideal/internal/upstream/view"
 )
 
@@ -109,7 +109,7 @@
 // Guards against resets of openings for upstreams that are running but not yet known: after
 // a power loss, the first voter to answer a balancer has not yet heard from any upstream of
 // a service.
-func TestUpstreamsThatAreNotKnownYetAreWaitedFor(t *testing.T) {
+func TestOpeningsAreDroppedUntilUpstreamsAreKnown(t *testing.T) {
 	r := router.New(router.Settings{Zone: "a"})
 	require.NoError(t, r.Configure(configured(1)))
 	r.SetTargets(epoch, []view.Target{target(2, "notes", "a")})
@@ -190,7 +190,7 @@
 
 // Guards against openings that are lost for as long as a zone is partitioned: each of its
 // upstreams was suspected separately, and tried again when its suspicion ended.
-func TestZoneThatIsCutOffIsDoubtedAsAWhole(t *testing.T) {
+func TestPartitionedZoneIsSuspectedAsAWhole(t *testing.T) {
 	r := newRouter(t, target(1, "orders", "a"), target(2, "orders", "b"), target(3, "orders", "b"), target(4, "orders", "c"))
 	remote := router.Packet{Caller: caller(1), Address: orders, Cookie: router.Cookie(2, 0), Sequence: 100, Acknowledged: 50}
 	r.Route(epoch, remote)
@@ -199,7 +199,7 @@
 	later := epoch.Add(200 * time.Millisecond)
 	r.Route(later, remote)
 	require.Len(t, r.Reports(), 1, "the first unanswered packet is reported")
-	r.Doubt(later, map[word.Subject]doubts.Doubt{{Zone: "b"}: {First: epoch}})
+	r.SetSuspicions(later, map[evidence.Subject]suspicions.Suspicion{{Zone: "b"}: {First: epoch}})
 	for n := range 20 {
 		v := r.Route(later, opening(10+n))
 		require.NotContains(t, []uint64{2, 3}, v.Incarnation)
@@ -382,7 +382,7 @@
 // Guards against the reset of a flow that the upstream's current instance holds: the
 // opening reached the upstream after its restart, but before the balancer received its
 // announcement.
-func TestFlowOpenedBeforeALifeIsAnnouncedStaysOpen(t *testing.T) {
+func TestFlowOpenedBeforeARestartIsAnnouncedStaysOpen(t *testing.T) {
 	before := target(1, "orders", "a")
 	before.Born = 100
 	r := newRouter(t, before)
--- a/internal/cookie/router/service.go
+++ b/internal/cookie/router/service.go
@@ -28,7 +28,7 @@
 	overdue                        int
 	openings, requests, handshakes pendingQueue
 	// concurrency tracks the recent number of flows in flight.
-	concurrency concurrency.Level
+	concurrency concurrency.InFlightAverage
 	// urgency determines which priorities are the most urgent among recent flows.
 	urgency urgency.Urgency
 	// medianResponseTime is the median over the upstreams, 0 if unknown.
@@ -36,7 +36,7 @@
 	// active are the upstreams with recent packets. Only these are processed ten times a
 	// second, a few of the thousands that a service may have.
 	active    []*target
-	responses []*response.Response
+	responses []*response.Tracker
 }
 
 // noteSent counts a packet that awaits an answer of the upstream.
@@ -59,7 +59,7 @@
 	for _, t := range s.active {
 		s.responses = append(s.responses, &t.response)
 	}
-	s.medianResponseTime = response.Compare(now, s.responses)
+	s.medianResponseTime = response.UpdateSlowness(now, s.responses)
 	s.active = slices.DeleteFunc(s.active, func(t *target) bool {
 		_, answers := t.response.Mean(now)
 		t.active = answers || t.recent.sent > recentMin || t.recent.unanswered > recentMin
@@ -102,7 +102,7 @@
 // overloaded.
 func (r *Router) checkAdmission(now time.Time, name string, route configuration.Route, hash uint64) (Verdict, bool) {
 	s := r.service(name)
-	s.urgency.Note(now, route.Priority)
+	s.urgency.Record(now, route.Priority)
 	urgent := s.urgency.Urgent(now, route.Priority)
 	if v, rejected := r.checkConcurrency(now, name, s, route, urgent); rejected {
 		return v, true
@@ -112,7 +112,7 @@
 	}
 	responseTimes := s.admission(route.Class)
 	predicted := responseTimes.ResponseTime(now, s.effectiveInFlight())
-	d := admission.Demand{
+	d := admission.Flow{
 		Objective: route.Objective, Urgent: urgent, Number: hash >> 32,
 	}
 	if !responseTimes.Overloaded(now, predicted, route.Objective) || d.Admitted(predicted) {
@@ -134,7 +134,7 @@
 	limit, known := share.Limit(urgent)
 	s.expire(now)
 	inFlight := s.effectiveInFlight()
-	if !s.concurrency.Exceeds(now, inFlight, limit) || !known {
+	if !s.concurrency.Update(now, inFlight, limit) || !known {
 		return Verdict{}, false
 	}
 	return Verdict{Action: Reset, Reason: Overloaded, Revision: r.revision, UnderWay: inFlight, Limit: limit}, true
@@ -148,7 +148,7 @@
 // others have.
 func (r *Router) recordResponseTime(now time.Time, f *flow, class configuration.Class) {
 	t, took := f.target, now.Sub(f.sent)
-	t.response.Answered(now, took)
-	t.service.admission(class).Answered(now, time.Duration(float64(took)/t.response.Slowness()), f.inFlightAtSend)
+	t.response.Record(now, took)
+	t.service.admission(class).Record(now, time.Duration(float64(took)/t.response.Slowness()), f.inFlightAtSend)
 	notify(r.settings.Answered, took)
 }
--- a/internal/cookie/router/target.go
+++ b/internal/cookie/router/target.go
@@ -38,7 +38,7 @@
 	service            *service
 	// flows counts the stored flows.
 	flows    int
-	response response.Response
+	response response.Tracker
 	zone     *zone
 	recent   recent
 	// coldWindow limits the rate of flows that this balancer sends while the upstream is
--- a/internal/cookie/router/upstreams.go
+++ b/internal/cookie/router/upstreams.go
@@ -21,7 +21,7 @@
 	for _, x := range c.Targets {
 		r.setTarget(now, x)
 	}
-	for _, id := range c.Gone {
+	for _, id := range c.Removed {
 		r.removeTarget(id)
 	}
 	if c.Whole {
--- a/internal/core/effect/effect.go
+++ b/internal/core/effect/effect.go
@@ -46,8 +46,8 @@
 // Add appends an effect without copying its data.
 func (l *List) Add(e Effect) { l.Effects = append(l.Effects, e) }
 
-// Build appends an effect whose data is a copy of head followed by body.
-func (l *List) Build(kind Kind, to netip.AddrPort, head, body []byte) {
+// AddCopy appends an effect whose data is a copy of head followed by body.
+func (l *List) AddCopy(kind Kind, to netip.AddrPort, head, body []byte) {
 	start := len(l.arena)
 	l.arena = append(l.arena, head...)
 	l.arena = append(l.arena, body...)
--- a/internal/core/event/event.go
+++ b/internal/core/event/event.go
@@ -19,12 +19,12 @@
 	PeerDatagram Kind = "PeerDatagram"
 	// Ticked occurs at a fixed interval.
 	Ticked Kind = "Ticked"
-	// Announced is an announcement by an upstream.
-	Announced Kind = "Announced"
-	// Offered is a configuration from a control voter or a peer.
-	Offered Kind = "Offered"
-	// Evacuated is a set of zone evacuations from a control voter or a peer.
-	Evacuated Kind = "Evacuated"
+	// UpstreamAnnounced is an announcement by an upstream.
+	UpstreamAnnounced Kind = "Announced"
+	// ConfigurationReceived is a configuration from a control voter or a peer.
+	ConfigurationReceived Kind = "Offered"
+	// EvacuationsReceived is a set of zone evacuations from a control voter or a peer.
+	EvacuationsReceived Kind = "Evacuated"
 	// StopPlanned starts a planned stop: the balancer hands over all flows.
 	StopPlanned Kind = "StopPlanned"
 	// Stopped completes a planned stop: the balancer leaves the group.
--- a/internal/daemon/balancer/balancer.go
+++ b/internal/daemon/balancer/balancer.go
@@ -47,10 +47,10 @@
 	// MaxKeys and KeyWindow limit the number and the age of stored request keys.
 	MaxKeys   int
 	KeyWindow time.Duration
-	// Store saves the configuration in force to disk, and Stored the one saved before
+	// SaveConfiguration saves the configuration in force to disk, and Stored the one saved before
 	// the start, if any; both are nil without a disk.
-	Store  func(configuration.Configuration) error
-	Stored *configuration.Configuration
+	SaveConfiguration  func(configuration.Configuration) error
+	SavedConfiguration *configuration.Configuration
 }
 
 // Balancer is a running balancer process.
@@ -78,7 +78,7 @@
 	logLimiter       logLimiter
 	reportedBadInput uint64
 	pool             *pool.Pool
-	memory           *memory.Memory
+	memory           *memory.Replica
 	doors            map[string]*doorServer
 	leaving          atomic.Bool
 	cancelMove       context.CancelFunc
@@ -153,8 +153,8 @@
 			b.log.Error("failed to start trace", "Error", err)
 		}
 	}
-	if b.settings.Stored != nil {
-		b.Offer(*b.settings.Stored)
+	if b.settings.SavedConfiguration != nil {
+		b.Offer(*b.settings.SavedConfiguration)
 	}
 	b.goRun(func() { b.read(b.fabric, event.FabricDatagram) })
 	b.goRun(func() { b.read(b.peer, event.PeerDatagram) })
@@ -228,11 +228,11 @@
 	}
 }
 
-// Done returns a channel that is closed when a planned stop has handed all flows over.
-func (b *Balancer) Done() <-chan struct{} { return b.drained }
+// Drained returns a channel that is closed when a planned stop has handed all flows over.
+func (b *Balancer) Drained() <-chan struct{} { return b.drained }
 
-// StopAsked returns a channel that is closed when an operator requests a planned stop.
-func (b *Balancer) StopAsked() <-chan struct{} { return b.stopAsked }
+// StopRequested returns a channel that is closed when an operator requests a planned stop.
+func (b *Balancer) StopRequested() <-chan struct{} { return b.stopAsked }
 
 func (b *Balancer) requestStop() { b.stopOnce.Do(func() { close(b.stopAsked) }) }
 
@@ -253,19 +253,19 @@
 // Announce applies an upstream's announcement if the service's token is valid.
 func (b *Balancer) Announce(u upstream.Upstream, token string) error {
 	sum := sha256.Sum256([]byte(token))
-	return b.reduce(event.Event{Kind: event.Announced, Upstream: &u, TokenSha256: hex.EncodeToString(sum[:])})
+	return b.reduce(event.Event{Kind: event.UpstreamAnnounced, Upstream: &u, TokenSha256: hex.EncodeToString(sum[:])})
 }
 
 // Offer applies a configuration if it is newer, publishes it to peers and saves it.
 func (b *Balancer) Offer(c configuration.Configuration) {
-	_ = b.reduce(event.Event{Kind: event.Offered, Configuration: &c})
+	_ = b.reduce(event.Event{Kind: event.ConfigurationReceived, Configuration: &c})
 	now := b.Configuration()
 	b.source.Publish(now)
-	if b.settings.Store == nil || now.Revision <= b.storedRevision {
+	if b.settings.SaveConfiguration == nil || now.Revision <= b.storedRevision {
 		return
 	}
 	b.storedRevision = now.Revision
-	if err := b.settings.Store(now); err != nil {
+	if err := b.settings.SaveConfiguration(now); err != nil {
 		b.log.Warn("failed to save configuration", "Revision", now.Revision, "Error", err)
 	}
 }
@@ -280,9 +280,9 @@
 // OfferEvacuations applies evacuation commands if they are newer.
 func (b *Balancer) OfferEvacuations(e evacuation.Evacuations) {
 	before := b.Evacuations()
-	_ = b.reduce(event.Event{Kind: event.Evacuated, Evacuations: &e})
+	_ = b.reduce(event.Event{Kind: event.EvacuationsReceived, Evacuations: &e})
 	if now := b.Evacuations(); now.Revision > before.Revision {
-		b.log.Info("zones evacuated", "Revision", now.Revision, "Zones", now.Names())
+		b.log.Info("zones evacuated", "Revision", now.Revision, "Zones", now.EvacuatedZones())
 		b.source.PublishEvacuations(now)
 	}
 }
--- a/internal/daemon/balancer/balancer_test.go
+++ b/internal/daemon/balancer/balancer_test.go
@@ -33,10 +33,10 @@
 	s := settings.Settings{
 		Name: "b1", Zone: "Adabiya", GroupToken: "group-token-000001", OperatorToken: "operator-token-0001",
 		Listen: settings.Listen{
-			Fabric: anyPort, Peer: anyPort, Rpc: anyPort, Admin: anyPort, Door: []settings.Door{{Service: "orders", Address: anyPort}},
+			Fabric: anyPort, Peer: anyPort, Rpc: anyPort, Admin: anyPort, Door: []settings.HTTPListener{{Service: "orders", Address: anyPort}},
 		},
 	}
-	x, err := wiring.Wiring{Clock: time.Now}.Balancer(defaults.Pass{}.Apply(s))
+	x, err := wiring.Wiring{Clock: time.Now}.Balancer(defaults.Defaults{}.Apply(s))
 	require.NoError(tb, err)
 	b, err := balancer.Listen(x, hclog.NewNullLogger())
 	require.NoError(tb, err)
@@ -93,7 +93,7 @@
 	require.ErrorAs(t, err, &remote)
 	require.Equal(t, "rpc.DeniedError", remote.Kind)
 	select {
-	case <-b.StopAsked():
+	case <-b.StopRequested():
 		t.Fatal("a call without a valid token requested a stop")
 	default:
 	}
--- a/internal/daemon/balancer/events.go
+++ b/internal/daemon/balancer/events.go
@@ -28,7 +28,7 @@
 // send datagrams could fill the disk.
 func (b *Balancer) reportBadInput() {
 	b.mu.Lock()
-	bad := b.reducer.BadInput()
+	bad := b.reducer.InvalidDatagrams()
 	b.mu.Unlock()
 	if bad == b.reportedBadInput {
 		return
@@ -92,7 +92,7 @@
 		defer b.fetching.Store(false)
 		c := rpc.NewClient(from.String(), b.settings.GroupToken)
 		defer c.Close()
-		_ = b.puller.Ask(b.ctx, c, 0)
+		_ = b.puller.Poll(b.ctx, c, 0)
 	})
 }
 
