--- a/internal/daemon/balancer/requests.go
+++ b/internal/daemon/balancer/requests.go
@@ -11,7 +11,7 @@
 
 	"github.com/samber/lo"
 
-	"wasabideal/internal/control/keeper"
+	"wasabideal/internal/control/rostermanager"
 	"wasabideal/internal/member/registrar"
 	"wasabideal/internal/member/swim"
 	"wasabideal/internal/model/configuration"
@@ -20,7 +20,7 @@
 	"wasabideal/internal/request/claimer"
 	"wasabideal/internal/request/dispatch"
 	"wasabideal/internal/request/door"
-	"wasabideal/internal/request/homes"
+	"wasabideal/internal/request/slotassignment"
 )
 
 const (
@@ -40,7 +40,7 @@
 	service  string
 	listener net.Listener
 	server   *http.Server
-	door     *door.Door
+	door     *door.Proxy
 }
 
 func (e *doorServer) close() {
@@ -76,7 +76,7 @@
 	for _, e := range b.doors {
 		e.door = door.New(door.Settings{
 			Service: e.service, Name: b.settings.Reducer.Router.Self, Clock: b.settings.Clock,
-			Dispatch: dispatch.Settings{SlotLimit: initialSlotLimit, QueueLimit: initialQueueLimit, RetryPercent: initialRetryPercent},
+			Limits: dispatch.Settings{SlotLimit: initialSlotLimit, QueueLimit: initialQueueLimit, RetryPercent: initialRetryPercent},
 		}, c, b.log)
 		e.server = &http.Server{
 			Handler: e.door, ReadHeaderTimeout: headerTimeout, IdleTimeout: doorIdleTimeout, ErrorLog: b.log.StandardLogger(nil),
@@ -108,8 +108,8 @@
 	b.goRun(b.refreshDoors)
 }
 
-func (b *Balancer) rosterReport() keeper.Hello {
-	return keeper.Hello{Member: b.rosterMember(), Leaving: b.leaving.Load(), Moved: b.memory.Moved()}
+func (b *Balancer) rosterReport() rostermanager.Report {
+	return rostermanager.Report{Member: b.rosterMember(), Leaving: b.leaving.Load(), Moved: b.memory.CopiedEpoch()}
 }
 
 // RosterVersion returns the version of the current roster.
@@ -129,7 +129,7 @@
 	ctx, cancel := context.WithCancel(b.ctx)
 	b.cancelMove = cancel
 	b.mu.Unlock()
-	b.goRun(func() { b.memory.Move(ctx) })
+	b.goRun(func() { b.memory.CopyRecords(ctx) })
 }
 
 // refreshDoors updates the doors with the current members and upstreams, and removes expired
@@ -164,8 +164,8 @@
 	service, _ := c.Service(e.service)
 	e.door.SetService(service.Repeatable, service.Priority)
 	names := lo.FilterMap(members, func(m swim.Member, _ int) (string, bool) { return m.Name, !m.Passive })
-	h := homes.New(lo.Map(upstreams, func(u upstream.Upstream, _ int) homes.Upstream {
-		return homes.Upstream{Name: u.Address.String(), Slots: slots(u, c)}
+	h := slotassignment.Assign(lo.Map(upstreams, func(u upstream.Upstream, _ int) slotassignment.Upstream {
+		return slotassignment.Upstream{Name: u.Address.String(), Slots: slots(u, c)}
 	}), names)
 	targets := make([]dispatch.Target, 0, len(upstreams))
 	doors := map[string]string{}
@@ -176,7 +176,7 @@
 		}
 		doors[name] = u.Door
 		targets = append(targets, dispatch.Target{
-			Name: name, Slots: slots(u, c), Share: shares[i], Home: h.Of(b.settings.Reducer.Router.Self, name),
+			Name: name, Slots: slots(u, c), Share: shares[i], AssignedSlots: h.Slots(b.settings.Reducer.Router.Self, name),
 		})
 	}
 	p := c.Preset()
@@ -217,7 +217,7 @@
 func (b *Balancer) holdsKeys() bool {
 	r := b.memory.View().Roster
 	self := b.rosterMember()
-	if r.Has(self) {
+	if r.Contains(self) {
 		return true
 	}
 	return lo.Contains(r.Previous, self)
--- a/internal/daemon/control/control.go
+++ b/internal/daemon/control/control.go
@@ -19,7 +19,7 @@
 	"wasabideal/internal/control/agreement"
 	"wasabideal/internal/control/audit"
 	"wasabideal/internal/control/feed"
-	"wasabideal/internal/control/keeper"
+	"wasabideal/internal/control/rostermanager"
 	"wasabideal/internal/control/upstreams"
 	"wasabideal/internal/control/voter"
 	"wasabideal/internal/cookie/follower"
@@ -28,7 +28,7 @@
 	"wasabideal/internal/disk/wal"
 	"wasabideal/internal/fanout/tree"
 	"wasabideal/internal/upstream/directory"
-	"wasabideal/internal/upstream/home"
+	"wasabideal/internal/upstream/owner"
 	"wasabideal/internal/wire/rpc"
 )
 
@@ -54,16 +54,16 @@
 	CompactAfter  int
 	GroupToken    string
 	OperatorToken string
-	Keeper        keeper.Settings
+	RosterManager rostermanager.Settings
 	Clock         func() time.Time
-	// Joins forbids bootstrapping a new cluster, because one is known to run.
-	Joins bool
+	// JoinOnly forbids bootstrapping a new cluster, because one is known to run.
+	JoinOnly bool
 	// Tolerate is the number of disks that may be lost at the same time.
 	Tolerate int
-	// FirstElection is the maximum election timeout after a start; 0 uses Election.
-	FirstElection time.Duration
-	// AnnounceEvery is the time between two announcements of an upstream.
-	AnnounceEvery time.Duration
+	// InitialElectionTimeout is the maximum election timeout after a start; 0 uses Election.
+	InitialElectionTimeout time.Duration
+	// AnnounceInterval is the time between two announcements of an upstream.
+	AnnounceInterval time.Duration
 	// SilentAfter is the time without an announcement after which an upstream counts as
 	// silent.
 	SilentAfter time.Duration
@@ -80,7 +80,7 @@
 	voter    *voter.Voter
 	feed     *feed.Feed
 	// upstreams receives the upstreams' announcements and records them in the feed.
-	upstreams *upstreams.Upstreams
+	upstreams *upstreams.Receiver
 	// follower receives the other voters' updates on upstreams, remoteUpstreams
 	// stores them.
 	follower        *follower.Follower
@@ -134,17 +134,17 @@
 	c.remoteUpstreams = newRemoteUpstreams()
 	c.follower = follower.New(follower.Settings{Token: c.settings.GroupToken, Clock: c.settings.Clock}, c.remoteUpstreams, c.log)
 	c.upstreams = upstreams.New(upstreams.Settings{
-		Token: c.settings.GroupToken, Clock: c.settings.Clock, Self: c.Advertised(),
-		Known: c.voter.Members, Voting: c.voter.Voting, Shape: c.settings.Shape,
-		AnnounceEvery: c.settings.AnnounceEvery, Answering: func() []home.Voter {
-			return append(c.follower.Voters(), home.Voter{Address: c.Advertised(), Zone: c.settings.Zone})
+		Token: c.settings.GroupToken, Clock: c.settings.Clock, Self: c.AdvertisedAddress(),
+		Known: c.voter.Members, VotingPeers: c.voter.VotingMembers, Shape: c.settings.Shape,
+		AnnounceInterval: c.settings.AnnounceInterval, Responsive: func() []owner.Voter {
+			return append(c.follower.Voters(), owner.Voter{Address: c.AdvertisedAddress(), Zone: c.settings.Zone})
 		},
 	}, c.feed, c.log)
 	c.feed.SetZone(c.settings.Zone)
-	c.feed.SetElsewhere(c.remoteUpstreams)
+	c.feed.SetRemoteSource(c.remoteUpstreams)
 	c.feed.SetProber(c.prober())
 	c.restoreUpstreams()
-	c.server = rpc.NewServer(c.voter.Denied)
+	c.server = rpc.NewServer(c.voter.RecordDenied)
 	c.voter.Serve(c.server)
 	c.feed.Serve(c.server, c.settings.GroupToken)
 	c.upstreams.Serve(c.server)
@@ -166,16 +166,16 @@
 	}
 	return voter.Settings{
 		Agreement: agreement.Settings{
-			Self:     agreement.Voter{Name: s.Name, Id: id, Address: c.Advertised()},
+			Self:     agreement.Voter{Name: s.Name, Id: id, Address: c.AdvertisedAddress()},
 			Founders: s.Founders, Heartbeat: s.Heartbeat, Election: s.Election, Seed: seed,
-			EntriesPerMessage: maxEntriesPerMessage, Joins: s.Joins, FirstElection: s.FirstElection,
+			EntriesPerMessage: maxEntriesPerMessage, JoinOnly: s.JoinOnly, InitialElectionTimeout: s.InitialElectionTimeout,
 			Tolerate: s.Tolerate,
 		},
-		Reopen:     func() (*wal.Wal, agreement.Durable, error) { return wal.Open(c.folder) },
+		Reopen:     func() (*wal.Log, agreement.PersistentState, error) { return wal.Open(c.folder) },
 		Changed:    c.feed.Publish,
 		Evacuated:  c.feed.PublishEvacuations,
 		GroupToken: s.GroupToken, OperatorToken: s.OperatorToken, CompactAfter: s.CompactAfter,
-		Keeper: s.Keeper, Tick: s.Tick, AcceptTimeout: s.AcceptTimeout, Clock: s.Clock,
+		RosterManager: s.RosterManager, Tick: s.Tick, AcceptTimeout: s.AcceptTimeout, Clock: s.Clock,
 	}
 }
 
@@ -232,10 +232,10 @@
 func (c *Control) Voter() *voter.Voter { return c.voter }
 
 // Upstreams returns the receiver of upstreams' announcements.
-func (c *Control) Upstreams() *upstreams.Upstreams { return c.upstreams }
+func (c *Control) Upstreams() *upstreams.Receiver { return c.upstreams }
 
-// Advertised returns the RPC address that other processes use.
-func (c *Control) Advertised() string { return cmp.Or(c.settings.Advertise, c.Address()) }
+// AdvertisedAddress returns the RPC address that other processes use.
+func (c *Control) AdvertisedAddress() string { return cmp.Or(c.settings.Advertise, c.Address()) }
 
 // Address returns the address that the voter listens on.
 func (c *Control) Address() string { return c.listener.Addr().String() }
@@ -243,7 +243,7 @@
 // Stop stops the process; a leader transfers its leadership first.
 func (c *Control) Stop() {
 	if c.cancel != nil {
-		c.voter.HandOver()
+		c.voter.TransferLeadership()
 	}
 	if c.cancel != nil {
 		c.cancel()
--- a/internal/daemon/control/control_test.go
+++ b/internal/daemon/control/control_test.go
@@ -73,7 +73,7 @@
 	name := l.Addr().String()
 	f.folders[name] = folder
 	c, err := control.Listen(control.Settings{
-		Name: name, DataFolder: folder, Founders: f.founders, Joins: joins,
+		Name: name, DataFolder: folder, Founders: f.founders, JoinOnly: joins,
 		Heartbeat: 30 * time.Millisecond, Election: 150 * time.Millisecond, Tick: 10 * time.Millisecond,
 		AcceptTimeout: time.Second, CompactAfter: 8, GroupToken: "group", OperatorToken: "operator", Clock: time.Now,
 		SilentAfter: time.Second,
@@ -125,7 +125,7 @@
 // founder, or that lost its disk, as a learner and sends it the log; the learner has no list
 // of voters yet and could not address its responses to the leader. After two lost disks there
 // was no leader, and configurations were older than those acknowledged.
-func TestNewVotersAnswerTheLeader(t *testing.T) {
+func TestNewVotersRespondToLeader(t *testing.T) {
 	f := newCluster(t, 3)
 	f.waitForVoters(3)
 	f.publish(5)
@@ -143,7 +143,7 @@
 
 // Guards against acknowledging a departure that no other voter has stored: a voter with an
 // empty disk that reaches no other voter knew only itself and counted as a majority.
-func TestVoterWithAnEmptyDiskAcknowledgesNoDeparture(t *testing.T) {
+func TestVoterWithEmptyDiskRejectsDeparture(t *testing.T) {
 	f := newCluster(t, 1)
 	f.waitForVoters(1)
 	l := listen(t, "127.0.0.1:0")
@@ -262,7 +262,7 @@
 	ctx, cancel := context.WithTimeout(t.Context(), timeout)
 	defer cancel()
 	for received := len(held.Notices); received < 3; {
-		a, err := rpc.Call[feed.Question, feed.Answer](ctx, client, feed.SinceMethod, feed.Question{
+		a, err := rpc.Call[feed.Request, feed.Response](ctx, client, feed.SinceMethod, feed.Request{
 			Life: held.Life, Version: held.Version, Hold: time.Hour,
 		})
 		require.NoError(t, err, "the last update must be published")
@@ -271,12 +271,12 @@
 }
 
 // fetchUpstreams polls a voter once, as a balancer does.
-func fetchUpstreams(t *testing.T, address string) feed.Answer {
+func fetchUpstreams(t *testing.T, address string) feed.Response {
 	client := rpc.NewClient(address, "group")
 	defer client.Close()
 	ctx, cancel := context.WithTimeout(t.Context(), timeout)
 	defer cancel()
-	a, err := rpc.Call[feed.Question, feed.Answer](ctx, client, feed.SinceMethod, feed.Question{Recalled: true})
+	a, err := rpc.Call[feed.Request, feed.Response](ctx, client, feed.SinceMethod, feed.Request{Recalled: true})
 	require.NoError(t, err)
 	return a
 }
--- a/internal/daemon/control/persistence.go
+++ b/internal/daemon/control/persistence.go
@@ -62,7 +62,7 @@
 		case <-ctx.Done():
 			return
 		case <-t.C:
-			c.feed.SetMembers(c.voter.Members())
+			c.feed.SetVoters(c.voter.Members())
 			now := c.settings.Clock()
 			c.feed.Tick(now)
 			c.logCalls(now)
@@ -152,7 +152,7 @@
 	switch {
 	case n.Silent || n.Replaced:
 	case n.Recalled:
-		c.feed.Recall(now, n.Upstream, n.Cold)
+		c.feed.Restore(now, n.Upstream, n.Cold)
 	default:
 		c.feed.Announce(now, n.Upstream, n.Cold)
 	}
--- a/internal/daemon/control/remote.go
+++ b/internal/daemon/control/remote.go
@@ -30,18 +30,18 @@
 	return &remoteUpstreams{view: view.New(view.Settings{ContactLease: follower.ContactLease, ForgetAfter: forgetAfter})}
 }
 
-// Held returns the maximum revision, so that no configuration is fetched: voters receive
+// Configuration returns the maximum revision, so that no configuration is fetched: voters receive
 // configurations through consensus.
-func (o *remoteUpstreams) Held() configuration.Configuration {
+func (o *remoteUpstreams) Configuration() configuration.Configuration {
 	return configuration.Configuration{Revision: math.MaxUint64}
 }
 
-// Informed returns true so that other voters leave out upstreams that they only restored
+// HasUpstreams returns true so that other voters leave out upstreams that they only restored
 // from disk: here those would never expire.
-func (o *remoteUpstreams) Informed() bool { return true }
+func (o *remoteUpstreams) HasUpstreams() bool { return true }
 
-// Offered ignores a configuration.
-func (o *remoteUpstreams) Offered(string, configuration.Configuration) {}
+// OnConfiguration ignores a configuration.
+func (o *remoteUpstreams) OnConfiguration(string, configuration.Configuration) {}
 
 // Evacuations returns the maximum revision, since voters receive evacuations through
 // consensus too.
@@ -49,14 +49,14 @@
 	return evacuation.Evacuations{Revision: math.MaxUint64}
 }
 
-// Evacuated ignores evacuation commands.
-func (o *remoteUpstreams) Evacuated(string, evacuation.Evacuations) {}
+// OnEvacuations ignores evacuation commands.
+func (o *remoteUpstreams) OnEvacuations(string, evacuation.Evacuations) {}
 
-// Answered applies a voter's update.
-func (o *remoteUpstreams) Answered(now time.Time, x origins.Origin) {
+// OnVoterState applies a voter's update.
+func (o *remoteUpstreams) OnVoterState(now time.Time, x origins.Update) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.view.Take(now, x.Voter, x.Life, x.Notices)
+	o.view.ApplyNotices(now, x.Voter, x.Life, x.Notices)
 	if len(x.Notices) > 0 {
 		o.version++
 	}
--- a/internal/daemon/cookie/announcements.go
+++ b/internal/daemon/cookie/announcements.go
@@ -32,7 +32,7 @@
 
 // batchDelay returns how long announcements wait to be forwarded in a batch.
 func (b *Balancer) batchDelay(own bool) time.Duration {
-	return handover.Gather(b.settings.AnnounceEvery, b.follower.Level(), own)
+	return handover.BatchDelay(b.settings.AnnounceInterval, b.follower.Level(), own)
 }
 
 // Refer returns the address that an upstream announces to from now on, empty while this
@@ -45,5 +45,5 @@
 	x := b.fanout
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return x.referral.Choose(b.settings.Clock(), u, b.follower.Others())
+	return x.referral.Choose(b.settings.Clock(), u, b.follower.OtherBalancers())
 }
--- a/internal/daemon/cookie/buffer.go
+++ b/internal/daemon/cookie/buffer.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"wasabideal/internal/cookie/router"
-	"wasabideal/internal/overload/waiting"
+	"wasabideal/internal/overload/pending"
 )
 
 // packetKey identifies a buffered packet; a retransmission has the same key and replaces
@@ -31,18 +31,18 @@
 // bufferPacket buffers a packet until voters have sent the state needed to place it.
 func (b *Balancer) bufferPacket(now, arrived time.Time, p router.Packet, data []byte) {
 	e := bufferedPacket{packet: p, data: slices.Clone(data), arrived: arrived}
-	b.unplaced.Keep(now, arrived, e.key(), e)
+	b.unplaced.Add(now, arrived, e.key(), e)
 }
 
 // placeBuffered tries to place the buffered packets: unplaced ones once more state is
 // known, and those that wait for capacity once their upstream has some. The caller holds
 // the lock.
-func (b *Balancer) placeBuffered(now time.Time, buffered *waiting.Waiting[packetKey, bufferedPacket]) {
+func (b *Balancer) placeBuffered(now time.Time, buffered *pending.Buffer[packetKey, bufferedPacket]) {
 	if buffered.Len() == 0 {
 		return
 	}
 	b.outputsUsed = 0
-	buffered.Take(now, func(arrived time.Time, e bufferedPacket) { b.placeOrDefer(now, arrived, e) })
+	buffered.Drain(now, func(arrived time.Time, e bufferedPacket) { b.placeOrDefer(now, arrived, e) })
 	if err := b.socket.Flush(); err != nil {
 		b.recordSendError(err)
 	}
@@ -51,9 +51,9 @@
 // placeOrDefer places a buffered packet, or moves it to awaitingCapacity if its upstream
 // has no capacity for it.
 func (b *Balancer) placeOrDefer(now, arrived time.Time, e bufferedPacket) {
-	if b.router.HasRoom(now, e.packet) {
+	if b.router.MayPlace(now, e.packet) {
 		b.routePacket(now, arrived, e.packet, e.data)
 		return
 	}
-	b.awaitingCapacity.Keep(now, arrived, e.key(), e)
+	b.awaitingCapacity.Add(now, arrived, e.key(), e)
 }
--- a/internal/daemon/cookie/cookie.go
+++ b/internal/daemon/cookie/cookie.go
@@ -19,10 +19,10 @@
 	"wasabideal/internal/fanout/tree"
 	"wasabideal/internal/model/configuration"
 	"wasabideal/internal/model/evacuation"
+	"wasabideal/internal/overload/pending"
 	"wasabideal/internal/overload/uplink"
-	"wasabideal/internal/overload/waiting"
-	"wasabideal/internal/silence/doubts"
-	"wasabideal/internal/silence/word"
+	"wasabideal/internal/silence/evidence"
+	"wasabideal/internal/silence/suspicions"
 	"wasabideal/internal/upstream/view"
 	"wasabideal/internal/wire/datagram"
 )
@@ -77,8 +77,8 @@
 	// Rpc is the address for RPCs of other balancers, empty if none may follow this one, and
 	// Announcements the address that upstreams announce to.
 	Rpc, Announcements string
-	// AnnounceEvery is the time between two announcements of an upstream.
-	AnnounceEvery time.Duration
+	// AnnounceInterval is the time between two announcements of an upstream.
+	AnnounceInterval time.Duration
 	// Shape is the shape of the tree of the zone's balancers.
 	Shape tree.Shape
 	// StaleAfter is the maximum age of state relayed by another balancer.
@@ -105,19 +105,19 @@
 	router   *router.Router
 	view     *view.View
 	// suspicions holds the voters' reports on upstreams that leave packets unanswered.
-	suspicions *doubts.Doubts
+	suspicions *suspicions.Set
 	// suspicionsApplied is when the router last received the suspicions; suspicionPacing
 	// schedules the next update.
 	suspicionsApplied time.Time
-	suspicionPacing   pacing.Pacing
+	suspicionPacing   pacing.Pacer
 	// unresponsive holds the subjects that were logged as unresponsive.
-	unresponsive map[word.Subject]bool
+	unresponsive map[evidence.Subject]bool
 	// unplaced buffers packets that cannot be placed yet.
-	unplaced *waiting.Waiting[packetKey, bufferedPacket]
+	unplaced *pending.Buffer[packetKey, bufferedPacket]
 	// unplacedCold is set if some of them wait for an upstream to warm up.
 	unplacedCold bool
 	// awaitingCapacity buffers packets that wait for capacity at their upstream.
-	awaitingCapacity *waiting.Waiting[packetKey, bufferedPacket]
+	awaitingCapacity *pending.Buffer[packetKey, bufferedPacket]
 	// uploads is nil if pacing is disabled.
 	uploads *uploads
 	held    configuration.Configuration
@@ -145,11 +145,11 @@
 	}
 	b := &Balancer{
 		settings: s, log: log, socket: socket, counts: newCounts(),
-		suspicions: doubts.New(follower.ContactLease), unresponsive: map[word.Subject]bool{},
-		unplaced: waiting.New[packetKey, bufferedPacket](), awaitingCapacity: waiting.New[packetKey, bufferedPacket](),
-		view: view.New(view.Settings{ContactLease: follower.ContactLease, InheritFor: provisionalTTL, ForgetAfter: forgetAfter}),
+		suspicions: suspicions.New(follower.ContactLease), unresponsive: map[evidence.Subject]bool{},
+		unplaced: pending.New[packetKey, bufferedPacket](), awaitingCapacity: pending.New[packetKey, bufferedPacket](),
+		view: view.New(view.Settings{ContactLease: follower.ContactLease, ProvisionalTTL: provisionalTTL, ForgetAfter: forgetAfter}),
 	}
-	if uplink.Narrow(s.LinkBytesPerSecond) && !s.Off.Has(mechanism.Pacing) {
+	if uplink.NeedsPacing(s.LinkBytesPerSecond) && !s.Off.Has(mechanism.Pacing) {
 		b.uploads = newUploads(s.LinkBytesPerSecond)
 	}
 	self, err := b.setUpFollower()
@@ -186,28 +186,28 @@
 	}()
 }
 
-// Name sets the voters that the settings list now.
-func (b *Balancer) Name(sources []string) { b.follower.Name(sources) }
+// SetSources sets the voters that the settings list now.
+func (b *Balancer) SetSources(sources []string) { b.follower.SetSources(sources) }
 
 // Ready reports whether the balancer can place flows and is not stopping.
 func (b *Balancer) Ready() bool { return b.ready.Load() && !b.leaving.Load() }
 
-// Held returns the configuration in force.
-func (b *Balancer) Held() configuration.Configuration {
+// Configuration returns the configuration in force.
+func (b *Balancer) Configuration() configuration.Configuration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.held
 }
 
-// Informed reports whether any upstreams are known.
-func (b *Balancer) Informed() bool {
+// HasUpstreams reports whether any upstreams are known.
+func (b *Balancer) HasUpstreams() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.router.Upstreams() > 0
 }
 
-// Offered applies a configuration if it is newer than the one in force.
-func (b *Balancer) Offered(address string, c configuration.Configuration) {
+// OnConfiguration applies a configuration if it is newer than the one in force.
+func (b *Balancer) OnConfiguration(address string, c configuration.Configuration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if c.Revision <= b.held.Revision {
@@ -224,17 +224,17 @@
 	b.refresh(b.settings.Clock())
 }
 
-// Answered applies a voter's update.
-func (b *Balancer) Answered(now time.Time, x origins.Origin) {
+// OnVoterState applies a voter's update.
+func (b *Balancer) OnVoterState(now time.Time, x origins.Update) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	contact := now.Add(-x.Age)
-	b.view.Hear(now, view.News{Voter: x.Voter, Life: x.Life, Version: x.Version, Contact: contact, Notices: x.Notices})
+	b.view.Apply(now, view.Update{Voter: x.Voter, Life: x.Life, Version: x.Version, Contact: contact, Notices: x.Notices})
 	b.refresh(now)
 	switch {
 	case !x.Doubted:
-		b.suspicions.Contact(contact, x.Voter)
-	case b.suspicions.Hear(now, contact, x.Voter, x.Subjects):
+		b.suspicions.RecordContact(contact, x.Voter)
+	case b.suspicions.UpdateRelayed(now, contact, x.Voter, x.Subjects):
 		b.scheduleSuspicions(now)
 	}
 	b.wakeFollowers(x)
@@ -288,7 +288,7 @@
 				b.unplacedCold = false
 				b.placeBuffered(now, b.unplaced)
 			}
-			if b.suspicions.Expired(now) || b.suspicions.Stand() && now.Sub(b.suspicionsApplied) >= livenessReportInterval {
+			if b.suspicions.Expire(now) || b.suspicions.Any() && now.Sub(b.suspicionsApplied) >= livenessReportInterval {
 				b.applySuspicions(now)
 			}
 			b.decisionLog.flush(now, b.log)
--- a/internal/daemon/cookie/cookie_test.go
+++ b/internal/daemon/cookie/cookie_test.go
@@ -22,7 +22,7 @@
 	"wasabideal/internal/fanout/tree"
 	"wasabideal/internal/model/configuration"
 	"wasabideal/internal/model/upstream"
-	"wasabideal/internal/silence/word"
+	"wasabideal/internal/silence/evidence"
 	"wasabideal/internal/wire/rpc"
 )
 
@@ -247,10 +247,10 @@
 	require.True(t, ok)
 	client := rpc.NewClient(c.Address(), "group")
 	t.Cleanup(client.Close)
-	report := word.Report{From: "another", Events: []word.Event{
+	report := evidence.Report{From: "another", Events: []evidence.Event{
 		{Incarnation: 77, Zone: "a", Weight: 7}, {Incarnation: 77, Zone: "a", Weight: 7}, {Incarnation: 77, Zone: "a", Weight: 7},
 	}}
-	_, err := rpc.Call[word.Report, struct{}](t.Context(), client, feed.ReportMethod, report)
+	_, err := rpc.Call[evidence.Report, struct{}](t.Context(), client, feed.ReportMethod, report)
 	require.NoError(t, err)
 	data, ok := receive(caller, 5*time.Second)
 	require.True(t, ok)
@@ -272,7 +272,7 @@
 
 // followersOf returns the balancers that follow another balancer.
 func followersOf(all []*cookie.Balancer) []*cookie.Balancer {
-	return lo.Filter(all, func(b *cookie.Balancer, _ int) bool { return b.Standing().Parent != "" })
+	return lo.Filter(all, func(b *cookie.Balancer, _ int) bool { return b.FollowerStatus().Parent != "" })
 }
 
 // Tests the fan-out end to end with three balancers of a zone, one of which follows the
@@ -290,7 +290,7 @@
 	require.Eventually(t, func() bool { return len(followersOf(all)) == 2 }, 20*time.Second, 10*time.Millisecond)
 	for _, b := range all {
 		require.True(t, b.Ready())
-		require.Equal(t, 1, b.Standing().Fresh)
+		require.Equal(t, 1, b.FollowerStatus().Fresh)
 	}
 	child := followersOf(all)[0]
 	send(t, caller, child, router.Packet{Opening: true})
@@ -317,7 +317,7 @@
 	}, "second", "test")
 	require.NoError(t, err)
 	for _, b := range all {
-		require.Eventually(t, func() bool { return b.Held().Revision == 9 }, 20*time.Second, 10*time.Millisecond)
+		require.Eventually(t, func() bool { return b.Configuration().Revision == 9 }, 20*time.Second, 10*time.Millisecond)
 	}
 
 	// The start and the end of a zone's evacuation reach them too.
@@ -330,7 +330,7 @@
 	}
 
 	// The followers keep receiving updates after the root is killed.
-	root, _ := lo.Find(all, func(b *cookie.Balancer) bool { return b.Standing().Parent == "" })
+	root, _ := lo.Find(all, func(b *cookie.Balancer) bool { return b.FollowerStatus().Parent == "" })
 	rest := lo.Without(all, root)
 	root.Kill()
 	require.NoError(t, c.Upstreams().Announce(t.Context(), upstream.Upstream{
@@ -338,6 +338,6 @@
 	}, 0))
 	for _, b := range rest {
 		require.Eventually(t, func() bool { return b.Upstreams() == 3 }, 20*time.Second, 10*time.Millisecond)
-		require.Equal(t, 1, b.Standing().Fresh)
+		require.Equal(t, 1, b.FollowerStatus().Fresh)
 	}
 }
--- a/internal/daemon/cookie/evacuate.go
+++ b/internal/daemon/cookie/evacuate.go
@@ -11,8 +11,8 @@
 	return b.evacuations
 }
 
-// Evacuated applies evacuation commands if they are newer than those in force.
-func (b *Balancer) Evacuated(address string, e evacuation.Evacuations) {
+// OnEvacuations applies evacuation commands if they are newer than those in force.
+func (b *Balancer) OnEvacuations(address string, e evacuation.Evacuations) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if e.Revision <= b.evacuations.Revision {
@@ -20,8 +20,8 @@
 	}
 	b.evacuations = e
 	b.router.Evacuate(b.settings.Clock(), e)
-	b.log.Info("zones evacuated", "Revision", e.Revision, "From", address, "Zones", e.Names())
+	b.log.Info("zones evacuated", "Revision", e.Revision, "From", address, "Zones", e.EvacuatedZones())
 	if b.fanout != nil {
-		b.fanout.relay.Wake()
+		b.fanout.relay.NotifyNow()
 	}
 }
--- a/internal/daemon/cookie/fanout.go
+++ b/internal/daemon/cookie/fanout.go
@@ -14,14 +14,14 @@
 	"wasabideal/internal/control/referral"
 	"wasabideal/internal/control/upstreams"
 	"wasabideal/internal/cookie/follower"
+	"wasabideal/internal/fanout/chunk"
 	"wasabideal/internal/fanout/member"
 	"wasabideal/internal/fanout/members"
 	"wasabideal/internal/fanout/origins"
-	"wasabideal/internal/fanout/portion"
 	"wasabideal/internal/fanout/relay"
 	"wasabideal/internal/model/configuration"
+	"wasabideal/internal/silence/evidence"
 	"wasabideal/internal/silence/sample"
-	"wasabideal/internal/silence/word"
 	"wasabideal/internal/upstream/directory"
 	"wasabideal/internal/upstream/handover"
 	"wasabideal/internal/wire/rpc"
@@ -46,10 +46,10 @@
 	listener net.Listener
 	server   *rpc.Server
 	relay    *relay.Relay
-	handover *handover.Handover
+	handover *handover.Batcher
 	mu       sync.Mutex
 	history  history.History
-	sample   *sample.Sample
+	sample   *sample.Sampler
 	referral *referral.Referral
 }
 
@@ -88,11 +88,11 @@
 		return x.configuration(revision)
 	})
 	rpc.Handle(x.server, feed.ReportsMethod, s.Token, b.relayReports)
-	rpc.Handle(x.server, feed.AttendMethod, s.Token, func(_ context.Context, all []members.Attendance) (empty, error) {
-		b.follower.Attend(s.Clock(), all)
+	rpc.Handle(x.server, feed.AttendMethod, s.Token, func(_ context.Context, all []members.Heartbeat) (empty, error) {
+		b.follower.RecordFollowers(s.Clock(), all)
 		return empty{}, nil
 	})
-	rpc.Handle(x.server, upstreams.HandOverMethod, s.Token, func(ctx context.Context, all []handover.Announcement) (empty, error) {
+	rpc.Handle(x.server, upstreams.ForwardMethod, s.Token, func(ctx context.Context, all []handover.Announcement) (empty, error) {
 		return empty{}, x.handover.Add(ctx, b.batchDelay(false), all...)
 	})
 	b.fanout = x
@@ -116,7 +116,7 @@
 	b.fanout.mu.Lock()
 	b.fanout.history = b.fanout.history.With(c)
 	b.fanout.mu.Unlock()
-	b.fanout.relay.Wake()
+	b.fanout.relay.NotifyNow()
 }
 
 // configuration returns the encoded changes from a follower's revision to the one in force.
@@ -135,33 +135,33 @@
 }
 
 // wakeFollowers wakes the followers' long polls if a voter's update holds anything for them.
-func (b *Balancer) wakeFollowers(x origins.Origin) {
+func (b *Balancer) wakeFollowers(x origins.Update) {
 	if b.fanout == nil {
 		return
 	}
 	if len(x.Notices) > 0 {
-		b.fanout.relay.NewNotices()
+		b.fanout.relay.NotifyNotices()
 	}
 	if len(x.Subjects) > 0 {
-		b.fanout.relay.NewDoubts()
+		b.fanout.relay.NotifySuspicions()
 	}
 }
 
-// News returns the response to a follower's long poll, and whether it holds anything new.
-func (b *Balancer) News(now time.Time, q relay.Question) (relay.Answer, bool) {
-	a, changed := b.follower.News(now, q)
+// Updates returns the response to a follower's long poll, and whether it holds anything new.
+func (b *Balancer) Updates(now time.Time, q relay.Request) (relay.Response, bool) {
+	a, changed := b.follower.Updates(now, q)
 	known := make(map[string]origins.Known, len(q.Known))
 	for _, k := range q.Known {
 		known[k.Voter] = k
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	a.Revision = max(b.held.Revision, b.follower.Missing(now, b.held.Revision))
+	a.Revision = max(b.held.Revision, b.follower.UnavailableRevision(now, b.held.Revision))
 	if b.evacuations.Revision > q.Evacuations {
 		e := b.evacuations
 		a.Evacuations, changed = &e, true
 	}
-	portion.New(b.settings.Zone).Fill(a.Origins, func(x origins.Origin) []directory.Notice {
+	chunk.New(b.settings.Zone).Fill(a.Origins, func(x origins.Update) []directory.Notice {
 		version := uint64(0)
 		if k := known[x.Voter]; k.Life == x.Life {
 			version = k.Version
@@ -174,26 +174,26 @@
 	return a, changed || a.Revision > q.Revision
 }
 
-// Leaving reports whether the balancer is stopping.
-func (b *Balancer) Leaving() bool { return b.leaving.Load() }
+// ShuttingDown reports whether the balancer is stopping.
+func (b *Balancer) ShuttingDown() bool { return b.leaving.Load() }
 
 // relayReports relays a sample of the followers' reports on silent upstreams.
-func (b *Balancer) relayReports(_ context.Context, reports []word.Report) (empty, error) {
+func (b *Balancer) relayReports(_ context.Context, reports []evidence.Report) (empty, error) {
 	now := b.settings.Clock()
 	x := b.fanout
 	for _, r := range reports {
 		x.mu.Lock()
-		r.Events = x.sample.Take(now, r.From, r.Events)
+		r.Events = x.sample.Filter(now, r.From, r.Events)
 		x.mu.Unlock()
 		if len(r.Events) > 0 {
-			b.follower.Pass(r)
+			b.follower.Forward(r)
 		}
 	}
 	return empty{}, nil
 }
 
-// Standing returns the balancer's position in the tree and the freshness of its state.
-func (b *Balancer) Standing() follower.Standing { return b.follower.Standing(b.settings.Clock()) }
+// FollowerStatus returns the balancer's position in the tree and the freshness of its state.
+func (b *Balancer) FollowerStatus() follower.Status { return b.follower.Status(b.settings.Clock()) }
 
 // Upstreams returns the number of known upstreams.
 func (b *Balancer) Upstreams() int {
--- a/internal/daemon/cookie/metrics.go
+++ b/internal/daemon/cookie/metrics.go
@@ -51,7 +51,7 @@
 	set("Revision", int(b.router.Revision()))
 	set("Flows", b.router.Flows())
 	set("EvacuationsRevision", int(b.evacuations.Revision))
-	set("ZonesEvacuated", len(b.evacuations.Names()))
+	set("ZonesEvacuated", len(b.evacuations.EvacuatedZones()))
 	if b.uploads != nil {
 		set("Uploads", b.uploads.link.Active(b.settings.Clock()))
 	}
@@ -68,7 +68,7 @@
 	if b.fanout == nil {
 		return
 	}
-	s := b.Standing()
+	s := b.FollowerStatus()
 	set("FanoutLevel", s.Level)
 	set("FanoutFollowers", b.fanout.relay.Followers())
 	set("FanoutFollowersAll", s.Followers)
--- a/internal/daemon/cookie/packets.go
+++ b/internal/daemon/cookie/packets.go
@@ -55,7 +55,7 @@
 	}
 	arrived := now
 	if p.Opening {
-		arrived = now.Add(-b.socket.Waited(now, index))
+		arrived = now.Add(-b.socket.QueueDelay(now, index))
 	}
 	b.routePacket(now, arrived, p, data)
 }
@@ -65,7 +65,7 @@
 func (b *Balancer) routePacket(now, arrived time.Time, p router.Packet, data []byte) {
 	p.Waited = now.Sub(arrived)
 	v := b.decide(now, p, data)
-	if v.Action == router.Drop && v.Reason.Early() && !b.settings.Off.Has(mechanism.KeptPackets) {
+	if v.Action == router.Drop && v.Reason.Temporary() && !b.settings.Off.Has(mechanism.KeptPackets) {
 		b.bufferPacket(now, arrived, p, data)
 		b.unplacedCold = b.unplacedCold || v.Reason == router.Cold
 	}
@@ -109,7 +109,7 @@
 // output returns the next free output buffer of this batch.
 func (b *Balancer) output() *[]byte {
 	if b.outputsUsed == len(b.outputs) {
-		b.outputs = append(b.outputs, make([]byte, 0, datagram.Size+forwardHeadroom))
+		b.outputs = append(b.outputs, make([]byte, 0, datagram.BufferSize+forwardHeadroom))
 	}
 	return &b.outputs[b.outputsUsed]
 }
--- a/internal/daemon/cookie/stall_test.go
+++ b/internal/daemon/cookie/stall_test.go
@@ -32,7 +32,7 @@
 // Guards against the reset of a flow that a retransmitted opening has opened through another
 // balancer, while the first opening waited in the socket queue of a balancer that got no CPU
 // time.
-func TestOpeningThatWaitedInAQueueResetsNoFlow(t *testing.T) {
+func TestQueuedOpeningDoesNotResetFlow(t *testing.T) {
 	voter, backend, caller := startVoter(t), listenUDP(t), listenUDP(t)
 	blocked := &sync.Mutex{}
 	b, err := cookie.Listen(cookie.Settings{
--- a/internal/daemon/cookie/stop.go
+++ b/internal/daemon/cookie/stop.go
@@ -8,7 +8,7 @@
 	b.leaving.Store(true)
 	if b.fanout != nil {
 		// Followers switch to another balancer while this one still responds.
-		b.fanout.relay.Wake()
+		b.fanout.relay.NotifyNow()
 	}
 	begun := b.settings.Clock()
 	b.log.Info("leaving", "Timeout", b.settings.StopTimeout.String())
--- a/internal/daemon/cookie/suspicions.go
+++ b/internal/daemon/cookie/suspicions.go
@@ -5,14 +5,14 @@
 	"time"
 
 	"wasabideal/internal/cookie/router"
-	"wasabideal/internal/silence/doubts"
-	"wasabideal/internal/silence/word"
+	"wasabideal/internal/silence/evidence"
+	"wasabideal/internal/silence/suspicions"
 )
 
 // scheduleSuspicions calls applySuspicions at once, or minSuspicionInterval after the last
 // call, together with the reports that arrive until then. The caller holds the lock.
 func (b *Balancer) scheduleSuspicions(now time.Time) {
-	at, schedule := b.suspicionPacing.News(now, minSuspicionInterval)
+	at, schedule := b.suspicionPacing.Schedule(now, minSuspicionInterval)
 	switch {
 	case !at.After(now):
 		b.applySuspicions(now)
@@ -31,9 +31,9 @@
 // The caller holds the lock.
 func (b *Balancer) applySuspicions(now time.Time) {
 	b.suspicionsApplied = now
-	b.suspicionPacing.Told(now)
+	b.suspicionPacing.Sent(now)
 	all := b.suspicions.All()
-	resets := b.router.Doubt(now, all)
+	resets := b.router.SetSuspicions(now, all)
 	b.logUnresponsive(now, all, len(resets))
 	b.outputsUsed = 0
 	for _, p := range resets {
@@ -46,7 +46,7 @@
 }
 
 // logUnresponsive logs the subjects that became unresponsive, and those that no longer are.
-func (b *Balancer) logUnresponsive(now time.Time, all map[word.Subject]doubts.Doubt, resets int) {
+func (b *Balancer) logUnresponsive(now time.Time, all map[evidence.Subject]suspicions.Suspicion, resets int) {
 	for s, d := range all {
 		if d.Unresponsive && !b.unresponsive[s] {
 			b.unresponsive[s] = true
--- a/internal/daemon/cookie/uploads.go
+++ b/internal/daemon/cookie/uploads.go
@@ -39,7 +39,7 @@
 
 // uploads paces uploads over the VM's link.
 type uploads struct {
-	link    *uplink.Uplink[router.Flow, outgoing]
+	link    *uplink.Pacer[router.Flow, outgoing]
 	backlog backlog.Backlog[router.Flow, bufferedPacket]
 	wake    chan struct{}
 	// logged is when the link's usage was last logged.
@@ -70,7 +70,7 @@
 		return b.queueOpening(now, k, p, data)
 	}
 	if p.Finish || p.Reset {
-		b.uploads.link.Leave(k)
+		b.uploads.link.Remove(k)
 	}
 	return b.router.Route(now, p)
 }
@@ -79,7 +79,7 @@
 // remaining bandwidth.
 func (b *Balancer) recordUnpaced(now time.Time, length int) {
 	if b.uploads != nil {
-		b.uploads.link.Other(now, length+forwardedOverhead)
+		b.uploads.link.RecordOther(now, length+forwardedOverhead)
 	}
 }
 
@@ -109,7 +109,7 @@
 	if b.uploads.backlog.Len() == 0 {
 		return
 	}
-	admitted, late := b.uploads.backlog.Turn(now, func(k router.Flow) bool { return b.uploads.link.Admit(now, k) })
+	admitted, late := b.uploads.backlog.Dispatch(now, func(k router.Flow) bool { return b.uploads.link.Admit(now, k) })
 	b.outputsUsed = 0
 	for _, e := range admitted {
 		b.routePacket(now, e.arrived, e.packet, e.data)
@@ -126,7 +126,7 @@
 		return false
 	}
 	out := b.settings.Codec.Forward(make([]byte, 0, len(data)+forwardHeadroom), data, v)
-	b.uploads.link.Offer(now, uplink.Packet[router.Flow, outgoing]{
+	b.uploads.link.Enqueue(now, uplink.Packet[router.Flow, outgoing]{
 		Flow: p.Flow(), Sequence: p.Sequence, Length: p.Length,
 		Size: p.Length + packetOverhead, Payload: outgoing{to: v.To, data: out},
 	})
@@ -159,7 +159,7 @@
 	defer b.mu.Unlock()
 	now := b.settings.Clock()
 	for {
-		p, due := b.uploads.link.Due(now)
+		p, due := b.uploads.link.Dequeue(now)
 		if !due {
 			break
 		}
@@ -169,7 +169,7 @@
 	if err := b.socket.Flush(); err != nil {
 		b.recordSendError(err)
 	}
-	pause, waits := b.uploads.link.Wait(now)
+	pause, waits := b.uploads.link.NextDelay(now)
 	if b.uploads.backlog.Len() == 0 {
 		return pause, waits
 	}
@@ -187,7 +187,7 @@
 	}
 	b.uploads.logged = now
 	link := b.uploads.link
-	if others := link.Others(now); others > busyLinkShare*b.settings.LinkBytesPerSecond {
+	if others := link.OtherRate(now); others > busyLinkShare*b.settings.LinkBytesPerSecond {
 		b.log.Info("link busy", "OthersBytesPerSecond", int(others), "Uploads", link.Active(now), "UploadsMost", link.Limit(now),
 			"UploadsWaiting", b.uploads.backlog.Len())
 	}
--- a/internal/demo/run/cluster.go
+++ b/internal/demo/run/cluster.go
@@ -73,24 +73,24 @@
 		Role: settings.RoleBalancer, Name: name, Zone: zone, GroupToken: groupToken, OperatorToken: operatorToken,
 		Listen: settings.Listen{Fabric: anyPort, Peer: anyPort, Rpc: anyPort, Admin: anyPort},
 	}
-	x.Listen.Door = []settings.Door{{Service: "orders", Address: anyPort}, {Service: "notes", Address: anyPort}}
+	x.Listen.Door = []settings.HTTPListener{{Service: "orders", Address: anyPort}, {Service: "notes", Address: anyPort}}
 	x.Balancer.Sources = s.sources
 	x.Balancer.MaxFlows = 20000
 	x.Balancer.StopTimeout = settings.Duration(20 * time.Second)
-	return defaults.Pass{}.Apply(x)
+	return defaults.Defaults{}.Apply(x)
 }
 
 // startVoters opens all listeners first, because the settings of each voter contain all addresses.
 func (s *cluster) startVoters() error {
 	var listeners []net.Listener
-	var founders []settings.Founder
+	var founders []settings.InitialVoter
 	for i := range voterCount {
 		l, err := net.Listen("tcp", anyPort)
 		if err != nil {
 			return fmt.Errorf("listen for voter: %w", err)
 		}
 		listeners = append(listeners, l)
-		founders = append(founders, settings.Founder{Name: fmt.Sprintf("control-%d", i+1), Address: l.Addr().String()})
+		founders = append(founders, settings.InitialVoter{Name: fmt.Sprintf("control-%d", i+1), Address: l.Addr().String()})
 		s.sources = append(s.sources, l.Addr().String())
 	}
 	for i, f := range founders {
@@ -98,7 +98,7 @@
 		x.DataFolder = filepath.Join(s.folder, f.Name)
 		x.Control.Founders = founders
 		w := wiring.Wiring{Clock: time.Now}
-		c, err := control.Listen(w.Control(defaults.Pass{}.Apply(x)), listeners[i], s.log.Named(f.Name))
+		c, err := control.Listen(w.Control(defaults.Defaults{}.Apply(x)), listeners[i], s.log.Named(f.Name))
 		if err != nil {
 			return err
 		}
--- a/internal/disk/wal/wal.go
+++ b/internal/disk/wal/wal.go
@@ -57,8 +57,8 @@
 	Commit  uint64
 }
 
-// Wal is an open log; it is not safe for concurrent use.
-type Wal struct {
+// Log is an open log; it is not safe for concurrent use.
+type Log struct {
 	folder folder.Folder
 	file   folder.File
 	size   int64
@@ -66,8 +66,8 @@
 }
 
 // Open reads the state from a folder and opens its log; an empty folder yields an empty state.
-func Open(f folder.Folder) (*Wal, agreement.Durable, error) {
-	var state agreement.Durable
+func Open(f folder.Folder) (*Log, agreement.PersistentState, error) {
+	var state agreement.PersistentState
 	if err := readSnapshot(f, &state); err != nil {
 		return nil, state, err
 	}
@@ -79,7 +79,7 @@
 	if err != nil {
 		return nil, state, &FailedError{Operation: "open log", Cause: err}
 	}
-	w := &Wal{folder: f, file: file, size: size}
+	w := &Log{folder: f, file: file, size: size}
 	if err := w.syncAll(); err != nil {
 		return nil, state, err
 	}
@@ -87,12 +87,12 @@
 }
 
 // Close closes the log file.
-func (w *Wal) Close() error { return w.file.Close() }
+func (w *Log) Close() error { return w.file.Close() }
 
 // Size returns the length of the log in bytes.
-func (w *Wal) Size() int64 { return w.size }
+func (w *Log) Size() int64 { return w.size }
 
-func (w *Wal) syncAll() error {
+func (w *Log) syncAll() error {
 	if err := w.file.Sync(); err != nil {
 		return w.fail("sync", err)
 	}
@@ -104,13 +104,13 @@
 
 // fail makes all later writes fail: after a failed sync, the content of the disk is
 // unknown, so nothing more may be acknowledged.
-func (w *Wal) fail(operation string, err error) error {
+func (w *Log) fail(operation string, err error) error {
 	w.failed = &FailedError{Operation: operation, Cause: err}
 	return w.failed
 }
 
 // Write appends a vote and entries, or compacts the log to a snapshot, and returns once the data is synced.
-func (w *Wal) Write(p agreement.Persist) error {
+func (w *Log) Write(p agreement.Persist) error {
 	if w.failed != nil {
 		return w.failed
 	}
@@ -137,7 +137,7 @@
 
 // compact replaces the snapshot and then the log. After a crash in between, the log
 // still has entries that the snapshot covers; Open skips them.
-func (w *Wal) compact(p agreement.Persist) error {
+func (w *Log) compact(p agreement.Persist) error {
 	body, err := cbor.Marshal(p.Snapshot)
 	if err != nil {
 		return w.fail("encode", err)
@@ -160,7 +160,7 @@
 	return nil
 }
 
-func (w *Wal) replace(name string, b []byte) error {
+func (w *Log) replace(name string, b []byte) error {
 	if err := folder.Replace(w.folder, name, b); err != nil {
 		return w.fail("replace", err)
 	}
@@ -203,7 +203,7 @@
 	return body, crc32.Checksum(body, castagnoli) == binary.BigEndian.Uint32(b[4:])
 }
 
-func readSnapshot(f folder.Folder, state *agreement.Durable) error {
+func readSnapshot(f folder.Folder, state *agreement.PersistentState) error {
 	b, err := f.ReadFile(snapshotFile)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil
@@ -219,7 +219,7 @@
 }
 
 // readLog applies the records of the log to the state and returns the length of the valid part.
-func readLog(f folder.Folder, state *agreement.Durable) (int64, error) {
+func readLog(f folder.Folder, state *agreement.PersistentState) (int64, error) {
 	b, err := f.ReadFile(logFile)
 	if errors.Is(err, fs.ErrNotExist) {
 		return 0, nil
@@ -256,7 +256,7 @@
 	return false
 }
 
-func applyRecord(body []byte, state *agreement.Durable) error {
+func applyRecord(body []byte, state *agreement.PersistentState) error {
 	var r record
 	if err := cbor.Unmarshal(body, &r); err != nil {
 		return fmt.Errorf("decode record: %w", err)
--- a/internal/disk/wal/wal_test.go
+++ b/internal/disk/wal/wal_test.go
@@ -15,7 +15,7 @@
 	return agreement.Entry{Index: i, Term: 1, Data: []byte{byte(i)}}
 }
 
-func writeEntries(t require.TestingT, f *fault.Folder, n uint64) *wal.Wal {
+func writeEntries(t require.TestingT, f *fault.Folder, n uint64) *wal.Log {
 	w, _, err := wal.Open(f)
 	require.NoError(t, err)
 	for i := uint64(1); i <= n; i++ {
--- a/internal/fanout/assignment/assignment.go
+++ b/internal/fanout/assignment/assignment.go
@@ -69,8 +69,8 @@
 	}
 }
 
-// Has reports whether this balancer owns a key under all lists that other balancers may still use.
-func (a *Assignment) Has(now time.Time, key uint64) bool {
+// Owns reports whether this balancer owns a key under all lists that other balancers may still use.
+func (a *Assignment) Owns(now time.Time, key uint64) bool {
 	if now.Sub(a.started) < startupGrace || len(a.lists) == 0 {
 		return false
 	}
--- a/internal/fanout/assignment/assignment_test.go
+++ b/internal/fanout/assignment/assignment_test.go
@@ -35,7 +35,7 @@
 	for _, a := range owners {
 		count := 0
 		for key := range uint64(2000) {
-			if a.Has(now, key*0x9e3779b97f4a7c15) {
+			if a.Owns(now, key*0x9e3779b97f4a7c15) {
 				count++
 			}
 		}
@@ -45,7 +45,7 @@
 	for key := range uint64(200) {
 		ownerCount := 0
 		for _, a := range owners {
-			if a.Has(now, key) {
+			if a.Owns(now, key) {
 				ownerCount++
 			}
 		}
@@ -57,15 +57,15 @@
 // seconds each knows only itself or a few others, and a balancer alone in its list owns every key.
 func TestStartingBalancerOwnsNoKeys(t *testing.T) {
 	a := assignment.New(epoch, "me")
-	require.False(t, a.Has(epoch.Add(time.Hour), 7), "the list is empty")
+	require.False(t, a.Owns(epoch.Add(time.Hour), 7), "the list is empty")
 	a.Set(epoch, []string{"me"})
-	require.False(t, a.Has(epoch.Add(5*time.Second), 7))
-	require.True(t, a.Has(epoch.Add(7*time.Second), 7))
+	require.False(t, a.Owns(epoch.Add(5*time.Second), 7))
+	require.True(t, a.Owns(epoch.Add(7*time.Second), 7))
 	a.Set(epoch.Add(8*time.Second), []string{"other"})
-	require.False(t, a.Has(epoch.Add(9*time.Second), 7), "a loss of the key takes effect at once")
+	require.False(t, a.Owns(epoch.Add(9*time.Second), 7), "a loss of the key takes effect at once")
 	a.Set(epoch.Add(10*time.Second), []string{"me"})
-	require.False(t, a.Has(epoch.Add(12*time.Second), 7), "others may still use the previous list")
-	require.True(t, a.Has(epoch.Add(17*time.Second), 7))
+	require.False(t, a.Owns(epoch.Add(12*time.Second), 7), "others may still use the previous list")
+	require.True(t, a.Owns(epoch.Add(17*time.Second), 7))
 }
 
 // For random changes that each balancer receives within maxPropagation, no key has two owners.
@@ -110,7 +110,7 @@
 			for key := range uint64(6) {
 				ownerCount := 0
 				for _, a := range owners {
-					if a.Has(p.at, key) {
+					if a.Owns(p.at, key) {
 						ownerCount++
 					}
 				}
@@ -140,7 +140,7 @@
 		// Up to the last moment at which the others may not know of the rejoining.
 		for now := time.Duration(0); now <= 5200*time.Millisecond; now += 100 * time.Millisecond {
 			for _, a := range others {
-				require.False(t, left.Has(epoch.Add(now), key) && a.Has(epoch.Add(now), key), "at %s", now)
+				require.False(t, left.Owns(epoch.Add(now), key) && a.Owns(epoch.Add(now), key), "at %s", now)
 			}
 		}
 	}
--- a/internal/fanout/turn/turn.go
+++ b/internal/fanout/bootstrap/bootstrap.go
@@ -1,4 +1,4 @@
-package turn
+package bootstrap
 
 import "time"
 
--- a/internal/fanout/turn/turn_test.go
+++ b/internal/fanout/bootstrap/bootstrap_test.go
@@ -1,4 +1,4 @@
-package turn_test
+package bootstrap_test
 
 import (
 	"testing"
@@ -6,7 +6,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"wasabideal/internal/fanout/turn"
+	"wasabideal/internal/fanout/bootstrap"
 )
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
@@ -14,7 +14,7 @@
 func at(ms int) time.Time { return epoch.Add(time.Duration(ms) * time.Millisecond) }
 
 func TestVotersArePolledSequentially(t *testing.T) {
-	var x turn.Sequencer
+	var x bootstrap.Sequencer
 	require.True(t, x.Allow(at(0), "v1"))
 	require.False(t, x.Allow(at(10), "v2"))
 	require.True(t, x.Allow(at(20), "v1"), "the current voter may be polled again")
@@ -26,7 +26,7 @@
 }
 
 func TestFailedVoterAllowsTheNext(t *testing.T) {
-	var x turn.Sequencer
+	var x bootstrap.Sequencer
 	require.True(t, x.Allow(at(0), "v1"))
 	x.RecordFailure("v1")
 	require.True(t, x.Allow(at(1), "v2"))
@@ -36,7 +36,7 @@
 // power, a voter with an empty disk answered first, and was polled again each time before any other
 // voter.
 func TestIncompleteVoterDoesNotBlockOthers(t *testing.T) {
-	var x turn.Sequencer
+	var x bootstrap.Sequencer
 	require.True(t, x.Allow(at(0), "empty"))
 	require.False(t, x.RecordAnswer("empty", false))
 	require.True(t, x.Allow(at(1), "empty"), "an incomplete voter may still be polled")
--- a/internal/fanout/turn/doc.go
+++ b/internal/fanout/bootstrap/doc.go
@@ -6,4 +6,4 @@
 // Which voter recovers first is unknown; connections to all of them are therefore opened at once.
 //
 // The package has no I/O and no clock. A Sequencer is not safe for concurrent use.
-package turn
+package bootstrap
--- a/internal/fanout/portion/portion.go
+++ b/internal/fanout/chunk/chunk.go
@@ -1,4 +1,4 @@
-package portion
+package chunk
 
 import (
 	"slices"
@@ -11,16 +11,16 @@
 // are 20 kB compressed, which a link of 2 Mbit/s delivers to ten followers within a second.
 const maxNotices = 500
 
-// Portion limits and orders answers to the balancers of an availability zone.
-type Portion struct{ zone string }
+// Chunker limits and orders answers to the balancers of an availability zone.
+type Chunker struct{ zone string }
 
 // New returns a Portion for followers in a zone.
-func New(zone string) Portion { return Portion{zone: zone} }
+func New(zone string) Chunker { return Chunker{zone: zone} }
 
 // Fill adds the notices to the voters' states, first to voters of the follower's zone, where its
 // upstreams announce themselves. Once the limit is reached, the other voters keep their age only,
 // and the follower requests their notices next.
-func (p Portion) Fill(all []origins.Origin, notices func(origins.Origin) []directory.Notice) {
+func (p Chunker) Fill(all []origins.Update, notices func(origins.Update) []directory.Notice) {
 	filled := 0
 	for _, i := range p.order(all) {
 		x := &all[i]
@@ -36,7 +36,7 @@
 }
 
 // order returns the indices of the voters' states, the given zone first.
-func (p Portion) order(all []origins.Origin) []int {
+func (p Chunker) order(all []origins.Update) []int {
 	order := make([]int, 0, len(all))
 	for i := range all {
 		order = append(order, i)
@@ -47,7 +47,7 @@
 	return order
 }
 
-func (p Portion) distance(x origins.Origin) int {
+func (p Chunker) distance(x origins.Update) int {
 	if x.Zone == p.zone {
 		return 0
 	}
--- a/internal/fanout/portion/portion_test.go
+++ b/internal/fanout/chunk/chunk_test.go
@@ -1,4 +1,4 @@
-package portion_test
+package chunk_test
 
 import (
 	"fmt"
@@ -7,8 +7,8 @@
 
 	"github.com/stretchr/testify/require"
 
+	"wasabideal/internal/fanout/chunk"
 	"wasabideal/internal/fanout/origins"
-	"wasabideal/internal/fanout/portion"
 	"wasabideal/internal/model/upstream"
 	"wasabideal/internal/upstream/directory"
 )
@@ -16,14 +16,14 @@
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
 // parent returns the state of a parent that has received some upstreams from each voter.
-func parent(voters, each int) (*origins.Origins, func(origins.Origin) []directory.Notice) {
+func parent(voters, each int) (*origins.Origins, func(origins.Update) []directory.Notice) {
 	o := origins.New()
 	for v := range voters {
-		o.Take(epoch, origins.Origin{
+		o.Apply(epoch, origins.Update{
 			Known: origins.Known{Voter: fmt.Sprintf("v%02d", v), Life: 1, Version: uint64(each)}, Zone: fmt.Sprintf("z%d", v%5),
 		})
 	}
-	return o, func(x origins.Origin) []directory.Notice {
+	return o, func(x origins.Update) []directory.Notice {
 		out := make([]directory.Notice, each)
 		for i := range out {
 			out[i].Upstream = upstream.Upstream{Identity: upstream.Identity{Incarnation: uint64(i)}, Zone: x.Zone}
@@ -45,11 +45,11 @@
 		follower := origins.New()
 		answers, received, largest := 0, 0, 0
 		for {
-			all, updated := above.After(epoch, follower.Known(epoch))
+			all, updated := above.UpdatesSince(epoch, follower.Known(epoch))
 			if !updated {
 				break
 			}
-			portion.New("z2").Fill(all, notices)
+			chunk.New("z2").Fill(all, notices)
 			answers++
 			require.LessOrEqual(t, answers, c.voters, "each answer has updates")
 			filled := 0
@@ -58,7 +58,7 @@
 				if len(x.Notices) > 0 && answers == 1 && c.answers > 1 {
 					require.Equal(t, "z2", x.Zone, "the notices of the own zone come first")
 				}
-				require.Equal(t, x.Life != 0, follower.Take(epoch, x))
+				require.Equal(t, x.Life != 0, follower.Apply(epoch, x))
 			}
 			received += filled
 			largest = max(largest, filled)
@@ -73,8 +73,8 @@
 // Guards against voters that count as unreachable while their notices are deferred.
 func TestAnswerCoversContactOfAllVoters(t *testing.T) {
 	above, notices := parent(25, 400)
-	all, _ := above.After(epoch.Add(time.Second), nil)
-	portion.New("z0").Fill(all, notices)
+	all, _ := above.UpdatesSince(epoch.Add(time.Second), nil)
+	chunk.New("z0").Fill(all, notices)
 	require.Len(t, all, 25)
 	for _, x := range all {
 		require.Equal(t, time.Second, x.Age)
--- a/internal/fanout/portion/doc.go
+++ b/internal/fanout/chunk/doc.go
@@ -2,4 +2,4 @@
 //
 // A follower that has just started lacks all upstreams of the fleet. An answer with all of them
 // would exceed its timeout, and the follower would request the same again.
-package portion
+package chunk
--- a/internal/fanout/members/members.go
+++ b/internal/fanout/members/members.go
@@ -8,16 +8,16 @@
 	"wasabideal/internal/fanout/member"
 )
 
-// AttendEvery is the interval of a balancer's reports of its followers. A report of 80 members
+// ReportInterval is the interval of a balancer's reports of its followers. A report of 80 members
 // is 3 kB; every five seconds that is 0.6 kB/s from a balancer at the top of the tree.
-const AttendEvery = 5 * time.Second
+const ReportInterval = 5 * time.Second
 
 // lease is how long a member is kept without refresh. A refresh from three levels below arrives
 // up to three report intervals late, and two reports may be lost.
 const lease = 30 * time.Second
 
-// Attendance is a member with the time since its last refresh.
-type Attendance struct {
+// Heartbeat is a member with the time since its last refresh.
+type Heartbeat struct {
 	_      struct{} `cbor:",toarray"`
 	Member member.Member
 	Age    time.Duration
@@ -38,8 +38,8 @@
 // New returns an empty set of members.
 func New() *Members { return &Members{byAddress: map[string]entry{}, versions: map[string]uint64{}} }
 
-// Hear records a refresh of a member that took place a.Age before now.
-func (m *Members) Hear(now time.Time, a Attendance) {
+// Refresh records a refresh of a member that took place a.Age before now.
+func (m *Members) Refresh(now time.Time, a Heartbeat) {
 	if a.Member.Address == "" || a.Age > lease {
 		return
 	}
@@ -89,12 +89,12 @@
 	return out
 }
 
-// Attendances returns all members with the time since each last refresh.
-func (m *Members) Attendances(now time.Time) []Attendance {
-	var out []Attendance
+// Heartbeats returns all members with the time since each last refresh.
+func (m *Members) Heartbeats(now time.Time) []Heartbeat {
+	var out []Heartbeat
 	for _, e := range m.byAddress {
-		out = append(out, Attendance{Member: e.Member, Age: now.Sub(e.refreshed)})
+		out = append(out, Heartbeat{Member: e.Member, Age: now.Sub(e.refreshed)})
 	}
-	slices.SortFunc(out, func(a, b Attendance) int { return cmp.Compare(a.Member.Address, b.Member.Address) })
+	slices.SortFunc(out, func(a, b Heartbeat) int { return cmp.Compare(a.Member.Address, b.Member.Address) })
 	return out
 }
--- a/internal/fanout/census/doc.go
+++ b/internal/fanout/membership/doc.go
@@ -6,4 +6,4 @@
 // each restart of the voters would rebuild the zone's tree.
 //
 // The package has no I/O and no clock, and must be used by one goroutine only.
-package census
+package membership
--- a/internal/fanout/census/census.go
+++ b/internal/fanout/membership/membership.go
@@ -1,4 +1,4 @@
-package census
+package membership
 
 import (
 	"cmp"
@@ -21,8 +21,8 @@
 	Members       []member.Member
 }
 
-// Census holds the lists of all sources and the balancers merged from them.
-type Census struct {
+// Membership holds the lists of all sources and the balancers merged from them.
+type Membership struct {
 	lists map[string]List
 	// retained maps balancers of replaced or dropped lists to the time until which they are kept.
 	retained map[member.Member]time.Time
@@ -33,20 +33,22 @@
 }
 
 // New returns an empty census.
-func New() *Census { return &Census{lists: map[string]List{}, retained: map[member.Member]time.Time{}} }
+func New() *Membership {
+	return &Membership{lists: map[string]List{}, retained: map[member.Member]time.Time{}}
+}
 
 // Of returns the list of a source.
-func (c *Census) Of(source string) List { return c.lists[source] }
+func (c *Membership) List(source string) List { return c.lists[source] }
 
-// Take replaces the list of a source.
-func (c *Census) Take(now time.Time, source string, l List) {
+// SetList replaces the list of a source.
+func (c *Membership) SetList(now time.Time, source string, l List) {
 	c.retain(now, source)
 	c.lists[source] = l
 	c.merge(now)
 }
 
-// Drop removes a source. Its balancers are kept for the retention.
-func (c *Census) Drop(now time.Time, source string) {
+// RemoveSource removes a source. Its balancers are kept for the retention.
+func (c *Membership) RemoveSource(now time.Time, source string) {
 	if _, known := c.lists[source]; !known {
 		return
 	}
@@ -55,14 +57,14 @@
 	c.merge(now)
 }
 
-func (c *Census) retain(now time.Time, source string) {
+func (c *Membership) retain(now time.Time, source string) {
 	for _, m := range c.lists[source].Members {
 		c.retained[m] = now.Add(retention)
 	}
 }
 
 // Tick removes expired balancers and reports whether Members changed.
-func (c *Census) Tick(now time.Time) bool {
+func (c *Membership) Tick(now time.Time) bool {
 	if len(c.retained) == 0 || now.Before(c.expires) {
 		return false
 	}
@@ -71,7 +73,7 @@
 	return c.version != before
 }
 
-func (c *Census) merge(now time.Time) {
+func (c *Membership) merge(now time.Time) {
 	byAddress := map[string]member.Member{}
 	c.expires = now.Add(retention)
 	for m, until := range c.retained {
@@ -99,12 +101,12 @@
 }
 
 // Members returns all listed or retained balancers in the order of their addresses.
-func (c *Census) Members() []member.Member { return c.merged }
+func (c *Membership) Members() []member.Member { return c.merged }
 
 // Addresses returns the RPC addresses of Members.
-func (c *Census) Addresses() []string {
+func (c *Membership) Addresses() []string {
 	return lo.Map(c.merged, func(m member.Member, _ int) string { return m.Address })
 }
 
 // Version rises with each change of Members.
-func (c *Census) Version() uint64 { return c.version }
+func (c *Membership) Version() uint64 { return c.version }
--- a/internal/fanout/origins/origins.go
+++ b/internal/fanout/origins/origins.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"wasabideal/internal/silence/word"
+	"wasabideal/internal/silence/evidence"
 	"wasabideal/internal/upstream/directory"
 )
 
@@ -20,10 +20,10 @@
 	Age time.Duration
 }
 
-// Origin is an update from one voter, as it is relayed. If Life is 0, only Voter and Age are set.
+// Update is an update from one voter, as it is relayed. If Life is 0, only Voter and Age are set.
 // Even in that short form, updates from five voters are a third of the bytes of an answer without
 // changes.
-type Origin struct {
+type Update struct {
 	_ struct{} `cbor:",toarray"`
 	Known
 	// Zone is the voter's availability zone.
@@ -32,19 +32,19 @@
 	Notices []directory.Notice
 	// Subjects lists all doubts of the voter. It is valid only if Doubted is set; otherwise the
 	// receiver keeps those that it has.
-	Subjects []word.Doubt
+	Subjects []evidence.Suspicion
 	Doubted  bool
 }
 
 // ContactOnly returns a copy reduced to the voter's name and age.
-func (x Origin) ContactOnly() Origin { return Origin{Known: Known{Voter: x.Voter, Age: x.Age}} }
+func (x Update) ContactOnly() Update { return Update{Known: Known{Voter: x.Voter, Age: x.Age}} }
 
 type state struct {
 	life, version, doubts uint64
 	zone                  string
 	contact               time.Time
 	// subjects are the voter's doubts as received at subjectsAt.
-	subjects   []word.Doubt
+	subjects   []evidence.Suspicion
 	subjectsAt time.Time
 }
 
@@ -55,7 +55,7 @@
 func New() *Origins { return &Origins{byVoter: map[string]state{}} }
 
 // Of returns the state received from a voter.
-func (o *Origins) Of(now time.Time, voter string) Known {
+func (o *Origins) State(now time.Time, voter string) Known {
 	s := o.byVoter[voter]
 	return s.known(now, voter)
 }
@@ -75,7 +75,7 @@
 
 // Accepts reports whether an update is not older than the state held for its voter. Relay paths
 // differ in delay, so an update of an earlier life or version may arrive late.
-func (o *Origins) Accepts(now time.Time, x Origin) bool {
+func (o *Origins) Accepts(now time.Time, x Update) bool {
 	s, held := o.byVoter[x.Voter]
 	switch {
 	case !held:
@@ -88,15 +88,15 @@
 }
 
 // Complete fills in the held life and versions of an update that carries only an age.
-func (o *Origins) Complete(x Origin) Origin {
+func (o *Origins) Complete(x Update) Update {
 	if s := o.byVoter[x.Voter]; x.Life == 0 {
 		x.Life, x.Version, x.Doubts = s.life, s.version, s.doubts
 	}
 	return x
 }
 
-// Take applies an update if it is accepted, and reports whether it changed the life or a version.
-func (o *Origins) Take(now time.Time, x Origin) bool {
+// Apply applies an update if it is accepted, and reports whether it changed the life or a version.
+func (o *Origins) Apply(now time.Time, x Update) bool {
 	x = o.Complete(x)
 	if !o.Accepts(now, x) {
 		return false
@@ -115,8 +115,8 @@
 	return changed
 }
 
-// Fresh returns the number of voters whose last contact is at most a duration ago.
-func (o *Origins) Fresh(now time.Time, within time.Duration) int {
+// CountFresh returns the number of voters whose last contact is at most a duration ago.
+func (o *Origins) CountFresh(now time.Time, within time.Duration) int {
 	fresh := 0
 	for _, s := range o.byVoter {
 		if now.Sub(s.contact) <= within {
@@ -132,20 +132,20 @@
 // Forget removes a process that is no longer a voter.
 func (o *Origins) Forget(voter string) { delete(o.byVoter, voter) }
 
-// After returns the updates, without notices, for a balancer that holds the given state, and
+// UpdatesSince returns the updates, without notices, for a balancer that holds the given state, and
 // whether any of them is a change. State of a voter that is newer there than here is no change;
 // otherwise that balancer would poll again at once in an endless loop.
-func (o *Origins) After(now time.Time, known []Known) ([]Origin, bool) {
+func (o *Origins) UpdatesSince(now time.Time, known []Known) ([]Update, bool) {
 	held := make(map[string]Known, len(known))
 	for _, k := range known {
 		held[k.Voter] = k
 	}
 	changed := false
-	out := make([]Origin, 0, len(o.byVoter))
+	out := make([]Update, 0, len(o.byVoter))
 	for _, voter := range slices.Sorted(maps.Keys(o.byVoter)) {
 		s := o.byVoter[voter]
 		k, found := held[voter]
-		x := Origin{Known: s.known(now, voter), Zone: s.zone}
+		x := Update{Known: s.known(now, voter), Zone: s.zone}
 		if s.ahead(x.Known, k, found) {
 			changed = true
 		} else {
@@ -172,7 +172,7 @@
 	}
 }
 
-func aged(subjects []word.Doubt, elapsed time.Duration) []word.Doubt {
+func aged(subjects []evidence.Suspicion, elapsed time.Duration) []evidence.Suspicion {
 	out := slices.Clone(subjects)
 	for i := range out {
 		out[i].Age += elapsed
--- a/internal/fanout/origins/origins_test.go
+++ b/internal/fanout/origins/origins_test.go
@@ -8,13 +8,13 @@
 	"pgregory.net/rapid"
 
 	"wasabideal/internal/fanout/origins"
-	"wasabideal/internal/silence/word"
+	"wasabideal/internal/silence/evidence"
 )
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func update(life, version uint64, age time.Duration) origins.Origin {
-	return origins.Origin{Known: origins.Known{Voter: "v1", Life: life, Version: version, Age: age}}
+func update(life, version uint64, age time.Duration) origins.Update {
+	return origins.Update{Known: origins.Known{Voter: "v1", Life: life, Version: version, Age: age}}
 }
 
 // Guards against new flows to an upstream that has left. A balancer changes to a parent with an
@@ -22,50 +22,50 @@
 // newest.
 func TestOlderVersionIsRejected(t *testing.T) {
 	o := origins.New()
-	require.True(t, o.Take(epoch, update(1, 7, 0)))
+	require.True(t, o.Apply(epoch, update(1, 7, 0)))
 	require.False(t, o.Accepts(epoch, update(1, 6, 0)))
-	require.False(t, o.Take(epoch, update(1, 6, 0)))
-	require.Equal(t, uint64(7), o.Of(epoch, "v1").Version)
-	require.False(t, o.Take(epoch, update(1, 7, 0)), "the same version is no change")
+	require.False(t, o.Apply(epoch, update(1, 6, 0)))
+	require.Equal(t, uint64(7), o.State(epoch, "v1").Version)
+	require.False(t, o.Apply(epoch, update(1, 7, 0)), "the same version is no change")
 }
 
 // Guards against balancers that detect a voter's restart twice and keep removed upstreams. After a
 // restart, a slow parent still relays updates of the earlier life, and lives have no order.
 func TestEarlierLifeIsRejected(t *testing.T) {
 	o := origins.New()
-	o.Take(epoch, update(1, 7, 0))
+	o.Apply(epoch, update(1, 7, 0))
 	later := epoch.Add(time.Second)
-	require.True(t, o.Take(later, update(2, 1, 0)))
-	require.False(t, o.Take(later, update(1, 8, 500*time.Millisecond)))
-	require.Equal(t, uint64(2), o.Of(later, "v1").Life)
+	require.True(t, o.Apply(later, update(2, 1, 0)))
+	require.False(t, o.Apply(later, update(1, 8, 500*time.Millisecond)))
+	require.Equal(t, uint64(2), o.State(later, "v1").Life)
 }
 
 func TestAgesAccumulateOverRelays(t *testing.T) {
 	first, second := origins.New(), origins.New()
-	first.Take(epoch, update(1, 1, 0))
-	relayed, changed := first.After(epoch.Add(time.Second), nil)
+	first.Apply(epoch, update(1, 1, 0))
+	relayed, changed := first.UpdatesSince(epoch.Add(time.Second), nil)
 	require.True(t, changed)
-	second.Take(epoch.Add(time.Second), relayed[0])
-	require.Equal(t, 3*time.Second, second.Of(epoch.Add(3*time.Second), "v1").Age)
-	require.Equal(t, 1, second.Fresh(epoch.Add(3*time.Second), 3*time.Second))
-	require.Zero(t, second.Fresh(epoch.Add(3*time.Second), 2*time.Second))
+	second.Apply(epoch.Add(time.Second), relayed[0])
+	require.Equal(t, 3*time.Second, second.State(epoch.Add(3*time.Second), "v1").Age)
+	require.Equal(t, 1, second.CountFresh(epoch.Add(3*time.Second), 3*time.Second))
+	require.Zero(t, second.CountFresh(epoch.Add(3*time.Second), 2*time.Second))
 }
 
 // Guards against a balancer that polls its parent thousands of times a second. It holds newer state
 // of a voter than its parent, and every difference counted as a change.
 func TestNewerRemoteStateIsNoChange(t *testing.T) {
 	o := origins.New()
-	o.Take(epoch, update(1, 7, 0))
+	o.Apply(epoch, update(1, 7, 0))
 	known := []origins.Known{{Voter: "v1", Life: 1, Version: 8}}
-	relayed, changed := o.After(epoch, known)
+	relayed, changed := o.UpdatesSince(epoch, known)
 	require.False(t, changed)
 	require.Len(t, relayed, 1, "its age is sent nevertheless")
 	require.Zero(t, relayed[0].Life)
 	known[0].Version = 6
-	_, changed = o.After(epoch, known)
+	_, changed = o.UpdatesSince(epoch, known)
 	require.True(t, changed)
 	known[0] = origins.Known{Voter: "v1", Life: 2, Age: 0}
-	_, changed = o.After(epoch.Add(time.Second), known)
+	_, changed = o.UpdatesSince(epoch.Add(time.Second), known)
 	require.False(t, changed, "another life with a later contact")
 }
 
@@ -73,23 +73,23 @@
 	o := origins.New()
 	x := update(1, 1, 0)
 	x.Doubts, x.Doubted = 3, true
-	x.Subjects = []word.Doubt{{Subject: word.Subject{Incarnation: 5}, Age: 100 * time.Millisecond}}
-	o.Take(epoch, x)
-	relayed, _ := o.After(epoch.Add(50*time.Millisecond), []origins.Known{{Voter: "v1", Life: 1, Version: 1, Doubts: 2}})
+	x.Subjects = []evidence.Suspicion{{Subject: evidence.Subject{Incarnation: 5}, Age: 100 * time.Millisecond}}
+	o.Apply(epoch, x)
+	relayed, _ := o.UpdatesSince(epoch.Add(50*time.Millisecond), []origins.Known{{Voter: "v1", Life: 1, Version: 1, Doubts: 2}})
 	require.True(t, relayed[0].Doubted)
 	require.Equal(t, 150*time.Millisecond, relayed[0].Subjects[0].Age)
 	x.Doubts, x.Subjects = 4, nil
-	o.Take(epoch, x)
-	relayed, changed := o.After(epoch, []origins.Known{{Voter: "v1", Life: 1, Version: 1, Doubts: 3}})
+	o.Apply(epoch, x)
+	relayed, changed := o.UpdatesSince(epoch, []origins.Known{{Voter: "v1", Life: 1, Version: 1, Doubts: 3}})
 	require.True(t, changed)
 	require.True(t, relayed[0].Doubted, "the end of all doubts is sent once")
-	x.Doubts, x.Subjects = 5, []word.Doubt{{Subject: word.Subject{Incarnation: 6}}}
-	o.Take(epoch, x)
-	relayed, _ = o.After(epoch, []origins.Known{{Voter: "v1", Life: 1, Version: 1, Doubts: 4}})
+	x.Doubts, x.Subjects = 5, []evidence.Suspicion{{Subject: evidence.Subject{Incarnation: 6}}}
+	o.Apply(epoch, x)
+	relayed, _ = o.UpdatesSince(epoch, []origins.Known{{Voter: "v1", Life: 1, Version: 1, Doubts: 4}})
 	require.Len(t, relayed[0].Subjects, 1)
-	relayed, _ = o.After(epoch, []origins.Known{{Voter: "v1", Life: 1, Version: 1, Doubts: 5}})
+	relayed, _ = o.UpdatesSince(epoch, []origins.Known{{Voter: "v1", Life: 1, Version: 1, Doubts: 5}})
 	require.False(t, relayed[0].Doubted, "unchanged doubts are not sent again")
-	relayed, _ = o.After(epoch, []origins.Known{{Voter: "v1", Life: 1, Version: 1, Doubts: 5}})
+	relayed, _ = o.UpdatesSince(epoch, []origins.Known{{Voter: "v1", Life: 1, Version: 1, Doubts: 5}})
 	require.False(t, relayed[0].Doubted)
 }
 
@@ -118,16 +118,16 @@
 				lives[life] = len(lives)
 			case 2:
 				sentAt[[2]uint64{life, version}] = now
-				all[i].Take(now, origins.Origin{Known: origins.Known{Voter: "v1", Life: life, Version: version}})
+				all[i].Apply(now, origins.Update{Known: origins.Known{Voter: "v1", Life: life, Version: version}})
 			case 3:
-				relayed, _ := all[i].After(now, all[j].Known(now))
+				relayed, _ := all[i].UpdatesSince(now, all[j].Known(now))
 				for _, x := range relayed {
 					x.Age += time.Millisecond
-					all[j].Take(now, x)
+					all[j].Apply(now, x)
 				}
 			}
 			for n, o := range all {
-				k := o.Of(now, "v1")
+				k := o.State(now, "v1")
 				if k.Life == 0 {
 					continue
 				}
@@ -148,15 +148,15 @@
 	parent, child := origins.New(), origins.New()
 	for s := range 5 {
 		now := epoch.Add(time.Duration(s) * time.Second)
-		parent.Take(now, update(1, 7, 0))
-		relayed, changed := parent.After(now, child.Known(now))
+		parent.Apply(now, update(1, 7, 0))
+		relayed, changed := parent.UpdatesSince(now, child.Known(now))
 		require.Equal(t, s == 0, changed)
 		for _, x := range relayed {
-			require.Equal(t, s == 0, child.Take(now, x))
+			require.Equal(t, s == 0, child.Apply(now, x))
 		}
-		require.Zero(t, child.Of(now, "v1").Age)
-		require.Equal(t, uint64(7), child.Of(now, "v1").Version)
+		require.Zero(t, child.State(now, "v1").Age)
+		require.Equal(t, uint64(7), child.State(now, "v1").Version)
 	}
-	relayed, _ := parent.After(epoch, child.Known(epoch))
-	require.False(t, origins.New().Take(epoch, relayed[0]), "an update without a life is ignored if the voter is unknown")
+	relayed, _ := parent.UpdatesSince(epoch, child.Known(epoch))
+	require.False(t, origins.New().Apply(epoch, relayed[0]), "an update without a life is ignored if the voter is unknown")
 }
--- a/internal/fanout/pacing/pacing.go
+++ b/internal/fanout/pacing/pacing.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// Pacing holds when updates were last sent and when the next are due. The zero value is ready for
+// Pacer holds when updates were last sent and when the next are due. The zero value is ready for
 // use; it is not safe for concurrent use.
-type Pacing struct{ lastSent, due time.Time }
+type Pacer struct{ lastSent, due time.Time }
 
-// News schedules an update, at the earliest a pause after the last send. It returns when to call
+// Schedule schedules an update, at the earliest a pause after the last send. It returns when to call
 // Told, and false if that call is already scheduled.
-func (p *Pacing) News(now time.Time, pause time.Duration) (time.Time, bool) {
+func (p *Pacer) Schedule(now time.Time, pause time.Duration) (time.Time, bool) {
 	if !p.due.IsZero() {
 		return p.due, false
 	}
@@ -20,7 +20,7 @@
 }
 
 // Pending reports whether updates are scheduled.
-func (p *Pacing) Pending() bool { return !p.due.IsZero() }
+func (p *Pacer) Pending() bool { return !p.due.IsZero() }
 
-// Told records that all updates are sent now.
-func (p *Pacing) Told(now time.Time) { p.lastSent, p.due = now, time.Time{} }
+// Sent records that all updates are sent now.
+func (p *Pacer) Sent(now time.Time) { p.lastSent, p.due = now, time.Time{} }
--- a/internal/fanout/pacing/pacing_test.go
+++ b/internal/fanout/pacing/pacing_test.go
@@ -14,19 +14,19 @@
 func at(ms int) time.Time { return epoch.Add(time.Duration(ms) * time.Millisecond) }
 
 func TestFirstUpdateIsSentImmediately(t *testing.T) {
-	var p pacing.Pacing
-	due, schedule := p.News(epoch, 50*time.Millisecond)
+	var p pacing.Pacer
+	due, schedule := p.Schedule(epoch, 50*time.Millisecond)
 	require.True(t, schedule)
 	require.Equal(t, epoch, due)
 }
 
 // Guards against a burst of answers while hundreds of upstreams fail together.
 func TestBurstIsSentOncePerPause(t *testing.T) {
-	var p pacing.Pacing
+	var p pacing.Pacer
 	sends := 0
 	for ms := range 1000 {
-		if due, _ := p.News(at(ms), 50*time.Millisecond); !due.After(at(ms)) {
-			p.Told(at(ms))
+		if due, _ := p.Schedule(at(ms), 50*time.Millisecond); !due.After(at(ms)) {
+			p.Sent(at(ms))
 			sends++
 		}
 	}
@@ -34,13 +34,13 @@
 }
 
 func TestOneSendIsScheduledForAllUpdates(t *testing.T) {
-	var p pacing.Pacing
-	p.News(epoch, 50*time.Millisecond)
-	p.Told(epoch)
-	due, schedule := p.News(at(10), 50*time.Millisecond)
+	var p pacing.Pacer
+	p.Schedule(epoch, 50*time.Millisecond)
+	p.Sent(epoch)
+	due, schedule := p.Schedule(at(10), 50*time.Millisecond)
 	require.True(t, schedule)
 	require.Equal(t, at(50), due)
-	due, schedule = p.News(at(20), 50*time.Millisecond)
+	due, schedule = p.Schedule(at(20), 50*time.Millisecond)
 	require.False(t, schedule)
 	require.Equal(t, at(50), due)
 }
--- a/internal/fanout/relay/relay.go
+++ b/internal/fanout/relay/relay.go
@@ -31,8 +31,8 @@
 	answerInterval = 50 * time.Millisecond
 )
 
-// Question is a follower's poll.
-type Question struct {
+// Request is a follower's poll.
+type Request struct {
 	// From is the RPC address of the follower.
 	From string
 	// Hold is how long the poll may be held when there are no updates.
@@ -47,13 +47,13 @@
 	Evacuations uint64
 }
 
-// Answer contains what a follower lacks.
-type Answer struct {
+// Response contains what a follower lacks.
+type Response struct {
 	// Revision is the revision of the configuration in force here, or a newer announced one that
 	// this balancer has failed to get for some time.
 	Revision uint64
 	// Origins holds the state of the voters.
-	Origins []origins.Origin
+	Origins []origins.Update
 	// Voters holds the RPC addresses of all known voters.
 	Voters []string
 	// Fleet lists the balancers of the zone, nil if the follower has the current version.
@@ -80,17 +80,17 @@
 
 func (*LeavingError) Error() string { return "this balancer stops; follow another" }
 
-// Content is the source of the answers.
-type Content interface {
-	// News answers a poll, and reports whether the answer contains updates for the follower.
-	News(now time.Time, q Question) (Answer, bool)
-	// Leaving reports whether the balancer is shutting down.
-	Leaving() bool
+// Source is the source of the answers.
+type Source interface {
+	// Updates answers a poll, and reports whether the answer contains updates for the follower.
+	Updates(now time.Time, q Request) (Response, bool)
+	// ShuttingDown reports whether the balancer is shutting down.
+	ShuttingDown() bool
 }
 
 // Relay holds the polls of followers until there are updates. It is safe for concurrent use.
 type Relay struct {
-	content      Content
+	content      Source
 	clock        func() time.Time
 	maxFollowers int
 	mu           sync.Mutex
@@ -103,7 +103,7 @@
 }
 
 // New returns a relay that accepts at most maxFollowers followers.
-func New(c Content, clock func() time.Time, maxFollowers int) *Relay {
+func New(c Source, clock func() time.Time, maxFollowers int) *Relay {
 	return &Relay{
 		content: c, clock: clock, maxFollowers: maxFollowers, changed: make(chan struct{}), lastRequest: map[string]time.Time{},
 		lastUpdate: map[string]time.Time{},
@@ -116,31 +116,31 @@
 }
 
 // Since answers as soon as there are updates, or without any after the hold.
-func (r *Relay) Since(ctx context.Context, q Question) (Answer, error) {
+func (r *Relay) Since(ctx context.Context, q Request) (Response, error) {
 	received := r.clock()
 	if err := r.admit(received, q.From); err != nil {
-		return Answer{}, err
+		return Response{}, err
 	}
 	hold := time.NewTimer(q.Hold)
 	defer hold.Stop()
 	for {
 		changed := r.changes()
 		now := r.clock()
-		a, updated := r.content.News(now, q)
+		a, updated := r.content.Updates(now, q)
 		a.Held = now.Sub(received)
 		pause := r.answerDelay(now, q, a, updated)
 		if updated && pause <= 0 {
 			return a, nil
 		}
-		if r.content.Leaving() {
-			return Answer{}, &LeavingError{}
+		if r.content.ShuttingDown() {
+			return Response{}, &LeavingError{}
 		}
 		select {
 		case <-timerAfter(pause):
 		case <-changed:
 		case <-hold.C:
 			now = r.clock()
-			a, _ = r.content.News(now, q)
+			a, _ = r.content.Updates(now, q)
 			a.Held = now.Sub(received)
 			return a, nil
 		case <-ctx.Done():
@@ -150,7 +150,7 @@
 }
 
 // answerDelay returns how long an answer with updates must wait, 0 if it may be sent or has none.
-func (r *Relay) answerDelay(now time.Time, q Question, a Answer, updated bool) time.Duration {
+func (r *Relay) answerDelay(now time.Time, q Request, a Response, updated bool) time.Duration {
 	if !updated {
 		return 0
 	}
@@ -207,22 +207,22 @@
 	return r.changed
 }
 
-// NewNotices wakes the followers for upstream notices.
-func (r *Relay) NewNotices() {
+// NotifyNotices wakes the followers for upstream notices.
+func (r *Relay) NotifyNotices() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.wakeAt(r.lastWake.Add(noticeInterval))
 }
 
-// NewDoubts wakes the followers for changed suspicions.
-func (r *Relay) NewDoubts() {
+// NotifySuspicions wakes the followers for changed suspicions.
+func (r *Relay) NotifySuspicions() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.wakeAt(r.clock().Add(suspicionDelay))
 }
 
-// Wake wakes the followers immediately.
-func (r *Relay) Wake() {
+// NotifyNow wakes the followers immediately.
+func (r *Relay) NotifyNow() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.wake(r.clock())
--- a/internal/fanout/relay/relay_test.go
+++ b/internal/fanout/relay/relay_test.go
@@ -19,13 +19,13 @@
 	leaving  bool
 }
 
-func (c *content) News(_ time.Time, q relay.Question) (relay.Answer, bool) {
+func (c *content) Updates(_ time.Time, q relay.Request) (relay.Response, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return relay.Answer{Revision: c.revision}, c.revision > q.Revision
+	return relay.Response{Revision: c.revision}, c.revision > q.Revision
 }
 
-func (c *content) Leaving() bool {
+func (c *content) ShuttingDown() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.leaving
@@ -40,7 +40,7 @@
 func TestUpdatesAreAnsweredImmediately(t *testing.T) {
 	c := &content{revision: 7}
 	r := relay.New(c, time.Now, 4)
-	a, err := r.Since(t.Context(), relay.Question{From: "b1", Hold: time.Hour})
+	a, err := r.Since(t.Context(), relay.Request{From: "b1", Hold: time.Hour})
 	require.NoError(t, err)
 	require.Equal(t, uint64(7), a.Revision)
 }
@@ -50,16 +50,16 @@
 		name string
 		wake func(r *relay.Relay)
 	}{
-		{"a configuration", (*relay.Relay).Wake},
-		{"upstreams", (*relay.Relay).NewNotices},
-		{"suspicions", (*relay.Relay).NewDoubts},
+		{"a configuration", (*relay.Relay).NotifyNow},
+		{"upstreams", (*relay.Relay).NotifyNotices},
+		{"suspicions", (*relay.Relay).NotifySuspicions},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			x := &content{}
 			r := relay.New(x, time.Now, 4)
-			answers := make(chan relay.Answer)
+			answers := make(chan relay.Response)
 			go func() {
-				a, err := r.Since(context.Background(), relay.Question{From: "b1", Hold: time.Hour})
+				a, err := r.Since(context.Background(), relay.Request{From: "b1", Hold: time.Hour})
 				if err == nil {
 					answers <- a
 				}
@@ -77,7 +77,7 @@
 
 func TestPollEndsAfterHold(t *testing.T) {
 	r := relay.New(&content{}, time.Now, 4)
-	a, err := r.Since(t.Context(), relay.Question{From: "b1", Hold: 10 * time.Millisecond})
+	a, err := r.Since(t.Context(), relay.Request{From: "b1", Hold: 10 * time.Millisecond})
 	require.NoError(t, err)
 	require.GreaterOrEqual(t, a.Held, 10*time.Millisecond)
 }
@@ -87,14 +87,14 @@
 func TestFollowersAreBounded(t *testing.T) {
 	r := relay.New(&content{revision: 1}, time.Now, 4)
 	for i := range 4 {
-		_, err := r.Since(t.Context(), relay.Question{From: fmt.Sprint("b", i)})
+		_, err := r.Since(t.Context(), relay.Request{From: fmt.Sprint("b", i)})
 		require.NoError(t, err)
 	}
-	_, err := r.Since(t.Context(), relay.Question{From: "b9"})
+	_, err := r.Since(t.Context(), relay.Request{From: "b9"})
 	var full *relay.FullError
 	require.ErrorAs(t, err, &full)
 	require.Equal(t, 4, full.Followers)
-	_, err = r.Since(t.Context(), relay.Question{From: "b0"})
+	_, err = r.Since(t.Context(), relay.Request{From: "b0"})
 	require.NoError(t, err, "current followers are still answered")
 }
 
@@ -105,12 +105,12 @@
 	r := relay.New(c, time.Now, 4)
 	failed := make(chan error)
 	go func() {
-		_, err := r.Since(context.Background(), relay.Question{From: "b1", Hold: time.Hour})
+		_, err := r.Since(context.Background(), relay.Request{From: "b1", Hold: time.Hour})
 		failed <- err
 	}()
 	require.Eventually(t, func() bool { return r.Followers() == 1 }, 20*time.Second, time.Millisecond)
 	c.set(0, true)
-	r.Wake()
+	r.NotifyNow()
 	var leaving *relay.LeavingError
 	require.ErrorAs(t, <-failed, &leaving)
 }
@@ -118,7 +118,9 @@
 // updating has updates other than configurations.
 type updating struct{ content }
 
-func (*updating) News(time.Time, relay.Question) (relay.Answer, bool) { return relay.Answer{}, true }
+func (*updating) Updates(time.Time, relay.Request) (relay.Response, bool) {
+	return relay.Response{}, true
+}
 
 // Guards against a continuous exchange of polls and answers while hundreds of upstreams fail
 // together: each answer is followed by the next poll.
@@ -127,7 +129,7 @@
 	const answers, least = 5, 40 * time.Millisecond
 	started := time.Now()
 	for range answers {
-		_, err := r.Since(t.Context(), relay.Question{From: "b1", Hold: time.Hour})
+		_, err := r.Since(t.Context(), relay.Request{From: "b1", Hold: time.Hour})
 		require.NoError(t, err)
 	}
 	require.GreaterOrEqual(t, time.Since(started), (answers-1)*least)
--- a/internal/fanout/selection/fleet_test.go
+++ b/internal/fanout/selection/fleet_test.go
@@ -11,9 +11,9 @@
 	"github.com/fxamacker/cbor/v2"
 	"github.com/stretchr/testify/require"
 
-	"wasabideal/internal/fanout/census"
 	"wasabideal/internal/fanout/member"
 	"wasabideal/internal/fanout/members"
+	"wasabideal/internal/fanout/membership"
 	"wasabideal/internal/fanout/origins"
 	"wasabideal/internal/fanout/selection"
 	"wasabideal/internal/fanout/tree"
@@ -65,7 +65,7 @@
 	version   uint64
 	fleet     *members.Members
 	origins   *origins.Origins
-	census    *census.Census
+	census    *membership.Membership
 	followers *members.Members
 	selection *selection.Selection
 	watches   map[string]*modelWatch
@@ -82,7 +82,7 @@
 
 // model simulates a fleet in virtual time.
 type model struct {
-	virtual.Time
+	virtual.Clock
 	random    *rand.Rand
 	shape     tree.Shape
 	processes map[string]*process
@@ -100,7 +100,7 @@
 // newModelOf returns a model with the given number of voters.
 func newModelOf(seed uint64, zones, each, voters int) *model {
 	m := &model{
-		Time: virtual.Time{Now: epoch}, random: rand.New(rand.NewPCG(seed, 3)), shape: tree.Shape{Small: 8, Roots: 4, Fanout: 8},
+		Clock: virtual.Clock{Now: epoch}, random: rand.New(rand.NewPCG(seed, 3)), shape: tree.Shape{Small: 8, Roots: 4, Fanout: 8},
 		processes: map[string]*process{}, changed: []time.Time{epoch},
 	}
 	for i := range voters {
@@ -134,14 +134,14 @@
 	if p.voter {
 		return
 	}
-	p.origins, p.census, p.followers = origins.New(), census.New(), members.New()
+	p.origins, p.census, p.followers = origins.New(), membership.New(), members.New()
 	p.watches = map[string]*modelWatch{}
 	p.selection = selection.New(selection.Settings{
 		Self: p.name, Shape: m.shape, StaleAfter: knownWithin / 2, Jitter: m.random.Float64(),
 	}, m.Now)
 	m.every(p, tickEvery, func() { m.tick(p) })
-	m.every(p, members.AttendEvery, func() { m.reportFollowers(p) })
-	m.After(200*time.Millisecond, m.whileAlive(p, func() { m.reportFollowers(p) }))
+	m.every(p, members.ReportInterval, func() { m.reportFollowers(p) })
+	m.AfterFunc(200*time.Millisecond, m.whileAlive(p, func() { m.reportFollowers(p) }))
 }
 
 // whileAlive wraps a callback so that it runs only in the current life of a process, and is
@@ -161,18 +161,18 @@
 }
 
 func (m *model) every(p *process, pause time.Duration, do func()) {
-	m.After(pause, m.whileAlive(p, func() {
+	m.AfterFunc(pause, m.whileAlive(p, func() {
 		do()
 		m.every(p, pause, do)
 	}))
 }
 
-func (m *model) run(until time.Duration) { m.Run(epoch.Add(until)) }
+func (m *model) run(until time.Duration) { m.RunUntil(epoch.Add(until)) }
 
 func (m *model) pause(p *process, lasts time.Duration) {
 	p.pausedUntil = m.Now.Add(lasts)
 	p.disturbed = p.pausedUntil
-	m.After(lasts, func() {
+	m.AfterFunc(lasts, func() {
 		queued := p.queued
 		p.queued = nil
 		for _, do := range queued {
@@ -187,7 +187,7 @@
 	if !power {
 		lasts = 100 * time.Millisecond
 	}
-	m.After(lasts, func() {
+	m.AfterFunc(lasts, func() {
 		if p.poweredOff {
 			m.boot(p)
 		}
@@ -214,7 +214,7 @@
 		latency += 200 * time.Millisecond
 	}
 	start := to.starts
-	m.After(latency, func() {
+	m.AfterFunc(latency, func() {
 		if !m.reaches(from, to) || to.poweredOff || to.starts != start {
 			return
 		}
@@ -254,7 +254,7 @@
 		if !slices.Contains(wanted, name) {
 			w.stopped = true
 			delete(p.watches, name)
-			p.census.Drop(m.Now, name)
+			p.census.RemoveSource(m.Now, name)
 		}
 	}
 	for _, name := range wanted {
@@ -275,10 +275,10 @@
 	answered := false
 	known, sent := p.origins.Known(m.Now), m.Now
 	if w.target.voter {
-		known = []origins.Known{p.origins.Of(m.Now, w.target.name)}
+		known = []origins.Known{p.origins.State(m.Now, w.target.name)}
 	}
-	fleet := p.census.Of(w.target.name).Version
-	m.After(hold+grace, m.whileAlive(p, func() {
+	fleet := p.census.List(w.target.name).Version
+	m.AfterFunc(hold+grace, m.whileAlive(p, func() {
 		if !answered && !w.stopped {
 			answered = true
 			m.failed(p, w)
@@ -294,7 +294,7 @@
 			})
 			return
 		}
-		m.reply(w.target, p, known, fleet, hold, func(x []origins.Origin, l census.List, held time.Duration) {
+		m.reply(w.target, p, known, fleet, hold, func(x []origins.Update, l membership.List, held time.Duration) {
 			if !answered && !w.stopped {
 				answered = true
 				m.answered(p, w, x, l, max(m.Now.Sub(sent)-held, 0))
@@ -318,12 +318,12 @@
 }
 
 // reply answers immediately if there are updates, else after the hold.
-func (m *model) reply(s, to *process, known []origins.Known, fleet uint64, hold time.Duration, deliver func([]origins.Origin, census.List, time.Duration)) {
+func (m *model) reply(s, to *process, known []origins.Known, fleet uint64, hold time.Duration, deliver func([]origins.Update, membership.List, time.Duration)) {
 	received := m.Now
 	s.lastPoll[to.name] = m.Now
 	m.mostFollowers = max(m.mostFollowers, len(s.lastPoll))
 	if s.voter {
-		s.fleet.Hear(m.Now, members.Attendance{Member: member.Member{Zone: to.zone, Address: to.name}})
+		s.fleet.Refresh(m.Now, members.Heartbeat{Member: member.Member{Zone: to.zone, Address: to.name}})
 	}
 	done := false
 	answer := func(must bool) {
@@ -339,29 +339,29 @@
 	answer(false)
 	if !done {
 		s.waiting = append(s.waiting, func() { answer(false) })
-		m.After(hold, m.whileAlive(s, func() { answer(true) }))
+		m.AfterFunc(hold, m.whileAlive(s, func() { answer(true) }))
 	}
 }
 
 // updates returns the updates that a process has for a follower with the given state.
-func (m *model) updates(s *process, known []origins.Known) ([]origins.Origin, bool) {
+func (m *model) updates(s *process, known []origins.Known) ([]origins.Update, bool) {
 	if !s.voter {
-		return s.origins.After(m.Now, known)
+		return s.origins.UpdatesSince(m.Now, known)
 	}
-	x := origins.Origin{Known: origins.Known{Voter: s.name, Life: uint64(s.starts), Version: s.version}}
+	x := origins.Update{Known: origins.Known{Voter: s.name, Life: uint64(s.starts), Version: s.version}}
 	i := slices.IndexFunc(known, func(k origins.Known) bool { return k.Voter == s.name })
-	return []origins.Origin{x}, i < 0 || known[i].Life != x.Life || known[i].Version < x.Version
+	return []origins.Update{x}, i < 0 || known[i].Life != x.Life || known[i].Version < x.Version
 }
 
-func (m *model) fleetList(s, to *process, fleet uint64) census.List {
+func (m *model) fleetList(s, to *process, fleet uint64) membership.List {
 	if !s.voter {
-		l := census.List{Version: s.census.Version()}
+		l := membership.List{Version: s.census.Version()}
 		if fleet != l.Version {
 			l.Members = s.census.Members()
 		}
 		return l
 	}
-	l := census.List{Life: uint64(s.starts), Version: s.fleet.Version(to.zone)}
+	l := membership.List{Life: uint64(s.starts), Version: s.fleet.Version(to.zone)}
 	if fleet != l.Version {
 		l.Members = s.fleet.Zone(to.zone)
 	}
@@ -369,7 +369,7 @@
 }
 
 // answered applies an answer and polls again.
-func (m *model) answered(p *process, w *modelWatch, all []origins.Origin, l census.List, roundTrip time.Duration) {
+func (m *model) answered(p *process, w *modelWatch, all []origins.Update, l membership.List, roundTrip time.Duration) {
 	w.answers = true
 	updated, fresh := false, 0
 	for _, x := range all {
@@ -377,10 +377,10 @@
 		if x.Age <= knownWithin/2 {
 			fresh++
 		}
-		updated = p.origins.Take(m.Now, x) || updated
+		updated = p.origins.Apply(m.Now, x) || updated
 	}
 	if len(l.Members) > 0 {
-		p.census.Take(m.Now, w.target.name, l)
+		p.census.SetList(m.Now, w.target.name, l)
 		addresses := p.census.Addresses()
 		p.selection.UpdateZone(m.Now, addresses)
 	}
@@ -396,7 +396,7 @@
 		if !updated {
 			pause = 20 * time.Millisecond
 		}
-		m.After(pause, m.whileAlive(p, func() {
+		m.AfterFunc(pause, m.whileAlive(p, func() {
 			if !w.stopped {
 				m.poll(p, w)
 			}
@@ -407,7 +407,7 @@
 func (m *model) failed(p *process, w *modelWatch) {
 	w.answers = false
 	if w.target.voter {
-		m.After(voterRetryPause, m.whileAlive(p, func() {
+		m.AfterFunc(voterRetryPause, m.whileAlive(p, func() {
 			if !w.stopped {
 				m.poll(p, w)
 			}
@@ -416,7 +416,7 @@
 	}
 	w.stopped = true
 	delete(p.watches, w.target.name)
-	p.census.Drop(m.Now, w.target.name)
+	p.census.RemoveSource(m.Now, w.target.name)
 	p.selection.RecordFailure(m.Now, w.target.name)
 	m.reconcile(p)
 }
@@ -434,7 +434,7 @@
 		return
 	}
 	p.waking = true
-	m.After(max(m.updateInterval(p)-m.Now.Sub(p.woken), 0), func() {
+	m.AfterFunc(max(m.updateInterval(p)-m.Now.Sub(p.woken), 0), func() {
 		p.waking = false
 		if p.poweredOff {
 			return
@@ -450,10 +450,10 @@
 
 // reportFollowers reports a balancer's followers to its parent or the voters.
 func (m *model) reportFollowers(p *process) {
-	all := p.followers.Attendances(m.Now)
+	all := p.followers.Heartbeats(m.Now)
 	var up []*process
 	if parent := p.selection.Parent(); parent != "" {
-		all = append(all, members.Attendance{Member: member.Member{Zone: p.zone, Address: p.name}})
+		all = append(all, members.Heartbeat{Member: member.Member{Zone: p.zone, Address: p.name}})
 		up = append(up, m.processes[parent])
 	} else {
 		for _, w := range p.watches {
@@ -472,7 +472,7 @@
 				into = t.fleet
 			}
 			for _, a := range all {
-				into.Hear(m.Now, a)
+				into.Refresh(m.Now, a)
 			}
 		})
 	}
@@ -487,7 +487,7 @@
 		m.wake(v)
 	}
 	published := m.Now
-	m.After(knownWithin, func() { m.check(version, published) })
+	m.AfterFunc(knownWithin, func() { m.check(version, published) })
 }
 
 // check records the undisturbed balancers that do not have a version in time.
@@ -567,7 +567,7 @@
 func (m *model) tenChangesASecond(t *testing.T) {
 	m.settle()
 	for n := range 100 {
-		m.After(time.Duration(n)*100*time.Millisecond, m.publishChange)
+		m.AfterFunc(time.Duration(n)*100*time.Millisecond, m.publishChange)
 	}
 	m.run(30 * time.Second)
 	require.Empty(t, m.late)
@@ -595,7 +595,7 @@
 		at, lasts := time.Duration(r.IntN(8000))*time.Millisecond, time.Duration(300+r.IntN(3000))*time.Millisecond
 		share, kind, zone := 0.02+0.3*r.Float64(), r.IntN(6), fmt.Sprint("z", r.IntN(5))
 		top := r.IntN(3) == 0
-		m.After(at, func() {
+		m.AfterFunc(at, func() {
 			for _, b := range m.balancers {
 				if b.poweredOff || r.Float64() > share || top && (b.zone != zone || b.selection.Level() != 0) {
 					continue
@@ -605,10 +605,10 @@
 		})
 	}
 	if r.IntN(2) == 0 {
-		m.After(time.Duration(r.IntN(8000))*time.Millisecond, func() {
+		m.AfterFunc(time.Duration(r.IntN(8000))*time.Millisecond, func() {
 			v := m.voters[r.IntN(len(m.voters))]
 			v.poweredOff = true
-			m.After(time.Duration(r.IntN(3000))*time.Millisecond, func() { m.boot(v) })
+			m.AfterFunc(time.Duration(r.IntN(3000))*time.Millisecond, func() { m.boot(v) })
 		})
 	}
 }
@@ -624,10 +624,10 @@
 		m.kill(b, true, lasts)
 	case 3:
 		b.partitioned = true
-		m.After(lasts, func() { b.partitioned = false })
+		m.AfterFunc(lasts, func() { b.partitioned = false })
 	case 4:
 		b.votersPartitioned = true
-		m.After(lasts, func() { b.votersPartitioned = false })
+		m.AfterFunc(lasts, func() { b.votersPartitioned = false })
 	case 5:
 		b.disturbed = m.Now
 		m.kill(b, false, 0)
@@ -652,7 +652,7 @@
 	m.loss = []float64{0, 0.01, 0.03}[r.IntN(3)]
 	m.injectFaults(r)
 	for n := range 30 {
-		m.After(time.Duration(n)*400*time.Millisecond, m.publishChange)
+		m.AfterFunc(time.Duration(n)*400*time.Millisecond, m.publishChange)
 	}
 	m.run(32 * time.Second)
 	m.requireNoCycles(t)
--- a/internal/fanout/selection/selection.go
+++ b/internal/fanout/selection/selection.go
@@ -108,7 +108,7 @@
 
 // UpdateZone sets the RPC addresses of the zone's balancers.
 func (s *Selection) UpdateZone(now time.Time, zone []string) {
-	s.place, s.placed = s.settings.Shape.Of(s.settings.Self, zone), true
+	s.place, s.placed = s.settings.Shape.PlaceOf(s.settings.Self, zone), true
 	if s.place.Level == 0 && s.parent != "" {
 		s.setParent(now, "", Root)
 	}
--- a/internal/fanout/selection/selection_test.go
+++ b/internal/fanout/selection/selection_test.go
@@ -34,7 +34,7 @@
 // firstLevelBalancer returns a balancer of a zone on level 1 of the tree.
 func firstLevelBalancer(t *testing.T, all []string) string {
 	for _, a := range all {
-		if shape.Of(a, all).Level == 1 {
+		if shape.PlaceOf(a, all).Level == 1 {
 			return a
 		}
 	}
@@ -50,7 +50,7 @@
 	s := selection.New(selection.Settings{Self: self, Shape: shape, StaleAfter: staleAfter}, epoch.Add(-time.Minute))
 	s.UpdateVoters(epoch, voters, voters)
 	s.UpdateZone(epoch, all)
-	return s, shape.Of(self, all).Candidates
+	return s, shape.PlaceOf(self, all).Candidates
 }
 
 // newFollowing returns a selection that follows its first candidate.
@@ -199,7 +199,7 @@
 	all := zone(20)
 	var self string
 	for _, a := range all {
-		if p := shape.Of(a, all); p.Level == 0 && len(p.Candidates) > 0 {
+		if p := shape.PlaceOf(a, all); p.Level == 0 && len(p.Candidates) > 0 {
 			self = a
 		}
 	}
@@ -252,7 +252,7 @@
 		s := selection.New(selection.Settings{Self: self, Shape: shape, StaleAfter: staleAfter, Jitter: jitter}, epoch.Add(-time.Minute))
 		s.UpdateVoters(epoch, 0, voters)
 		s.UpdateZone(epoch, all)
-		candidates := shape.Of(self, all).Candidates
+		candidates := shape.PlaceOf(self, all).Candidates
 		s.RecordAnswer(epoch, candidates[0], voters)
 		replacedAfter := time.Duration(0)
 		for now := staleAfter; replacedAfter == 0 && now < 10*bound; now += 10 * time.Millisecond {
--- a/internal/fanout/tree/tree.go
+++ b/internal/fanout/tree/tree.go
@@ -40,7 +40,7 @@
 
 // Of returns the place of a balancer among those of its zone. The list may omit the balancer
 // itself.
-func (s Shape) Of(self string, zone []string) Place {
+func (s Shape) PlaceOf(self string, zone []string) Place {
 	own := node{address: self, hash: xxhash.Sum64String(self)}
 	var before []node
 	for _, a := range zone {
@@ -50,14 +50,14 @@
 	}
 	slices.SortFunc(before, compareNodes)
 	level, from, until := s.level(len(before))
-	if level == 0 || !s.Grows(zone) {
+	if level == 0 || !s.MultiLevel(zone) {
 		return Place{Candidates: candidates(self, before)}
 	}
 	return Place{Level: level, Candidates: candidates(self, before[from:until], before[:from])}
 }
 
-// Grows reports whether the zone has more than one level.
-func (s Shape) Grows(zone []string) bool { return len(zone) > max(s.Small, s.Roots) }
+// MultiLevel reports whether the zone has more than one level.
+func (s Shape) MultiLevel(zone []string) bool { return len(zone) > max(s.Small, s.Roots) }
 
 // Levels returns the number of levels in a zone with the given number of balancers.
 func (s Shape) Levels(balancers int) int {
@@ -98,14 +98,14 @@
 	return out
 }
 
-// Top returns the balancers of a zone that follow the voters.
-func (s Shape) Top(zone []string) map[string]bool {
+// RootsOf returns the balancers of a zone that follow the voters.
+func (s Shape) RootsOf(zone []string) map[string]bool {
 	nodes := make([]node, len(zone))
 	for i, a := range zone {
 		nodes[i] = node{address: a, hash: xxhash.Sum64String(a)}
 	}
 	slices.SortFunc(nodes, compareNodes)
-	if s.Grows(zone) {
+	if s.MultiLevel(zone) {
 		nodes = nodes[:max(s.Roots, 1)]
 	}
 	top := map[string]bool{}
--- a/internal/fanout/tree/tree_test.go
+++ b/internal/fanout/tree/tree_test.go
@@ -33,21 +33,21 @@
 			all := zone(c.balancers)
 			levels := map[int]int{}
 			for _, a := range all {
-				levels[shape.Of(a, all).Level]++
+				levels[shape.PlaceOf(a, all).Level]++
 			}
 			require.Len(t, levels, c.levels)
 			require.Equal(t, c.levels, shape.Levels(c.balancers))
 			require.Equal(t, c.roots, levels[0])
-			require.Len(t, shape.Top(all), c.roots)
+			require.Len(t, shape.RootsOf(all), c.roots)
 		})
 	}
 }
 
 func TestTopIsLevelZero(t *testing.T) {
 	all := zone(40)
-	top := shape.Top(all)
+	top := shape.RootsOf(all)
 	for _, a := range all {
-		require.Equal(t, shape.Of(a, all).Level == 0, top[a])
+		require.Equal(t, shape.PlaceOf(a, all).Level == 0, top[a])
 	}
 }
 
@@ -56,7 +56,7 @@
 	all := zone(600)
 	followers := map[string]int{}
 	for _, a := range all {
-		if p := shape.Of(a, all); p.Level > 0 {
+		if p := shape.PlaceOf(a, all); p.Level > 0 {
 			followers[p.Candidates[0]]++
 		}
 	}
@@ -71,7 +71,7 @@
 	before, after := zone(100), zone(101)
 	moved := 0
 	for _, a := range before {
-		x, y := shape.Of(a, before), shape.Of(a, after)
+		x, y := shape.PlaceOf(a, before), shape.PlaceOf(a, after)
 		if x.Level > 0 && (y.Level == 0 || x.Candidates[0] != y.Candidates[0]) {
 			moved++
 		}
@@ -88,7 +88,7 @@
 		candidates := map[string][]string{}
 		for _, a := range all {
 			list := rapid.SliceOfDistinct(rapid.SampledFrom(all), rapid.ID).Draw(t, a)
-			candidates[a] = shape.Of(a, list).Candidates
+			candidates[a] = shape.PlaceOf(a, list).Candidates
 		}
 		seen := map[string]int{}
 		var visit func(a string) bool
@@ -119,7 +119,7 @@
 			all := zone(n)
 			b.ReportAllocs()
 			for b.Loop() {
-				shape.Of(all[n/2], all)
+				shape.PlaceOf(all[n/2], all)
 			}
 		})
 	}
--- a/internal/flow/ownership/ownership.go
+++ b/internal/flow/ownership/ownership.go
@@ -195,8 +195,8 @@
 // Members returns all members, ordered by name.
 func (o *Ownership) Members() []Member { return o.members }
 
-// Copies returns the indices of the slot's replicas, the owner first.
-func (o *Ownership) Copies(slot int) []uint16 {
+// Replicas returns the indices of the slot's replicas, the owner first.
+func (o *Ownership) Replicas(slot int) []uint16 {
 	r := &o.slots[slot]
 	return r.members[:r.replicas]
 }
@@ -215,13 +215,13 @@
 
 // IsOwner reports whether the local balancer owns the slot.
 func (o *Ownership) IsOwner(slot int) bool {
-	c := o.Copies(slot)
+	c := o.Replicas(slot)
 	return len(c) > 0 && o.IsSelf(c[0])
 }
 
 // IsReplica reports whether the local balancer is a replica of the slot.
 func (o *Ownership) IsReplica(slot int) bool {
-	return slices.ContainsFunc(o.Copies(slot), o.IsSelf)
+	return slices.ContainsFunc(o.Replicas(slot), o.IsSelf)
 }
 
 // ZoneShares returns the share of all flows that the members of each zone own. Callers must
@@ -231,7 +231,7 @@
 func (o *Ownership) countZoneShares() map[string]float64 {
 	shares := map[string]float64{}
 	for slot := range o.slots {
-		if c := o.Copies(slot); len(c) > 0 {
+		if c := o.Replicas(slot); len(c) > 0 {
 			shares[o.members[c[0]].Zone] += 1.0 / Slots
 		}
 	}
@@ -240,7 +240,7 @@
 
 // SameReplicas reports whether both rankings have the same incarnations of the same replicas.
 func (o *Ownership) SameReplicas(p *Ownership, slot int) bool {
-	a, b := o.Copies(slot), p.Copies(slot)
+	a, b := o.Replicas(slot), p.Replicas(slot)
 	if len(a) != len(b) {
 		return false
 	}
@@ -259,7 +259,7 @@
 func (o *Ownership) MustRepair(before *Ownership, slot int) bool {
 	for _, i := range o.LookupOrder(slot) {
 		m := o.members[i]
-		wasReplica := slices.ContainsFunc(before.Copies(slot), func(j uint16) bool {
+		wasReplica := slices.ContainsFunc(before.Replicas(slot), func(j uint16) bool {
 			n := before.members[j]
 			return n.Name == m.Name && n.Start == m.Start
 		})
--- a/internal/flow/router/configure.go
+++ b/internal/flow/router/configure.go
@@ -16,26 +16,26 @@
 // then dropped, because a member on the other side of the partition probably stores the flow.
 func (r *Router) SetIsolated(isolated bool) { r.isolated = isolated }
 
-// Joining is the stage of a balancer that joins its group.
-type Joining uint8
+// JoinStage is the stage of a balancer that joins its group.
+type JoinStage uint8
 
 // The stages of joining. Callers retransmit openings that are dropped meanwhile.
 const (
 	// Joined balancers open the flows that they own.
-	Joined Joining = iota
-	// Young balancers open them only in slots with another known replica.
-	Young
-	// Newborn balancers open no flow.
-	Newborn
+	Joined JoinStage = iota
+	// Provisional balancers open them only in slots with another known replica.
+	Provisional
+	// Discovering balancers open no flow.
+	Discovering
 )
 
 // SetJoining sets the stage of joining.
-func (r *Router) SetJoining(j Joining) { r.joining = j }
+func (r *Router) SetJoining(j JoinStage) { r.joining = j }
 
 // mayOpen reports whether flows of the slot may be opened here. It is false as long as this
 // balancer may not know the other members: they would not query it for these flows.
 func (r *Router) mayOpen(slot int) bool {
-	return r.joining == Joined || r.joining == Young && len(r.ownership.Copies(slot)) > 1
+	return r.joining == Joined || r.joining == Provisional && len(r.ownership.Replicas(slot)) > 1
 }
 
 // SetUnreachable sets the members that this balancer cannot reach, although others can. If an
@@ -91,15 +91,15 @@
 	return 6
 }
 
-// Pooled is an upstream that accepts new flows; Share is its weight, 1 for a warm upstream.
-type Pooled struct {
+// PoolMember is an upstream that accepts new flows; Share is its weight, 1 for a warm upstream.
+type PoolMember struct {
 	upstream.Identity
 	Zone  string
 	Share float64
 }
 
 // SetPool replaces the upstreams that accept new flows of a service.
-func (r *Router) SetPool(serviceName string, pool []Pooled) {
+func (r *Router) SetPool(serviceName string, pool []PoolMember) {
 	s := r.byHash[ServiceHash(serviceName)]
 	if s == nil {
 		return
@@ -115,8 +115,8 @@
 	r.plan(s)
 }
 
-// SetHolders sets the service that each announced address currently belongs to.
-func (r *Router) SetHolders(holders map[netip.AddrPort]string) { r.targets.setHolders(holders) }
+// SetAddressServices sets the service that each announced address currently belongs to.
+func (r *Router) SetAddressServices(holders map[netip.AddrPort]string) { r.targets.setHolders(holders) }
 
 func targetOf(id upstream.Identity) target {
 	return target{
--- a/internal/flow/router/relayed.go
+++ b/internal/flow/router/relayed.go
@@ -10,8 +10,8 @@
 	"wasabideal/internal/wire/relay"
 )
 
-// Relayed routes a packet that another balancer relayed.
-func (r *Router) Relayed(now time.Time, datagram []byte, out *effect.List) {
+// RouteRelayed routes a packet that another balancer relayed.
+func (r *Router) RouteRelayed(now time.Time, datagram []byte, out *effect.List) {
 	var h relay.Header
 	packet, err := relay.Decode(datagram, &h)
 	if err == nil {
@@ -24,11 +24,11 @@
 	hash := r.parser.Key.Hash()
 	slot := ownership.Slot(hash)
 	switch {
-	case h.Has(relay.HasEntry):
+	case h.HasFlag(relay.FlagHasEntry):
 		r.relayedEntry(now, &h, hash, slot, packet, out)
-	case h.Has(relay.Missed):
+	case h.HasFlag(relay.FlagNotFound):
 		r.relayedMiss(now, hash, slot, packet, out)
-	case h.Has(relay.Asking):
+	case h.HasFlag(relay.FlagLookup):
 		r.relayedLookup(now, &h, hash, slot, packet, out)
 	default:
 		r.relayedPacket(now, &h, hash, slot, packet, out)
@@ -107,10 +107,10 @@
 func (r *Router) relayedLookup(now time.Time, h *relay.Header, hash uint64, slot int, packet []byte, out *effect.List) {
 	e := r.table.Find(r.parser.Key, hash)
 	reopens := e != nil && r.parser.Opening && e.State == table.Closing
-	unconfirmed := e != nil && r.unconfirmed(e, slot, now) && !h.AtEnd()
-	if unconfirmed && !h.Has(relay.Doubted) {
+	unconfirmed := e != nil && r.unconfirmed(e, slot, now) && !h.PathEmpty()
+	if unconfirmed && !h.HasFlag(relay.FlagStale) {
 		// Another member may have a newer entry; otherwise this one is used.
-		h.Flags |= relay.Doubted
+		h.Flags |= relay.FlagStale
 		h.AddHop(r.settings.Address)
 	}
 	if e != nil && !reopens && !unconfirmed {
@@ -123,7 +123,7 @@
 		return
 	}
 	origin := h.Origin
-	h.Flags = relay.Missed
+	h.Flags = relay.FlagNotFound
 	r.send(h, origin, packet, out)
 }
 
@@ -138,7 +138,7 @@
 
 // isOwner reports whether the address is that of the slot's owner.
 func (r *Router) isOwner(slot int, a netip.AddrPort) bool {
-	c := r.ownership.Copies(slot)
+	c := r.ownership.Replicas(slot)
 	return len(c) > 0 && r.peerOf(c[0]) == a
 }
 
--- a/internal/flow/router/repair.go
+++ b/internal/flow/router/repair.go
@@ -141,7 +141,7 @@
 	if e.Version == r.versions[slot] && e.CopyPackets >= requiredCopyPackets {
 		return
 	}
-	for _, i := range r.ownership.Copies(slot) {
+	for _, i := range r.ownership.Replicas(slot) {
 		if r.ownership.IsSelf(i) {
 			continue
 		}
@@ -188,8 +188,8 @@
 	r.sendBatch(b, out)
 }
 
-// Batch stores the flows of another balancer's repair batch and acknowledges it.
-func (r *Router) Batch(now time.Time, from netip.AddrPort, datagram []byte, out *effect.List) {
+// HandleBatch stores the flows of another balancer's repair batch and acknowledges it.
+func (r *Router) HandleBatch(now time.Time, from netip.AddrPort, datagram []byte, out *effect.List) {
 	if len(datagram) < batchHeaderSize || (len(datagram)-batchHeaderSize)%recordSize != 0 {
 		r.Counters.Malformed++
 		return
@@ -206,8 +206,8 @@
 	out.Add(effect.Effect{Kind: effect.ToPeer, To: from, Data: ack})
 }
 
-// BatchAck handles the acknowledgement of a batch.
-func (r *Router) BatchAck(from netip.AddrPort, datagram []byte) {
+// HandleBatchAck handles the acknowledgement of a batch.
+func (r *Router) HandleBatchAck(from netip.AddrPort, datagram []byte) {
 	if len(datagram) != batchHeaderSize {
 		r.Counters.Malformed++
 		return
--- a/internal/flow/router/router.go
+++ b/internal/flow/router/router.go
@@ -81,7 +81,7 @@
 	changedAt      [ownership.Slots]uint32
 	expiryPosition int
 	isolated       bool
-	joining        Joining
+	joining        JoinStage
 
 	unreachable map[netip.AddrPort]bool
 	header      []byte
@@ -123,8 +123,8 @@
 
 func (r *Router) seconds(now time.Time) uint32 { return uint32(now.Sub(r.base) / time.Second) }
 
-// Packet routes a packet that this balancer received from the fabric.
-func (r *Router) Packet(now time.Time, packet []byte, out *effect.List) {
+// RoutePacket routes a packet that this balancer received from the fabric.
+func (r *Router) RoutePacket(now time.Time, packet []byte, out *effect.List) {
 	if err := r.parser.Parse(packet); err != nil {
 		r.Counters.Malformed++
 		return
@@ -187,7 +187,7 @@
 // firstReachable returns the first reachable replica, or false if it is this balancer or there
 // is none.
 func (r *Router) firstReachable(slot int) (netip.AddrPort, bool) {
-	for _, i := range r.ownership.Copies(slot) {
+	for _, i := range r.ownership.Replicas(slot) {
 		if r.ownership.IsSelf(i) {
 			return netip.AddrPort{}, false
 		}
@@ -208,7 +208,7 @@
 		r.open(now, hash, slot, packet, out)
 		return
 	}
-	h := relay.Header{Flags: relay.Asking, Origin: r.settings.Address}
+	h := relay.Header{Flags: relay.FlagLookup, Origin: r.settings.Address}
 	for _, i := range r.ownership.LookupOrder(slot) {
 		if !r.ownership.IsSelf(i) {
 			h.AddHop(r.ownership.Member(i).Address)
--- a/internal/flow/router/router_test.go
+++ b/internal/flow/router/router_test.go
@@ -33,10 +33,10 @@
 		Revision: 1, InForce: "ordinary", Presets: []configuration.Preset{{Name: "ordinary", SlotLimit: 2}},
 		Services: []configuration.Service{{Name: "orders", Protocol: configuration.TCP, Addresses: []netip.AddrPort{service}}},
 	})
-	var pool []router.Pooled
+	var pool []router.PoolMember
 	for i := range 15 {
 		a := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 2, 0, byte(i)}), 6080)
-		pool = append(pool, router.Pooled{Identity: upstream.Identity{Service: "orders", Address: a, Incarnation: 1}, Zone: fmt.Sprint("z", i%3), Share: 1})
+		pool = append(pool, router.PoolMember{Identity: upstream.Identity{Service: "orders", Address: a, Incarnation: 1}, Zone: fmt.Sprint("z", i%3), Share: 1})
 	}
 	r.SetPool("orders", pool)
 	var ms []ownership.Member
@@ -69,14 +69,14 @@
 			for _, syn := range []bool{true, false, false, false} {
 				for _, p := range packets(t, 100, syn) {
 					out.Reset()
-					r.Packet(settled, p, &out)
+					r.RoutePacket(settled, p, &out)
 				}
 			}
 			ps := packets(t, 100, false)
 			i := 0
 			require.Zero(t, testing.AllocsPerRun(1000, func() {
 				out.Reset()
-				r.Packet(settled, ps[i%len(ps)], &out)
+				r.RoutePacket(settled, ps[i%len(ps)], &out)
 				i++
 			}))
 		})
@@ -90,7 +90,7 @@
 		for _, s := range []bool{true, false, false} {
 			for _, p := range packets(b, flows, s) {
 				out.Reset()
-				r.Packet(settled, p, &out)
+				r.RoutePacket(settled, p, &out)
 			}
 		}
 	}
@@ -99,7 +99,7 @@
 	b.ResetTimer()
 	for i := range b.N {
 		out.Reset()
-		r.Packet(settled, ps[i%len(ps)], &out)
+		r.RoutePacket(settled, ps[i%len(ps)], &out)
 	}
 }
 
--- a/internal/flow/router/serve.go
+++ b/internal/flow/router/serve.go
@@ -27,11 +27,11 @@
 		r.toUpstream(e.Upstream, packet, out)
 		return
 	}
-	h := relay.Header{Flags: relay.HasEntry, State: uint8(e.State), Target: r.targets.at(e.Upstream), Origin: r.settings.Address}
+	h := relay.Header{Flags: relay.FlagHasEntry, State: uint8(e.State), Target: r.targets.at(e.Upstream), Origin: r.settings.Address}
 	if force != nil {
 		h.AddHop(*force)
 	}
-	for _, i := range r.ownership.Copies(slot) {
+	for _, i := range r.ownership.Replicas(slot) {
 		m := r.ownership.Member(i)
 		if r.ownership.IsSelf(i) || force != nil && m.Address == *force {
 			continue
@@ -58,7 +58,7 @@
 	if at-e.LastCopied > uint32(r.settings.IdleTimeout/time.Second)/4 {
 		e.CopyPackets = requiredCopyPackets - 1
 	}
-	confirmed := e.State == table.Opening && r.parser.Confirming
+	confirmed := e.State == table.Opening && r.parser.Acknowledges
 	if !r.parser.Opening && !r.parser.Closing && !confirmed && e.CopyPackets >= requiredCopyPackets {
 		return false
 	}
@@ -75,7 +75,7 @@
 	switch {
 	case r.parser.Closing:
 		r.table.SetState(e, table.Closing)
-	case e.State == table.Opening && (r.parser.Confirming || r.parser.Datagram && e.CopyPackets >= requiredCopyPackets):
+	case e.State == table.Opening && (r.parser.Acknowledges || r.parser.Datagram && e.CopyPackets >= requiredCopyPackets):
 		r.table.SetState(e, table.Established)
 	}
 }
@@ -103,7 +103,7 @@
 
 func (r *Router) send(h *relay.Header, to netip.AddrPort, packet []byte, out *effect.List) {
 	r.header = h.Append(r.header[:0])
-	out.Build(effect.ToPeer, to, r.header, packet)
+	out.AddCopy(effect.ToPeer, to, r.header, packet)
 }
 
 // toUpstream sends a packet to an upstream; no other function does. It drops packets for an
@@ -114,5 +114,5 @@
 		r.Counters.Foreign++
 		return
 	}
-	out.Build(effect.ToUpstream, t.AddrPort(), r.gue[:], packet)
+	out.AddCopy(effect.ToUpstream, t.AddrPort(), r.gue[:], packet)
 }
--- a/internal/log/outlet/outlet.go
+++ b/internal/log/asyncwriter/asyncwriter.go
@@ -1,4 +1,4 @@
-package outlet
+package asyncwriter
 
 import (
 	"bytes"
@@ -11,9 +11,9 @@
 // seconds of output at the highest rate at which the processes log.
 const maxPending = 256 << 10
 
-// Outlet is a writer that drops lines when its destination is too slow: with blocking
+// Writer is a writer that drops lines when its destination is too slow: with blocking
 // writes, a process would stop forwarding packets when nothing reads its log.
-type Outlet struct {
+type Writer struct {
 	destination io.Writer
 	mu          sync.Mutex
 	pending     []byte
@@ -24,14 +24,14 @@
 }
 
 // New returns an outlet and starts its writer goroutine, which Close stops.
-func New(destination io.Writer) *Outlet {
-	o := &Outlet{destination: destination, wake: make(chan struct{}, 1), done: make(chan struct{})}
+func New(destination io.Writer) *Writer {
+	o := &Writer{destination: destination, wake: make(chan struct{}, 1), done: make(chan struct{})}
 	go o.run()
 	return o
 }
 
 // Write queues or drops one line; it never fails and never blocks on the destination.
-func (o *Outlet) Write(line []byte) (int, error) {
+func (o *Writer) Write(line []byte) (int, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if len(o.pending)+len(line) > maxPending {
@@ -43,7 +43,7 @@
 	return len(line), nil
 }
 
-func (o *Outlet) signal() {
+func (o *Writer) signal() {
 	select {
 	case o.wake <- struct{}{}:
 	default:
@@ -51,7 +51,7 @@
 }
 
 // Close writes the pending lines and stops the writer goroutine.
-func (o *Outlet) Close() {
+func (o *Writer) Close() {
 	o.mu.Lock()
 	o.closed = true
 	o.mu.Unlock()
@@ -59,7 +59,7 @@
 	<-o.done
 }
 
-func (o *Outlet) run() {
+func (o *Writer) run() {
 	defer close(o.done)
 	for range o.wake {
 		lines, closed := o.take()
@@ -75,13 +75,13 @@
 }
 
 // addDropped counts lines that the destination did not accept.
-func (o *Outlet) addDropped(n int) {
+func (o *Writer) addDropped(n int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.dropped += n
 }
 
-func (o *Outlet) take() ([]byte, bool) {
+func (o *Writer) take() ([]byte, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	lines := o.pending
--- a/internal/log/outlet/outlet_test.go
+++ b/internal/log/asyncwriter/asyncwriter_test.go
@@ -1,4 +1,4 @@
-package outlet_test
+package asyncwriter_test
 
 import (
 	"bytes"
@@ -15,7 +15,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"wasabideal/internal/log/outlet"
+	"wasabideal/internal/log/asyncwriter"
 )
 
 // stuck is a log destination that blocks while its lock is held.
@@ -35,7 +35,7 @@
 func TestWriteDoesNotBlockOnStuckReader(t *testing.T) {
 	reader := &stuck{}
 	reader.mu.Lock()
-	o := outlet.New(reader)
+	o := asyncwriter.New(reader)
 	line := []byte(strings.Repeat("x", 999) + "\n")
 	const lines = 1000
 	written := make(chan struct{})
@@ -79,7 +79,7 @@
 func (closed) Write([]byte) (int, error) { return 0, io.ErrClosedPipe }
 
 func TestWriteDoesNotFailOnClosedPipe(t *testing.T) {
-	o := outlet.New(closed{})
+	o := asyncwriter.New(closed{})
 	for range 1000 {
 		_, err := o.Write(make([]byte, 1000))
 		require.NoError(t, err)
@@ -107,7 +107,7 @@
 func TestLoggingResumesAfterFullDisk(t *testing.T) {
 	f := &full{refused: make(chan struct{})}
 	f.refusing.Store(true)
-	o := outlet.New(f)
+	o := asyncwriter.New(f)
 	_, err := o.Write([]byte("lost\n"))
 	require.NoError(t, err)
 	<-f.refused
--- a/internal/log/followers/followers.go
+++ b/internal/log/followers/followers.go
@@ -85,8 +85,8 @@
 	f.balancers[l.Process] = b
 }
 
-// Tell writes a table of the balancers, ordered by zone and level.
-func (f *Followers) Tell(w io.Writer) error {
+// WriteTable writes a table of the balancers, ordered by zone and level.
+func (f *Followers) WriteTable(w io.Writer) error {
 	if len(f.balancers) == 0 {
 		return &EmptyError{}
 	}
--- a/internal/log/followers/followers_test.go
+++ b/internal/log/followers/followers_test.go
@@ -21,7 +21,7 @@
 	f := followers.New()
 	require.NoError(t, f.Read(log))
 	var b bytes.Buffer
-	require.NoError(t, f.Tell(&b))
+	require.NoError(t, f.WriteTable(&b))
 	const golden = "testdata/table.golden.txt"
 	if *update {
 		require.NoError(t, os.WriteFile(golden, b.Bytes(), 0o600))
@@ -35,5 +35,5 @@
 	f := followers.New()
 	require.NoError(t, f.Read(strings.NewReader("panic: not a log line\n{\"@message\":\"flow\"}\n")))
 	var empty *followers.EmptyError
-	require.ErrorAs(t, f.Tell(&bytes.Buffer{}), &empty)
+	require.ErrorAs(t, f.WriteTable(&bytes.Buffer{}), &empty)
 }
--- a/internal/log/pace/doc.go
+++ b/internal/log/ratelimit/doc.go
@@ -1,2 +1,2 @@
 // Package pace limits the rate of log lines of one kind.
-package pace
+package ratelimit
--- a/internal/log/pace/pace.go
+++ b/internal/log/ratelimit/ratelimit.go
@@ -1,12 +1,12 @@
-package pace
+package ratelimit
 
 import "time"
 
 // window is the time in which the limit applies.
 const window = time.Second
 
-// Pace allows a number of lines per second and counts the suppressed ones.
-type Pace struct {
+// Limiter allows a number of lines per second and counts the suppressed ones.
+type Limiter struct {
 	limit       int
 	windowStart time.Time
 	written     int
@@ -14,11 +14,11 @@
 }
 
 // New returns a Pace that allows limit lines per second.
-func New(limit int) *Pace { return &Pace{limit: limit} }
+func New(limit int) *Limiter { return &Limiter{limit: limit} }
 
-// Take reports whether a line may be written now and, if so, how many were suppressed since
+// Allow reports whether a line may be written now and, if so, how many were suppressed since
 // the last one written.
-func (p *Pace) Take(now time.Time) (suppressed int, ok bool) {
+func (p *Limiter) Allow(now time.Time) (suppressed int, ok bool) {
 	if now.Sub(p.windowStart) >= window {
 		p.windowStart, p.written = now, 0
 	}
--- a/internal/log/pace/pace_test.go
+++ b/internal/log/ratelimit/ratelimit_test.go
@@ -1,4 +1,4 @@
-package pace_test
+package ratelimit_test
 
 import (
 	"testing"
@@ -6,20 +6,20 @@
 
 	"github.com/stretchr/testify/require"
 
-	"wasabideal/internal/log/pace"
+	"wasabideal/internal/log/ratelimit"
 )
 
 func TestSuppressedLinesAreCounted(t *testing.T) {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
-	p := pace.New(2)
+	p := ratelimit.New(2)
 	for i, allowed := range []bool{true, true, false, false} {
-		_, ok := p.Take(now.Add(time.Duration(i) * 100 * time.Millisecond))
+		_, ok := p.Allow(now.Add(time.Duration(i) * 100 * time.Millisecond))
 		require.Equal(t, allowed, ok)
 	}
-	suppressed, ok := p.Take(now.Add(time.Second))
+	suppressed, ok := p.Allow(now.Add(time.Second))
 	require.True(t, ok)
 	require.Equal(t, 2, suppressed)
-	suppressed, ok = p.Take(now.Add(time.Second))
+	suppressed, ok = p.Allow(now.Add(time.Second))
 	require.True(t, ok)
 	require.Zero(t, suppressed)
 }
--- a/internal/log/story/causes.go
+++ b/internal/log/story/causes.go
@@ -11,7 +11,7 @@
 )
 
 // summarize explains the lines in sentences.
-func summarize(shown, matched []line, q Question) []string {
+func summarize(shown, matched []line, q Query) []string {
 	switch {
 	case q.Caller != "":
 		return summarizeFlow(shown, matched)
--- a/internal/log/story/story.go
+++ b/internal/log/story/story.go
@@ -18,8 +18,8 @@
 	maxLines = 200
 )
 
-// Question selects a flow, an upstream or a revision; exactly one field is set.
-type Question struct {
+// Query selects a flow, an upstream or a revision; exactly one field is set.
+type Query struct {
 	// Caller is the address and port of the caller, as in its own log or a packet capture.
 	Caller string
 	// Incarnation is the incarnation of an upstream, as in the log lines of flows.
@@ -29,29 +29,29 @@
 }
 
 // EmptyError reports that no line matches the question.
-type EmptyError struct{ Question Question }
+type EmptyError struct{ Question Query }
 
 func (e *EmptyError) Error() string {
 	return fmt.Sprintf("no line matches %+v; the lines may be in the log of another process, "+
 		"or among those that the lines 'decisions' only count", e.Question)
 }
 
-// Story holds the log lines of some processes, ordered by time.
-type Story struct{ lines []line }
+// Timeline holds the log lines of some processes, ordered by time.
+type Timeline struct{ lines []line }
 
 // Read returns the story with the lines of another log added.
-func (s Story) Read(name string, r io.Reader) (Story, error) {
+func (s Timeline) Read(name string, r io.Reader) (Timeline, error) {
 	more, err := readLines(name, r)
 	if err != nil {
 		return s, err
 	}
 	lines := slices.Concat(s.lines, more)
 	slices.SortStableFunc(lines, func(a, b line) int { return a.At.Compare(b.At) })
-	return Story{lines: lines}, nil
+	return Timeline{lines: lines}, nil
 }
 
-// Tell writes the relevant lines in order of time, and a summary.
-func (s Story) Tell(w io.Writer, q Question) error {
+// Write writes the relevant lines in order of time, and a summary.
+func (s Timeline) Write(w io.Writer, q Query) error {
 	matched := lo.Filter(s.lines, func(l line, _ int) bool { return q.matches(l) })
 	if len(matched) == 0 {
 		return &EmptyError{Question: q}
@@ -77,7 +77,7 @@
 }
 
 // matches reports whether a line is directly about the question.
-func (q Question) matches(l line) bool {
+func (q Query) matches(l line) bool {
 	switch {
 	case q.Caller != "":
 		return l.Message == messageFlow && l.Caller == q.Caller
@@ -89,7 +89,7 @@
 }
 
 // selectLines returns the matching lines and those that give their context.
-func (s Story) selectLines(matched []line, q Question) []line {
+func (s Timeline) selectLines(matched []line, q Query) []line {
 	from, to := matched[0].At.Add(-contextWindow), matched[len(matched)-1].At.Add(contextWindow)
 	processes, incarnations := map[string]bool{}, map[string]bool{}
 	for _, l := range matched {
@@ -127,7 +127,7 @@
 }
 
 // configurationsBefore returns for each process the line about the configuration in force at a time.
-func (s Story) configurationsBefore(at time.Time, processes map[string]bool) map[string]bool {
+func (s Timeline) configurationsBefore(at time.Time, processes map[string]bool) map[string]bool {
 	latest := map[string]string{}
 	for _, l := range s.lines {
 		if l.Message == messageInForce && processes[l.Process] && l.At.Before(at) {
--- a/internal/log/story/story_test.go
+++ b/internal/log/story/story_test.go
@@ -15,8 +15,8 @@
 
 var update = flag.Bool("update", false, "update the golden files")
 
-func readAll(t *testing.T) story.Story {
-	var s story.Story
+func readAll(t *testing.T) story.Timeline {
+	var s story.Timeline
 	for _, name := range []string{"balancer.log", "voter.log"} {
 		f, err := os.Open(filepath.Join("testdata", name))
 		require.NoError(t, err)
@@ -30,19 +30,19 @@
 func TestStories(t *testing.T) {
 	for _, c := range []struct {
 		name     string
-		question story.Question
+		question story.Query
 	}{
-		{"silent_upstream", story.Question{Caller: "100.64.0.1:40001"}},
-		{"upstream_that_left", story.Question{Caller: "100.64.0.2:40002"}},
-		{"no_route", story.Question{Caller: "100.64.0.3:40003"}},
-		{"overload", story.Question{Caller: "100.64.0.4:40004"}},
-		{"incarnation", story.Question{Incarnation: "b2"}},
-		{"revision", story.Question{Revision: 5}},
-		{"revision_not_accepted", story.Question{Revision: 4}},
+		{"silent_upstream", story.Query{Caller: "100.64.0.1:40001"}},
+		{"upstream_that_left", story.Query{Caller: "100.64.0.2:40002"}},
+		{"no_route", story.Query{Caller: "100.64.0.3:40003"}},
+		{"overload", story.Query{Caller: "100.64.0.4:40004"}},
+		{"incarnation", story.Query{Incarnation: "b2"}},
+		{"revision", story.Query{Revision: 5}},
+		{"revision_not_accepted", story.Query{Revision: 4}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var out bytes.Buffer
-			require.NoError(t, readAll(t).Tell(&out, c.question))
+			require.NoError(t, readAll(t).Write(&out, c.question))
 			golden := filepath.Join("testdata", c.name+".golden.txt")
 			if *update {
 				require.NoError(t, os.WriteFile(golden, out.Bytes(), 0o600))
@@ -56,8 +56,8 @@
 
 func TestUnknownIdsAndFilesWithoutLogLinesAreRejected(t *testing.T) {
 	var empty *story.EmptyError
-	require.ErrorAs(t, readAll(t).Tell(&bytes.Buffer{}, story.Question{Caller: "100.64.9.9:1"}), &empty)
+	require.ErrorAs(t, readAll(t).Write(&bytes.Buffer{}, story.Query{Caller: "100.64.9.9:1"}), &empty)
 	var none *story.NoLinesError
-	_, err := story.Story{}.Read("notes.txt", strings.NewReader("no lines\n{}\n"))
+	_, err := story.Timeline{}.Read("notes.txt", strings.NewReader("no lines\n{}\n"))
 	require.ErrorAs(t, err, &none)
 }
--- a/internal/member/registrar/registrar.go
+++ b/internal/member/registrar/registrar.go
@@ -4,7 +4,7 @@
 	"context"
 	"time"
 
-	"wasabideal/internal/control/keeper"
+	"wasabideal/internal/control/rostermanager"
 	"wasabideal/internal/control/voter"
 	"wasabideal/internal/wire/pool"
 )
@@ -18,12 +18,12 @@
 	voters   []string
 	interval time.Duration
 	pool     *pool.Pool
-	hello    func() keeper.Hello
+	hello    func() rostermanager.Report
 	leader   int
 }
 
 // New returns a Registrar; hello returns the content of the next heartbeat.
-func New(voters []string, interval time.Duration, p *pool.Pool, hello func() keeper.Hello) *Registrar {
+func New(voters []string, interval time.Duration, p *pool.Pool, hello func() rostermanager.Report) *Registrar {
 	return &Registrar{voters: voters, interval: interval, pool: p, hello: hello}
 }
 
@@ -48,7 +48,7 @@
 	for i := range r.voters {
 		candidate := (r.leader + i) % len(r.voters)
 		call, cancel := context.WithTimeout(ctx, callTimeout)
-		_, err := pool.Call[keeper.Hello, empty](call, r.pool, r.voters[candidate], voter.HelloMethod, h)
+		_, err := pool.Call[rostermanager.Report, empty](call, r.pool, r.voters[candidate], voter.HelloMethod, h)
 		cancel()
 		if err == nil {
 			r.leader = candidate
--- a/internal/member/busy/doc.go
+++ b/internal/member/repairstatus/doc.go
@@ -1,2 +1,2 @@
 // Package busy tracks which other balancers still create missing replicas of flows.
-package busy
+package repairstatus
--- a/internal/member/busy/busy.go
+++ b/internal/member/repairstatus/repairstatus.go
@@ -1,4 +1,4 @@
-package busy
+package repairstatus
 
 import (
 	"time"
@@ -31,16 +31,16 @@
 	return len(t.reported) > 0
 }
 
-// Load returns the payload that reports whether this balancer creates replicas.
-func (t *Tracker) Load(time.Time, int) []byte {
+// Payload returns the payload that reports whether this balancer creates replicas.
+func (t *Tracker) Payload(time.Time, int) []byte {
 	if t.repairing() {
 		return []byte{flagRepairing}
 	}
 	return nil
 }
 
-// Unload records the payload of another balancer.
-func (t *Tracker) Unload(now time.Time, from swim.Member, payload []byte) {
+// HandlePayload records the payload of another balancer.
+func (t *Tracker) HandlePayload(now time.Time, from swim.Member, payload []byte) {
 	if len(payload) == 1 && payload[0] == flagRepairing {
 		t.reported[from.Name] = now
 		return
--- a/internal/member/swim/message.go
+++ b/internal/member/swim/message.go
@@ -50,7 +50,7 @@
 	if m.Kind == kindPing || m.Kind == kindAck || m.Kind == kindSync {
 		space := min(datagramLimit-headerReserve, max(int(s.budget)-headerReserve, minPayloadBytes))
 		for _, r := range s.piggybacks {
-			payload := r.Load(now, space)
+			payload := r.Payload(now, space)
 			space -= len(payload)
 			m.Riders = append(m.Riders, payload)
 		}
@@ -85,7 +85,7 @@
 	}
 	for i, r := range s.piggybacks {
 		if i < len(m.Riders) {
-			r.Unload(now, m.From, m.Riders[i])
+			r.HandlePayload(now, m.From, m.Riders[i])
 		}
 	}
 	s.reply(now, from, m, out)
--- a/internal/member/swim/swim.go
+++ b/internal/member/swim/swim.go
@@ -17,10 +17,10 @@
 
 // Piggyback exchanges payloads of another package that are piggybacked on probes.
 type Piggyback interface {
-	// Load returns a payload of at most budget bytes.
-	Load(now time.Time, budget int) []byte
-	// Unload processes a payload sent by from; it ignores invalid payloads.
-	Unload(now time.Time, from Member, news []byte)
+	// Payload returns a payload of at most budget bytes.
+	Payload(now time.Time, budget int) []byte
+	// HandlePayload processes a payload sent by from; it ignores invalid payloads.
+	HandlePayload(now time.Time, from Member, news []byte)
 }
 
 // Settings configures a Swim. The durations must differ by at least one tick.
--- a/internal/model/evacuation/evacuation.go
+++ b/internal/model/evacuation/evacuation.go
@@ -50,17 +50,17 @@
 }
 
 // Of returns the latest order for a zone; its revision is 0 if there is none.
-func (e Evacuations) Of(name string) Zone {
+func (e Evacuations) Lookup(name string) Zone {
 	z, _ := lo.Find(e.Zones, func(z Zone) bool { return z.Name == name })
 	z.Name = name
 	return z
 }
 
 // Evacuated reports whether a zone is evacuated.
-func (e Evacuations) Evacuated(name string) bool { return e.Of(name).Evacuated }
+func (e Evacuations) Evacuated(name string) bool { return e.Lookup(name).Evacuated }
 
-// Names returns the names of the evacuated zones.
-func (e Evacuations) Names() []string {
+// EvacuatedZones returns the names of the evacuated zones.
+func (e Evacuations) EvacuatedZones() []string {
 	return lo.FilterMap(e.Zones, func(z Zone, _ int) (string, bool) { return z.Name, z.Evacuated })
 }
 
@@ -80,7 +80,7 @@
 	switch {
 	case name == "" || len(name) > maxNameBytes || strings.ContainsFunc(name, func(r rune) bool { return !unicode.IsGraphic(r) }):
 		return &InvalidError{Zone: name, Reason: fmt.Sprintf("a name has 1 to %d printable bytes", maxNameBytes)}
-	case e.Of(name).Revision == 0 && len(e.Zones) >= maxZones:
+	case e.Lookup(name).Revision == 0 && len(e.Zones) >= maxZones:
 		return &InvalidError{Zone: name, Reason: fmt.Sprintf("%d zones are remembered already", maxZones)}
 	}
 	return nil
--- a/internal/model/evacuation/evacuation_test.go
+++ b/internal/model/evacuation/evacuation_test.go
@@ -16,10 +16,10 @@
 	second := first.With(evacuation.Zone{Name: "a", Evacuated: true})
 	third := second.With(evacuation.Zone{Name: "b"})
 	require.Zero(t, e.Revision, "immutable")
-	require.Equal(t, []string{"b"}, first.Names())
-	require.Equal(t, []string{"a", "b"}, second.Names())
-	require.Equal(t, []string{"a"}, third.Names())
-	require.Equal(t, uint64(3), third.Of("b").Revision, "a restored zone keeps the revision of its restore")
+	require.Equal(t, []string{"b"}, first.EvacuatedZones())
+	require.Equal(t, []string{"a", "b"}, second.EvacuatedZones())
+	require.Equal(t, []string{"a"}, third.EvacuatedZones())
+	require.Equal(t, uint64(3), third.Lookup("b").Revision, "a restored zone keeps the revision of its restore")
 	require.False(t, third.Evacuated("c"))
 }
 
--- a/internal/model/roster/roster.go
+++ b/internal/model/roster/roster.go
@@ -45,8 +45,8 @@
 	return r
 }
 
-// Has reports whether the list contains that run of a balancer.
-func (r Roster) Has(m Member) bool { return contains(r.Members, m) }
+// Contains reports whether the list contains that run of a balancer.
+func (r Roster) Contains(m Member) bool { return contains(r.Members, m) }
 
 func contains(ms []Member, m Member) bool {
 	return slices.ContainsFunc(ms, func(o Member) bool { return o.Name == m.Name && o.Start == m.Start })
@@ -76,8 +76,8 @@
 	return ownership.Slot(key.Mix(xxhash.Sum64String(service + "\x00" + idempotencyKey)))
 }
 
-// Sets returns the sets of members that must each reach a majority.
-func (v View) Sets(slot int) [][]Member {
+// QuorumSets returns the sets of members that must each reach a majority.
+func (v View) QuorumSets(slot int) [][]Member {
 	sets := [][]Member{members(v.current, slot)}
 	if !v.Roster.Settled() {
 		sets = append(sets, members(v.previous, slot))
@@ -88,11 +88,11 @@
 // Current returns the members that store a slot's keys under the new list.
 func (v View) Current(slot int) []Member { return members(v.current, slot) }
 
-// Before returns the members that store them under the previous list, none if settled.
-func (v View) Before(slot int) []Member { return members(v.previous, slot) }
+// Previous returns the members that store them under the previous list, none if settled.
+func (v View) Previous(slot int) []Member { return members(v.previous, slot) }
 
 func members(o *ownership.Ownership, slot int) []Member {
-	indices := o.Copies(slot)
+	indices := o.Replicas(slot)
 	ms := make([]Member, 0, len(indices))
 	for _, i := range indices {
 		m := o.Member(i)
--- a/internal/operator/client/client.go
+++ b/internal/operator/client/client.go
@@ -76,11 +76,11 @@
 
 // Current returns the configuration that a voter confirms as the newest, or else the one with the
 // highest revision.
-func (c *Client) Current(ctx context.Context) (voter.Shown, error) {
-	var shown voter.Shown
+func (c *Client) Current(ctx context.Context) (voter.ConfigurationStatus, error) {
+	var shown voter.ConfigurationStatus
 	var last error
 	for _, address := range c.addresses {
-		s, err := call[empty, voter.Shown](ctx, address, c.token, voter.CurrentMethod, empty{})
+		s, err := call[empty, voter.ConfigurationStatus](ctx, address, c.token, voter.CurrentMethod, empty{})
 		if err != nil {
 			last = err
 			continue
@@ -150,8 +150,8 @@
 	return c.callFirst(ctx, voter.RemoveMethod, name)
 }
 
-// Forget declares that the last incarnation of a balancer has ended and its request keys are lost.
-func (c *Client) Forget(ctx context.Context, name string) error {
+// ForgetBalancer declares that the last incarnation of a balancer has ended and its request keys are lost.
+func (c *Client) ForgetBalancer(ctx context.Context, name string) error {
 	return c.callFirst(ctx, voter.ForgetMethod, name)
 }
 
--- a/internal/operator/document/document.go
+++ b/internal/operator/document/document.go
@@ -46,7 +46,7 @@
 	if err != nil {
 		return Document{}, err
 	}
-	s = defaults.Pass{}.Apply(s)
+	s = defaults.Defaults{}.Apply(s)
 	return Document{Settings: &s}, check.New(file).Check(s)
 }
 
--- a/internal/operator/exit/exit.go
+++ b/internal/operator/exit/exit.go
@@ -23,7 +23,7 @@
 )
 
 // Of returns the exit status for the error of a command.
-func Of(err error) Status {
+func StatusOf(err error) Status {
 	var (
 		conflict             *ledger.ConflictError
 		rejected             *ledger.InvalidError
--- a/internal/overload/admission/admission.go
+++ b/internal/overload/admission/admission.go
@@ -55,8 +55,8 @@
 	overloadHold = 3 * time.Second
 )
 
-// Demand describes a new flow.
-type Demand struct {
+// Flow describes a new flow.
+type Flow struct {
 	// Objective is the time within which its requests are to be answered. Flows without an
 	// objective, 0, are always admitted.
 	Objective time.Duration
@@ -83,9 +83,9 @@
 	overloadedUntil time.Time
 }
 
-// Answered records the duration of an answered request, and the number of requests in flight
+// Record records the duration of an answered request, and the number of requests in flight
 // when it was sent.
-func (a *Admission) Answered(now time.Time, took time.Duration, atSend int) {
+func (a *Admission) Record(now time.Time, took time.Duration, atSend int) {
 	a.responses[a.next] = response{at: now, took: took, atSend: atSend}
 	a.next = (a.next + 1) % maxResponses
 }
@@ -147,7 +147,7 @@
 }
 
 // Admitted reports whether the flow is admitted at the predicted response time.
-func (d Demand) Admitted(predicted time.Duration) bool {
+func (d Flow) Admitted(predicted time.Duration) bool {
 	if d.Objective <= 0 {
 		return true
 	}
--- a/internal/overload/admission/admission_test.go
+++ b/internal/overload/admission/admission_test.go
@@ -20,7 +20,7 @@
 func answered(n int, took time.Duration) *admission.Admission {
 	a := &admission.Admission{}
 	for range n {
-		a.Answered(epoch, took, usualInFlight)
+		a.Record(epoch, took, usualInFlight)
 	}
 	return a
 }
@@ -30,7 +30,7 @@
 	const flows = 1 << 10
 	n := 0
 	for i := range uint64(flows) {
-		if !(admission.Demand{Objective: objective, Urgent: urgent, Number: i << 6}).Admitted(a.ResponseTime(now, inFlight)) {
+		if !(admission.Flow{Objective: objective, Urgent: urgent, Number: i << 6}).Admitted(a.ResponseTime(now, inFlight)) {
 			n++
 		}
 	}
@@ -63,7 +63,7 @@
 	a := answered(20, time.Second)
 	require.Equal(t, 1.0, rejected(a, epoch.Add(149*time.Millisecond), 10, false))
 	require.Zero(t, rejected(a, epoch.Add(150*time.Millisecond), 10, false))
-	require.True(t, admission.Demand{}.Admitted(time.Hour), "flows without an objective are always admitted")
+	require.True(t, admission.Flow{}.Admitted(time.Hour), "flows without an objective are always admitted")
 }
 
 // Guards against a late reaction to bursts. Three times as many requests arrive within 0.1 s,
@@ -83,7 +83,7 @@
 func TestImmediateRefusalsDoNotHideOverload(t *testing.T) {
 	a := answered(14, 5*time.Millisecond)
 	for range 16 {
-		a.Answered(epoch, 130*time.Millisecond, 10)
+		a.Record(epoch, 130*time.Millisecond, 10)
 	}
 	require.Equal(t, 1.0, rejected(a, epoch, 10, false))
 }
@@ -91,7 +91,7 @@
 func TestSlowestQuarterIsIgnored(t *testing.T) {
 	a := answered(15, 25*time.Millisecond)
 	for range 5 {
-		a.Answered(epoch, time.Second, 10)
+		a.Record(epoch, time.Second, 10)
 	}
 	require.Equal(t, 25*time.Millisecond, a.ResponseTime(epoch, 10))
 }
--- a/internal/overload/backlog/backlog.go
+++ b/internal/overload/backlog/backlog.go
@@ -36,8 +36,8 @@
 	return true
 }
 
-// Turn removes and returns the openings that admits accepts, and those that expired.
-func (b *Backlog[K, T]) Turn(now time.Time, admits func(K) bool) (admitted, expired []T) {
+// Dispatch removes and returns the openings that admits accepts, and those that expired.
+func (b *Backlog[K, T]) Dispatch(now time.Time, admits func(K) bool) (admitted, expired []T) {
 	kept := b.items[:0]
 	for _, x := range b.items {
 		switch {
--- a/internal/overload/backlog/backlog_test.go
+++ b/internal/overload/backlog/backlog_test.go
@@ -24,16 +24,16 @@
 	require.True(t, b.Push(after(10), 2, "second"))
 	require.True(t, b.Push(after(20), 1, "copy"), "the same key is already queued")
 	require.False(t, b.Push(after(20), 3, "third"), "the queue is full")
-	admitted, expired := b.Turn(after(50), never)
+	admitted, expired := b.Dispatch(after(50), never)
 	require.Empty(t, admitted)
 	require.Empty(t, expired)
-	admitted, _ = b.Turn(after(60), func(key int) bool { return key == 1 })
+	admitted, _ = b.Dispatch(after(60), func(key int) bool { return key == 1 })
 	require.Equal(t, []string{"first"}, admitted)
-	_, expired = b.Turn(after(160), never)
+	_, expired = b.Dispatch(after(160), never)
 	require.Equal(t, []string{"second"}, expired)
 	require.Zero(t, b.Len())
 	b.Push(after(200), 4, "fourth")
-	admitted, expired = b.Turn(after(500), always)
+	admitted, expired = b.Dispatch(after(500), always)
 	require.Equal(t, []string{"fourth"}, admitted, "an opening that can be admitted is not expired")
 	require.Empty(t, expired)
 }
@@ -69,13 +69,13 @@
 		for now := 0; now < uploads*every+1000; now += 10 {
 			for key, end := range ends {
 				if now >= end {
-					link.Leave(key)
+					link.Remove(key)
 					delete(ends, key)
 					continue
 				}
-				link.Offer(after(now), uplink.Packet[int, string]{Flow: key, Sequence: uint32(now), Length: 1, Size: 0})
+				link.Enqueue(after(now), uplink.Packet[int, string]{Flow: key, Sequence: uint32(now), Length: 1, Size: 0})
 			}
-			_, expired := b.Turn(after(now), admit(now))
+			_, expired := b.Dispatch(after(now), admit(now))
 			n += len(expired)
 			for _, key := range at[now] {
 				if !admit(now)(key) && (!wait || !b.Push(after(now), key, key)) {
--- a/internal/overload/concurrency/concurrency.go
+++ b/internal/overload/concurrency/concurrency.go
@@ -50,16 +50,16 @@
 // series suffice.
 const shortAge = 0.1
 
-// Level is the moving average of a balancer's in-flight requests. The zero value is an
+// InFlightAverage is the moving average of a balancer's in-flight requests. The zero value is an
 // average of 0. It is not safe for concurrent use.
-type Level struct {
+type InFlightAverage struct {
 	mean    float64
 	updated time.Time
 }
 
-// Exceeds adds the current number to the average, and reports whether both the number and the
+// Update adds the current number to the average, and reports whether both the number and the
 // average have reached the limit.
-func (l *Level) Exceeds(now time.Time, inFlight, limit int) bool {
+func (l *InFlightAverage) Update(now time.Time, inFlight, limit int) bool {
 	age := now.Sub(l.updated).Seconds() / levelTimeConstant.Seconds()
 	weight := age - age*age/2
 	if age > shortAge {
--- a/internal/overload/concurrency/concurrency_test.go
+++ b/internal/overload/concurrency/concurrency_test.go
@@ -26,16 +26,16 @@
 
 func TestLevelIgnoresShortPeaks(t *testing.T) {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
-	var l concurrency.Level
-	require.False(t, l.Exceeds(now, 3, 10))
+	var l concurrency.InFlightAverage
+	require.False(t, l.Update(now, 3, 10))
 	for range 10 {
 		now = now.Add(10 * time.Millisecond)
-		require.False(t, l.Exceeds(now, 14, 10), "0.1 s")
+		require.False(t, l.Update(now, 14, 10), "0.1 s")
 	}
 	for range 70 {
 		now = now.Add(10 * time.Millisecond)
-		l.Exceeds(now, 14, 10)
+		l.Update(now, 14, 10)
 	}
-	require.True(t, l.Exceeds(now, 14, 10), "0.8 s")
-	require.False(t, l.Exceeds(now, 9, 10), "the current number is below the limit")
+	require.True(t, l.Update(now, 14, 10), "0.8 s")
+	require.False(t, l.Update(now, 9, 10), "the current number is below the limit")
 }
--- a/internal/overload/waiting/doc.go
+++ b/internal/overload/pending/doc.go
@@ -4,4 +4,4 @@
 // configuration and the upstreams, and callers' packets arrive meanwhile. The next
 // retransmission comes 0.4 to 1.6 s later, often after the caller has given up. Buffered
 // packets are routed as soon as a voter has answered.
-package waiting
+package pending
--- a/internal/overload/waiting/waiting.go
+++ b/internal/overload/pending/pending.go
@@ -1,4 +1,4 @@
-package waiting
+package pending
 
 import (
 	"slices"
@@ -19,18 +19,18 @@
 	since time.Time
 }
 
-// Waiting buffers the newest packet of each key. It is not safe for concurrent use.
-type Waiting[K comparable, T any] struct {
+// Buffer buffers the newest packet of each key. It is not safe for concurrent use.
+type Buffer[K comparable, T any] struct {
 	items map[K]item[T]
 	order []K
 }
 
 // New returns an empty buffer.
-func New[K comparable, T any]() *Waiting[K, T] { return &Waiting[K, T]{items: map[K]item[T]{}} }
+func New[K comparable, T any]() *Buffer[K, T] { return &Buffer[K, T]{items: map[K]item[T]{}} }
 
-// Keep buffers a packet that arrived at the given time and reports whether there was
+// Add buffers a packet that arrived at the given time and reports whether there was
 // space. A packet of the same key is replaced, and its arrival time is retained.
-func (w *Waiting[K, T]) Keep(now, arrived time.Time, key K, value T) bool {
+func (w *Buffer[K, T]) Add(now, arrived time.Time, key K, value T) bool {
 	old, known := w.items[key]
 	if !known && len(w.order) >= capacity {
 		w.expire(now)
@@ -46,9 +46,9 @@
 	return true
 }
 
-// Take empties the buffer and passes each packet that has not expired to place, with its
+// Drain empties the buffer and passes each packet that has not expired to place, with its
 // first arrival time and in the order of these times.
-func (w *Waiting[K, T]) Take(now time.Time, place func(arrived time.Time, value T)) {
+func (w *Buffer[K, T]) Drain(now time.Time, place func(arrived time.Time, value T)) {
 	w.expire(now)
 	order, items := w.order, w.items
 	w.order, w.items = nil, map[K]item[T]{}
@@ -58,7 +58,7 @@
 }
 
 // Remove drops the packet of a key, if there is one.
-func (w *Waiting[K, T]) Remove(key K) {
+func (w *Buffer[K, T]) Remove(key K) {
 	if _, known := w.items[key]; !known {
 		return
 	}
@@ -67,9 +67,9 @@
 }
 
 // Len returns the number of buffered packets.
-func (w *Waiting[K, T]) Len() int { return len(w.order) }
+func (w *Buffer[K, T]) Len() int { return len(w.order) }
 
-func (w *Waiting[K, T]) expire(now time.Time) {
+func (w *Buffer[K, T]) expire(now time.Time) {
 	kept := w.order[:0]
 	for _, k := range w.order {
 		if now.Sub(w.items[k].since) > maxAge {
--- a/internal/overload/response/response.go
+++ b/internal/overload/response/response.go
@@ -24,16 +24,16 @@
 	stackMeans = 64
 )
 
-// Response tracks the response time of one upstream as measured by this balancer. The
+// Tracker tracks the response time of one upstream as measured by this balancer. The
 // zero value has recorded no response.
-type Response struct {
+type Tracker struct {
 	mean     float64
 	at       time.Time
 	slowness float64
 }
 
-// Answered records the duration of an answered request.
-func (r *Response) Answered(now time.Time, took time.Duration) {
+// Record records the duration of an answered request.
+func (r *Tracker) Record(now time.Time, took time.Duration) {
 	if r.fresh(now) {
 		r.mean += smoothing * (took.Seconds() - r.mean)
 	} else {
@@ -42,20 +42,20 @@
 	r.at = now
 }
 
-func (r *Response) fresh(now time.Time) bool { return !r.at.IsZero() && now.Sub(r.at) < meanTTL }
+func (r *Tracker) fresh(now time.Time) bool { return !r.at.IsZero() && now.Sub(r.at) < meanTTL }
 
 // Slowness returns the ratio of the upstream's response time to the median of its
 // service, or 1 if the ratio is unknown or below slowThreshold.
-func (r *Response) Slowness() float64 { return max(r.slowness, 1) }
+func (r *Tracker) Slowness() float64 { return max(r.slowness, 1) }
 
 // Mean returns the moving average, and whether it is still valid.
-func (r *Response) Mean(now time.Time) (time.Duration, bool) {
+func (r *Tracker) Mean(now time.Time) (time.Duration, bool) {
 	return time.Duration(r.mean * float64(time.Second)), r.fresh(now)
 }
 
-// Compare updates the slowness of all upstreams of a service and returns their median
+// UpdateSlowness updates the slowness of all upstreams of a service and returns their median
 // response time, or 0 if none is known.
-func Compare(now time.Time, all []*Response) time.Duration {
+func UpdateSlowness(now time.Time, all []*Tracker) time.Duration {
 	var buffer [stackMeans]float64
 	means := buffer[:0]
 	for _, r := range all {
--- a/internal/overload/response/response_test.go
+++ b/internal/overload/response/response_test.go
@@ -12,20 +12,20 @@
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
 // upstreams returns upstreams with one recorded response each; 0 ms records none.
-func upstreams(milliseconds ...int) []*response.Response {
-	var all []*response.Response
+func upstreams(milliseconds ...int) []*response.Tracker {
+	var all []*response.Tracker
 	for _, ms := range milliseconds {
-		r := &response.Response{}
+		r := &response.Tracker{}
 		if ms > 0 {
-			r.Answered(epoch, time.Duration(ms)*time.Millisecond)
+			r.Record(epoch, time.Duration(ms)*time.Millisecond)
 		}
 		all = append(all, r)
 	}
 	return all
 }
 
-func slowness(all []*response.Response, now time.Time) []float64 {
-	response.Compare(now, all)
+func slowness(all []*response.Tracker, now time.Time) []float64 {
+	response.UpdateSlowness(now, all)
 	var out []float64
 	for _, r := range all {
 		out = append(out, r.Slowness())
@@ -55,13 +55,13 @@
 func TestMeanFollowsResponsesAndExpires(t *testing.T) {
 	all := upstreams(25, 150, 25)
 	for range 10 {
-		all[1].Answered(epoch, 25*time.Millisecond)
+		all[1].Record(epoch, 25*time.Millisecond)
 	}
 	require.Equal(t, []float64{1, 1, 1}, slowness(all, epoch))
 	all = upstreams(25, 150, 25)
 	later := epoch.Add(3 * time.Second)
 	require.Equal(t, []float64{1, 1, 1}, slowness(all, later), "the means have expired")
-	all[0].Answered(later, 25*time.Millisecond)
-	all[1].Answered(later, 25*time.Millisecond)
+	all[0].Record(later, 25*time.Millisecond)
+	all[1].Record(later, 25*time.Millisecond)
 	require.Equal(t, []float64{1, 1, 1}, slowness(all, later), "the first response after a pause starts a new mean")
 }
--- a/internal/overload/uplink/uplink.go
+++ b/internal/overload/uplink/uplink.go
@@ -67,8 +67,8 @@
 	Full
 )
 
-// Uplink admits and paces the uploads on one link. It is not safe for concurrent use.
-type Uplink[K comparable, T any] struct {
+// Pacer admits and paces the uploads on one link. It is not safe for concurrent use.
+type Pacer[K comparable, T any] struct {
 	bytesPerSecond float64
 	// others measures the bytes of packets that belong to no upload.
 	others      *meter.Meter
@@ -80,33 +80,33 @@
 }
 
 // New returns the Uplink of a link with the given bandwidth.
-func New[K comparable, T any](bytesPerSecond float64) *Uplink[K, T] {
-	return &Uplink[K, T]{bytesPerSecond: bytesPerSecond, others: meter.New(meterTimeConstant), uploads: map[K]time.Time{}}
+func New[K comparable, T any](bytesPerSecond float64) *Pacer[K, T] {
+	return &Pacer[K, T]{bytesPerSecond: bytesPerSecond, others: meter.New(meterTimeConstant), uploads: map[K]time.Time{}}
 }
 
-// Other records the bytes of a packet that belongs to no upload.
+// RecordOther records the bytes of a packet that belongs to no upload.
 //
 // Uploads use only the bandwidth that such packets leave. With a burst of requests of six
 // times the usual load, 40 % of the link, uploads at 95 % of it kept a standing queue:
 // callers retransmitted packets that were only queued, and 34,000 of 97,000 requests failed.
-func (u *Uplink[K, T]) Other(now time.Time, size int) { u.others.Add(now, float64(size)) }
+func (u *Pacer[K, T]) RecordOther(now time.Time, size int) { u.others.Add(now, float64(size)) }
 
-// Others returns the rate of packets that belong to no upload, in bytes per second.
-func (u *Uplink[K, T]) Others(now time.Time) float64 { return u.others.Rate(now) }
+// OtherRate returns the rate of packets that belong to no upload, in bytes per second.
+func (u *Pacer[K, T]) OtherRate(now time.Time) float64 { return u.others.Rate(now) }
 
 // free returns the bandwidth that other packets leave, in bytes per second.
-func (u *Uplink[K, T]) free(now time.Time) float64 {
+func (u *Pacer[K, T]) free(now time.Time) float64 {
 	return max(maxLinkShare*u.bytesPerSecond-u.others.Rate(now), minUploadShare*u.bytesPerSecond)
 }
 
-// Narrow reports whether uploads on a link of the given bandwidth need pacing.
-func Narrow(bytesPerSecond float64) bool {
+// NeedsPacing reports whether uploads on a link of the given bandwidth need pacing.
+func NeedsPacing(bytesPerSecond float64) bool {
 	return bytesPerSecond > 0 && window/bytesPerSecond > minPacedDelay.Seconds()
 }
 
 // Limit returns the maximum number of active uploads: as many as send a window each
 // within maxQueueDelay.
-func (u *Uplink[K, T]) Limit(now time.Time) int {
+func (u *Pacer[K, T]) Limit(now time.Time) int {
 	left := u.bytesPerSecond - u.others.Rate(now)
 	if left <= (1-maxOtherShare)*u.bytesPerSecond {
 		return 0
@@ -115,7 +115,7 @@
 }
 
 // Active returns the number of active uploads.
-func (u *Uplink[K, T]) Active(now time.Time) int {
+func (u *Pacer[K, T]) Active(now time.Time) int {
 	for k, seen := range u.uploads {
 		if now.Sub(seen) > inactivityTimeout {
 			delete(u.uploads, k)
@@ -125,7 +125,7 @@
 }
 
 // Admit reports whether an upload may start; an active one stays admitted.
-func (u *Uplink[K, T]) Admit(now time.Time, flow K) bool {
+func (u *Pacer[K, T]) Admit(now time.Time, flow K) bool {
 	if _, active := u.uploads[flow]; !active && u.Active(now) >= u.Limit(now) {
 		return false
 	}
@@ -133,11 +133,11 @@
 	return true
 }
 
-// Leave ends an upload.
-func (u *Uplink[K, T]) Leave(flow K) { delete(u.uploads, flow) }
+// Remove ends an upload.
+func (u *Pacer[K, T]) Remove(flow K) { delete(u.uploads, flow) }
 
-// Offer queues a packet of an upload, which may have been admitted by another balancer.
-func (u *Uplink[K, T]) Offer(now time.Time, p Packet[K, T]) Verdict {
+// Enqueue queues a packet of an upload, which may have been admitted by another balancer.
+func (u *Pacer[K, T]) Enqueue(now time.Time, p Packet[K, T]) Verdict {
 	u.uploads[p.Flow] = now
 	for _, q := range u.queue {
 		if q.Flow == p.Flow && q.Sequence == p.Sequence && q.Length == p.Length {
@@ -153,13 +153,13 @@
 }
 
 // rate returns the pacing rate of all uploads in bytes per second.
-func (u *Uplink[K, T]) rate(now time.Time) float64 {
+func (u *Pacer[K, T]) rate(now time.Time) float64 {
 	wanted := float64(max(u.Active(now), 1)) * window / pacingInterval.Seconds()
 	return min(wanted, u.free(now))
 }
 
-// Due removes and returns the next packet if it may be sent now.
-func (u *Uplink[K, T]) Due(now time.Time) (Packet[K, T], bool) {
+// Dequeue removes and returns the next packet if it may be sent now.
+func (u *Pacer[K, T]) Dequeue(now time.Time) (Packet[K, T], bool) {
 	if len(u.queue) == 0 {
 		return Packet[K, T]{}, false
 	}
@@ -178,9 +178,9 @@
 	return p, true
 }
 
-// Wait returns the time from a failed Due until the next packet may be sent, and false if
+// NextDelay returns the time from a failed Due until the next packet may be sent, and false if
 // the queue is empty.
-func (u *Uplink[K, T]) Wait(now time.Time) (time.Duration, bool) {
+func (u *Pacer[K, T]) NextDelay(now time.Time) (time.Duration, bool) {
 	if len(u.queue) == 0 {
 		return 0, false
 	}
--- a/internal/overload/uplink/uplink_test.go
+++ b/internal/overload/uplink/uplink_test.go
@@ -30,22 +30,22 @@
 // over a link of 1,000 Mbit/s when they were paced as on a narrow one, where pacing keeps
 // packets out of the link's own queue.
 func TestWideLinksAreNotPaced(t *testing.T) {
-	require.True(t, uplink.Narrow(narrow))
-	require.False(t, uplink.Narrow(500*narrow))
-	require.False(t, uplink.Narrow(0))
+	require.True(t, uplink.NeedsPacing(narrow))
+	require.False(t, uplink.NeedsPacing(500*narrow))
+	require.False(t, uplink.NeedsPacing(0))
 }
 
 // Guards against congestion by concurrent uploads. When three callers upload through one
 // link of 2 Mbit/s, their windows take longer than the retransmission timeout, and the
 // retransmitted packets fill the link: uploads took seconds, and short requests through the
 // same entry VM waited a quarter of a second.
-func TestThirdUploadIsTurnedAwayAtItsOpening(t *testing.T) {
+func TestThirdUploadIsRejected(t *testing.T) {
 	u := uplink.New[int, int](narrow)
 	require.True(t, u.Admit(epoch, 1))
 	require.True(t, u.Admit(epoch, 2))
 	require.False(t, u.Admit(epoch, 3))
 	require.True(t, u.Admit(epoch, 1), "an active upload stays admitted")
-	u.Leave(2)
+	u.Remove(2)
 	require.True(t, u.Admit(epoch, 3))
 	require.True(t, u.Admit(epoch.Add(time.Second), 4), "inactive uploads do not count")
 }
@@ -60,17 +60,17 @@
 		sent, flow, sequence := 0, 1, 0
 		const warm, measured = time.Second, 4 * time.Second
 		for now := epoch; now.Before(epoch.Add(warm + measured)); now = now.Add(time.Millisecond) {
-			u.Other(now, others/1000)
+			u.RecordOther(now, others/1000)
 			if now.Before(epoch.Add(warm)) {
 				continue
 			}
 			require.LessOrEqual(t, u.Limit(now), 2)
 			u.Admit(now, flow)
-			for u.Offer(now, packet(flow, sequence)) == uplink.Queued {
+			for u.Enqueue(now, packet(flow, sequence)) == uplink.Queued {
 				sequence++
 			}
 			for {
-				p, due := u.Due(now)
+				p, due := u.Dequeue(now)
 				if !due {
 					break
 				}
@@ -94,7 +94,7 @@
 	offer := func(now time.Time, flow int) {
 		next[flow]++
 		sent[[2]int{flow, next[flow]}] = now
-		require.Equal(t, uplink.Queued, u.Offer(now, packet(flow, next[flow])))
+		require.Equal(t, uplink.Queued, u.Enqueue(now, packet(flow, next[flow])))
 	}
 	for flow := range flows {
 		for range 16 {
@@ -103,7 +103,7 @@
 	}
 	for now := epoch; now.Before(epoch.Add(2 * time.Second)); now = now.Add(time.Millisecond) {
 		for {
-			p, due := u.Due(now)
+			p, due := u.Dequeue(now)
 			if !due {
 				break
 			}
@@ -118,7 +118,7 @@
 	return longest, retransmitted
 }
 
-func TestPacedUploadsAreNotRepeated(t *testing.T) {
+func TestPacedUploadsAreNotRetransmitted(t *testing.T) {
 	for flows := 1; flows <= 2; flows++ {
 		longest, retransmitted := replay(t, flows)
 		require.Zero(t, retransmitted, "%d uploads, longest wait %s", flows, longest)
@@ -127,12 +127,12 @@
 
 func TestRetransmissionOfQueuedPacketIsDropped(t *testing.T) {
 	u := uplink.New[int, int](narrow)
-	require.Equal(t, uplink.Queued, u.Offer(epoch, packet(1, 1)))
-	require.Equal(t, uplink.Duplicate, u.Offer(epoch, packet(1, 1)))
-	for n := 2; u.Offer(epoch, packet(1, n)) == uplink.Queued; n++ {
+	require.Equal(t, uplink.Queued, u.Enqueue(epoch, packet(1, 1)))
+	require.Equal(t, uplink.Duplicate, u.Enqueue(epoch, packet(1, 1)))
+	for n := 2; u.Enqueue(epoch, packet(1, n)) == uplink.Queued; n++ {
 		require.Less(t, n, 100, "the queue is bounded")
 	}
-	wait, queued := u.Wait(epoch)
+	wait, queued := u.NextDelay(epoch)
 	require.True(t, queued)
 	require.Positive(t, wait)
 }
--- a/internal/overload/urgency/urgency.go
+++ b/internal/overload/urgency/urgency.go
@@ -29,8 +29,8 @@
 // its feeds.
 type Urgency struct{ demands []demand }
 
-// Note records a new flow of a priority; 0 is the best one.
-func (u *Urgency) Note(now time.Time, priority int) {
+// Record records a new flow of a priority; 0 is the best one.
+func (u *Urgency) Record(now time.Time, priority int) {
 	i := slices.IndexFunc(u.demands, func(d demand) bool { return d.priority == priority })
 	if i < 0 {
 		i = len(u.demands)
--- a/internal/overload/urgency/urgency_test.go
+++ b/internal/overload/urgency/urgency_test.go
@@ -19,9 +19,9 @@
 	require.True(t, u.Urgent(now, 3), "no better priority is known")
 	for i := range 500 {
 		now = now.Add(10 * time.Millisecond)
-		u.Note(now, 1+i%2)
+		u.Record(now, 1+i%2)
 		if i%100 == 0 {
-			u.Note(now, 0)
+			u.Record(now, 0)
 		}
 	}
 	require.True(t, u.Urgent(now, 0))
@@ -29,7 +29,7 @@
 	require.False(t, u.Urgent(now, 2))
 	for range 500 {
 		now = now.Add(20 * time.Millisecond)
-		u.Note(now, 2)
+		u.Record(now, 2)
 	}
 	require.True(t, u.Urgent(now, 2), "the demand of better priorities has ended")
 }
--- a/internal/request/claimer/claimer.go
+++ b/internal/request/claimer/claimer.go
@@ -67,7 +67,7 @@
 	if len(v.Roster.Members) == 0 {
 		return Result{Outcome: Refused, Reason: "no roster of balancers has been committed yet"}
 	}
-	sets := v.Sets(roster.Slot(r.Service, r.Key))
+	sets := v.QuorumSets(roster.Slot(r.Service, r.Key))
 	votes := c.collectVotes(ctx, v.Roster.Epoch, sets, r)
 	granted := lo.PickBy(votes, func(_ string, x vote) bool { return x.err == nil && x.record.Attempt == r.Attempt })
 	if lo.EveryBy(sets, func(set []roster.Member) bool { return count(set, granted) >= roster.Majority(set) }) {
@@ -142,7 +142,7 @@
 }
 
 func (c *Claimer) members(r keys.Record) []roster.Member {
-	return lo.UniqBy(lo.Flatten(c.view().Sets(roster.Slot(r.Service, r.Key))), func(m roster.Member) string { return m.Name })
+	return lo.UniqBy(lo.Flatten(c.view().QuorumSets(roster.Slot(r.Service, r.Key))), func(m roster.Member) string { return m.Name })
 }
 
 // forEach calls f for all members in parallel, even if ctx was cancelled by the caller.
--- a/internal/request/claimer/claimer_test.go
+++ b/internal/request/claimer/claimer_test.go
@@ -12,8 +12,8 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"wasabideal/internal/control/keeper"
 	"wasabideal/internal/control/ledger"
+	"wasabideal/internal/control/rostermanager"
 	"wasabideal/internal/model/roster"
 	"wasabideal/internal/request/claimer"
 	"wasabideal/internal/request/keys"
@@ -32,7 +32,7 @@
 	random *rand.Rand
 	nodes  []*node
 	roster roster.Roster
-	keeper *keeper.Keeper
+	keeper *rostermanager.Manager
 	side   map[string]int
 	loss   float64
 	// sent counts the requests that were sent to an upstream, by key.
@@ -51,7 +51,7 @@
 func newGroup(seed uint64) *group {
 	g := &group{
 		now: epoch, random: rand.New(rand.NewPCG(seed, 1)), side: map[string]int{}, sent: map[string]int{},
-		keeper: keeper.New(keeper.Settings{Gather: time.Second, Silent: 5 * time.Second, Window: window}, epoch),
+		keeper: rostermanager.New(rostermanager.Settings{ChangeInterval: time.Second, Silent: 5 * time.Second, KeyRetention: window}, epoch),
 	}
 	for i := range 5 {
 		g.nodes = append(g.nodes, &node{member: roster.Member{
@@ -77,7 +77,7 @@
 	for end := g.now.Add(d); g.now.Before(end); g.now = g.now.Add(time.Second) {
 		for _, n := range g.nodes {
 			if n.running && g.side[n.member.Name] == 0 {
-				g.keeper.Hello(g.now, keeper.Hello{Member: n.member, Leaving: n.leaving, Moved: n.moved})
+				g.keeper.Record(g.now, rostermanager.Report{Member: n.member, Leaving: n.leaving, Moved: n.moved})
 			}
 		}
 		if c := g.keeper.Decide(g.now, g.roster); c != nil {
@@ -267,7 +267,7 @@
 	for _, n := range g.nodes {
 		n.leaving = true
 		g.run(10 * time.Second)
-		require.False(t, g.roster.Has(n.member), "the roster removes %s", n.member.Name)
+		require.False(t, g.roster.Contains(n.member), "the roster removes %s", n.member.Name)
 		require.True(t, g.roster.Settled())
 		g.start(n)
 		g.run(10 * time.Second)
--- a/internal/request/dispatch/dispatch.go
+++ b/internal/request/dispatch/dispatch.go
@@ -25,9 +25,9 @@
 	Slots int
 	// Share is the part of the slots in use: 1, or less during a slow start.
 	Share float64
-	// Home is the number of slots assigned to this balancer. The assignment keeps
+	// AssignedSlots is the number of slots assigned to this balancer. The assignment keeps
 	// balancers from competing for a slot, except under load.
-	Home int
+	AssignedSlots int
 }
 
 // Request is a request that needs an upstream.
@@ -218,7 +218,7 @@
 func (d *Dispatcher) estimateWait(queued int) time.Duration {
 	slots := 0
 	for _, t := range d.ordered {
-		slots += max(t.Home, 0)
+		slots += max(t.AssignedSlots, 0)
 	}
 	return d.meanServiceTime * time.Duration(queued) / time.Duration(max(slots, 1))
 }
--- a/internal/request/dispatch/experiment_test.go
+++ b/internal/request/dispatch/experiment_test.go
@@ -15,7 +15,7 @@
 	"github.com/stretchr/testify/require"
 
 	"wasabideal/internal/request/dispatch"
-	"wasabideal/internal/request/homes"
+	"wasabideal/internal/request/slotassignment"
 )
 
 // hop is the one-way latency between a balancer and an upstream.
@@ -184,13 +184,13 @@
 	for i := range w.policies {
 		names = append(names, fmt.Sprintf("b%d", i))
 	}
-	var ups []homes.Upstream
+	var ups []slotassignment.Upstream
 	for _, u := range w.upstreams {
 		if !u.removed {
-			ups = append(ups, homes.Upstream{Name: u.name, Slots: slots})
+			ups = append(ups, slotassignment.Upstream{Name: u.name, Slots: slots})
 		}
 	}
-	h := homes.New(ups, names)
+	h := slotassignment.Assign(ups, names)
 	for i, p := range w.policies {
 		var ts []dispatch.Target
 		for _, u := range w.upstreams {
@@ -198,7 +198,7 @@
 				continue
 			}
 			share := math.Min(1, 0.1+0.9*w.now.Sub(u.startedAt).Seconds()/10)
-			ts = append(ts, dispatch.Target{Name: u.name, Slots: slots, Share: share, Home: h.Of(names[i], u.name)})
+			ts = append(ts, dispatch.Target{Name: u.name, Slots: slots, Share: share, AssignedSlots: h.Slots(names[i], u.name)})
 		}
 		p.targets(ts)
 	}
--- a/internal/request/dispatch/target.go
+++ b/internal/request/dispatch/target.go
@@ -25,7 +25,7 @@
 		return nil
 	}
 	home := slices.DeleteFunc(slices.Clone(free), func(t *target) bool {
-		return t.outstanding >= t.Home || now.Before(t.shedUntil)
+		return t.outstanding >= t.AssignedSlots || now.Before(t.shedUntil)
 	})
 	if len(home) > 0 {
 		return home[d.random.IntN(len(home))]
--- a/internal/request/door/attempt.go
+++ b/internal/request/door/attempt.go
@@ -16,7 +16,7 @@
 
 // attempt sends the request to one upstream. It returns done when a response was
 // written to the caller, and retry when the request did not run or may run twice.
-func (d *Door) attempt(ctx context.Context, x *exchange, target string, try int) (retry, done bool) {
+func (d *Proxy) attempt(ctx context.Context, x *exchange, target string, try int) (retry, done bool) {
 	start := d.settings.Clock()
 	sent := &sentFlag{}
 	response, err := d.send(ctx, x, target, sent)
@@ -48,7 +48,7 @@
 
 // handleFailure handles an attempt without a response. A request that was not sent may
 // go to another upstream; one that was sent is retried only if it may run twice.
-func (d *Door) handleFailure(ctx context.Context, x *exchange, target string, sent *sentFlag, err error) (again, done bool) {
+func (d *Proxy) handleFailure(ctx context.Context, x *exchange, target string, sent *sentFlag, err error) (again, done bool) {
 	result := dispatch.Failed
 	if x.request.Context().Err() != nil {
 		result = dispatch.Cancelled
@@ -72,7 +72,7 @@
 // NoAddressError reports that an upstream was removed after it was selected.
 type NoAddressError struct{ Target string }
 
-func (d *Door) send(ctx context.Context, x *exchange, target string, sent *sentFlag) (*http.Response, error) {
+func (d *Proxy) send(ctx context.Context, x *exchange, target string, sent *sentFlag) (*http.Response, error) {
 	address := d.addressOf(target)
 	if address == "" {
 		return nil, &NoAddressError{Target: target}
@@ -116,7 +116,7 @@
 // forwardResponse streams the response to the caller. If the upstream's response is
 // cut off, the caller's connection is aborted, because a truncated response that ends
 // normally looks complete.
-func (d *Door) forwardResponse(x *exchange, response *http.Response) {
+func (d *Proxy) forwardResponse(x *exchange, response *http.Response) {
 	dropHopHeaders(response.Header)
 	h := x.writer.Header()
 	for name, values := range response.Header {
--- a/internal/request/door/door.go
+++ b/internal/request/door/door.go
@@ -47,9 +47,9 @@
 type Settings struct {
 	Service string
 	// Name of the balancer; it is part of each attempt's identifier.
-	Name     string
-	Dispatch dispatch.Settings
-	Clock    func() time.Time
+	Name   string
+	Limits dispatch.Settings
+	Clock  func() time.Time
 }
 
 // Counters holds the totals of a Door since its start.
@@ -57,8 +57,8 @@
 	Requests, Answered, NotRun, Unknown, Repeated, Shed, Retried, Cancelled, Truncated atomic.Int64
 }
 
-// Door is the HTTP proxy of one service. It is safe for concurrent use.
-type Door struct {
+// Proxy is the HTTP proxy of one service. It is safe for concurrent use.
+type Proxy struct {
 	settings         Settings
 	log              hclog.Logger
 	claimer          *claimer.Claimer
@@ -76,9 +76,9 @@
 }
 
 // New returns a Door without upstreams.
-func New(s Settings, c *claimer.Claimer, log hclog.Logger) *Door {
-	return &Door{
-		settings: s, log: log, claimer: c, dispatch: dispatch.New(s.Dispatch, xxhash.Sum64String(s.Name+s.Service)),
+func New(s Settings, c *claimer.Claimer, log hclog.Logger) *Proxy {
+	return &Proxy{
+		settings: s, log: log, claimer: c, dispatch: dispatch.New(s.Limits, xxhash.Sum64String(s.Name+s.Service)),
 		transport: &http.Transport{MaxIdleConnsPerHost: 16, IdleConnTimeout: 30 * time.Second},
 		// http.Transport resends a request with an Idempotency-Key when a reused
 		// connection breaks; on a new connection it never resends.
@@ -89,7 +89,7 @@
 
 // SetTargets replaces the settings and the upstreams; doors maps an upstream's name
 // to its HTTP address.
-func (d *Door) SetTargets(s dispatch.Settings, ts []dispatch.Target, addresses map[string]string) {
+func (d *Proxy) SetTargets(s dispatch.Settings, ts []dispatch.Target, addresses map[string]string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.dispatch.SetSettings(s)
@@ -99,14 +99,14 @@
 }
 
 // SetService sets the retry policy and the queue priority of the service.
-func (d *Door) SetService(repeatable bool, priority int) {
+func (d *Proxy) SetService(repeatable bool, priority int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.repeatable, d.priority = repeatable, priority
 }
 
 // Run dispatches and expires queued requests until ctx ends.
-func (d *Door) Run(ctx context.Context) {
+func (d *Proxy) Run(ctx context.Context) {
 	t := time.NewTicker(tickInterval)
 	defer t.Stop()
 	for {
@@ -122,7 +122,7 @@
 }
 
 // deliver sends each decision to the request that waits for it. d.mu must be held.
-func (d *Door) deliver(ds []dispatch.Decision) {
+func (d *Proxy) deliver(ds []dispatch.Decision) {
 	for _, x := range ds {
 		if w := d.waiting[x.ID]; w != nil {
 			delete(d.waiting, x.ID)
@@ -132,7 +132,7 @@
 }
 
 // ServeHTTP proxies one request.
-func (d *Door) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (d *Proxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	d.Counters.Requests.Add(1)
 	x, err := d.newExchange(w, r)
 	if err != nil {
@@ -149,7 +149,7 @@
 
 // serve attempts the request until it is answered, rejected, or its outcome is
 // unknown.
-func (d *Door) serve(ctx context.Context, x *exchange) {
+func (d *Proxy) serve(ctx context.Context, x *exchange) {
 	ds := d.offer(x)
 	for try := 1; ; try++ {
 		decision, ok := d.wait(ctx, x, ds)
@@ -174,7 +174,7 @@
 }
 
 // reject rejects a request that did not run, and releases its key.
-func (d *Door) reject(x *exchange, reason string, after time.Duration) {
+func (d *Proxy) reject(x *exchange, reason string, after time.Duration) {
 	if x.claimed {
 		d.claimer.Release(x.request.Context(), x.record)
 	}
@@ -184,23 +184,23 @@
 	d.respondNotRun(x, reason, after)
 }
 
-func (d *Door) dispatchRequest(x *exchange) dispatch.Request {
+func (d *Proxy) dispatchRequest(x *exchange) dispatch.Request {
 	return dispatch.Request{ID: x.id, Deadline: x.deadline, Priority: d.priority, Avoid: x.excluded, Since: x.arrived}
 }
 
-func (d *Door) offer(x *exchange) chan dispatch.Decision {
+func (d *Proxy) offer(x *exchange) chan dispatch.Decision {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.await(x, d.dispatch.Offer(d.settings.Clock(), d.dispatchRequest(x)))
 }
 
-func (d *Door) retry(x *exchange) chan dispatch.Decision {
+func (d *Proxy) retry(x *exchange) chan dispatch.Decision {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.await(x, d.dispatch.Retry(d.settings.Clock(), d.dispatchRequest(x)))
 }
 
-func (d *Door) await(x *exchange, ds []dispatch.Decision) chan dispatch.Decision {
+func (d *Proxy) await(x *exchange, ds []dispatch.Decision) chan dispatch.Decision {
 	w := make(chan dispatch.Decision, 1)
 	d.waiting[x.id] = w
 	d.deliver(ds)
@@ -208,7 +208,7 @@
 }
 
 // wait returns the decision on a request, or false if ctx ends first.
-func (d *Door) wait(ctx context.Context, x *exchange, w chan dispatch.Decision) (dispatch.Decision, bool) {
+func (d *Proxy) wait(ctx context.Context, x *exchange, w chan dispatch.Decision) (dispatch.Decision, bool) {
 	select {
 	case decision := <-w:
 		return decision, true
@@ -229,19 +229,19 @@
 	return dispatch.Decision{}, false
 }
 
-func (d *Door) done(target string, r dispatch.Result, took time.Duration) {
+func (d *Proxy) done(target string, r dispatch.Result, took time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.deliver(d.dispatch.Done(d.settings.Clock(), target, r, took))
 }
 
-func (d *Door) mayRetry() bool {
+func (d *Proxy) mayRetry() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.dispatch.MayRetry()
 }
 
-func (d *Door) addressOf(target string) string {
+func (d *Proxy) addressOf(target string) string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.addresses[target]
--- a/internal/request/door/door_test.go
+++ b/internal/request/door/door_test.go
@@ -50,7 +50,7 @@
 // fixture is a Door with test servers as upstreams.
 type fixture struct {
 	t      *testing.T
-	door   *door.Door
+	door   *door.Proxy
 	server *httptest.Server
 }
 
@@ -62,14 +62,14 @@
 	}})
 	c := claimer.New(&localStore{keys: k}, time.Second, func() roster.View { return view })
 	limits := dispatch.Settings{SlotLimit: 2, QueueLimit: 4, RetryPercent: 100}
-	d := door.New(door.Settings{Service: "orders", Name: "b1", Dispatch: limits, Clock: time.Now}, c, hclog.NewNullLogger())
+	d := door.New(door.Settings{Service: "orders", Name: "b1", Limits: limits, Clock: time.Now}, c, hclog.NewNullLogger())
 	var targets []dispatch.Target
 	doors := map[string]string{}
 	for i, h := range upstreams {
 		s := httptest.NewServer(h)
 		t.Cleanup(s.Close)
 		name := fmt.Sprintf("u%d", i)
-		targets = append(targets, dispatch.Target{Name: name, Slots: 2, Share: 1, Home: 2})
+		targets = append(targets, dispatch.Target{Name: name, Slots: 2, Share: 1, AssignedSlots: 2})
 		doors[name] = strings.TrimPrefix(s.URL, "http://")
 	}
 	d.SetTargets(limits, targets, doors)
--- a/internal/request/door/exchange.go
+++ b/internal/request/door/exchange.go
@@ -36,7 +36,7 @@
 
 func (e *BadRequestError) Error() string { return e.Reason }
 
-func (d *Door) newExchange(w http.ResponseWriter, r *http.Request) (*exchange, error) {
+func (d *Proxy) newExchange(w http.ResponseWriter, r *http.Request) (*exchange, error) {
 	now := d.settings.Clock()
 	x := &exchange{writer: w, request: r, arrived: now}
 	timeout, err := parseTimeout(r)
@@ -93,7 +93,7 @@
 
 // claim claims the request's key, or responds with the outcome of the request that
 // holds it.
-func (d *Door) claim(ctx context.Context, x *exchange) bool {
+func (d *Proxy) claim(ctx context.Context, x *exchange) bool {
 	result := d.claimer.Claim(ctx, x.record)
 	switch result.Outcome {
 	case claimer.Granted:
@@ -107,7 +107,7 @@
 	return false
 }
 
-func (d *Door) respondTaken(x *exchange, r keys.Record) {
+func (d *Proxy) respondTaken(x *exchange, r keys.Record) {
 	d.Counters.Repeated.Add(1)
 	h := x.writer.Header()
 	h.Set(RepeatHeader, "true")
@@ -129,7 +129,7 @@
 	}
 }
 
-func (d *Door) respondNotRun(x *exchange, reason string, retryAfter time.Duration) {
+func (d *Proxy) respondNotRun(x *exchange, reason string, retryAfter time.Duration) {
 	d.Counters.NotRun.Add(1)
 	h := x.writer.Header()
 	h.Set(OutcomeHeader, OutcomeNotRun)
@@ -137,7 +137,7 @@
 	http.Error(x.writer, "not run: "+reason, http.StatusServiceUnavailable)
 }
 
-func (d *Door) respondUnknown(x *exchange, err error) {
+func (d *Proxy) respondUnknown(x *exchange, err error) {
 	d.Counters.Unknown.Add(1)
 	x.writer.Header().Set(OutcomeHeader, OutcomeUnknown)
 	http.Error(x.writer, "unknown: the request was sent, but no response was received: "+err.Error(), http.StatusGatewayTimeout)
--- a/internal/request/memory/memory.go
+++ b/internal/request/memory/memory.go
@@ -57,8 +57,8 @@
 	Clock  func() time.Time
 }
 
-// Memory holds the keys of one balancer and calls the key stores of others.
-type Memory struct {
+// Replica holds the keys of one balancer and calls the key stores of others.
+type Replica struct {
 	settings Settings
 	log      hclog.Logger
 	pool     *pool.Pool
@@ -69,12 +69,12 @@
 }
 
 // New returns a Memory without keys.
-func New(s Settings, p *pool.Pool, log hclog.Logger) *Memory {
-	return &Memory{settings: s, log: log, pool: p, keys: keys.New(s.Window, s.Limit), view: roster.NewView(roster.Roster{})}
+func New(s Settings, p *pool.Pool, log hclog.Logger) *Replica {
+	return &Replica{settings: s, log: log, pool: p, keys: keys.New(s.Window, s.Limit), view: roster.NewView(roster.Roster{})}
 }
 
 // Serve registers the RPC methods with a server.
-func (m *Memory) Serve(s *rpc.Server, token string) {
+func (m *Replica) Serve(s *rpc.Server, token string) {
 	rpc.Handle(s, claimMethod, token, func(_ context.Context, w wireClaim) (keys.Record, error) {
 		if err := m.checkStart(w.Start); err != nil {
 			return keys.Record{}, err
@@ -100,37 +100,37 @@
 	})
 }
 
-func (m *Memory) checkStart(start uint64) error {
+func (m *Replica) checkStart(start uint64) error {
 	if start != m.settings.Self.Start {
 		return &OtherLifeError{Asked: start, Here: m.settings.Self.Start}
 	}
 	return nil
 }
 
-func (m *Memory) claim(epoch uint64, r keys.Record) (keys.Record, error) {
+func (m *Replica) claim(epoch uint64, r keys.Record) (keys.Record, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.keys.Claim(m.settings.Clock(), epoch, r)
 }
 
-func (m *Memory) release(r keys.Record) {
+func (m *Replica) release(r keys.Record) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.keys.Release(r.Service, r.Key, r.Attempt)
 }
 
-func (m *Memory) finish(r keys.Record) {
+func (m *Replica) finish(r keys.Record) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.keys.Finish(m.settings.Clock(), r)
 }
 
-func (m *Memory) isSelf(x roster.Member) bool {
+func (m *Replica) isSelf(x roster.Member) bool {
 	return x.Name == m.settings.Self.Name && x.Start == m.settings.Self.Start
 }
 
 // Claim claims a key at a member.
-func (m *Memory) Claim(ctx context.Context, x roster.Member, epoch uint64, r keys.Record) (keys.Record, error) {
+func (m *Replica) Claim(ctx context.Context, x roster.Member, epoch uint64, r keys.Record) (keys.Record, error) {
 	if m.isSelf(x) {
 		return m.claim(epoch, r)
 	}
@@ -138,7 +138,7 @@
 }
 
 // Release releases a key at a member.
-func (m *Memory) Release(ctx context.Context, x roster.Member, r keys.Record) {
+func (m *Replica) Release(ctx context.Context, x roster.Member, r keys.Record) {
 	if m.isSelf(x) {
 		m.release(r)
 		return
@@ -147,7 +147,7 @@
 }
 
 // Finish stores a response at a member.
-func (m *Memory) Finish(ctx context.Context, x roster.Member, r keys.Record) {
+func (m *Replica) Finish(ctx context.Context, x roster.Member, r keys.Record) {
 	if m.isSelf(x) {
 		m.finish(r)
 		return
@@ -155,35 +155,35 @@
 	m.call(ctx, x, finishMethod, r)
 }
 
-func (m *Memory) call(ctx context.Context, x roster.Member, method string, r keys.Record) {
+func (m *Replica) call(ctx context.Context, x roster.Member, method string, r keys.Record) {
 	if _, err := pool.Call[wireClaim, empty](ctx, m.pool, x.Rpc.String(), method, wireClaim{Start: x.Start, Record: r}); err != nil {
 		m.log.Debug("key update failed", "Member", x.Name, "Method", method, "Error", err)
 	}
 }
 
 // View returns the view of the newest roster.
-func (m *Memory) View() roster.View {
+func (m *Replica) View() roster.View {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.view
 }
 
-// Moved returns the latest epoch for which all records of this balancer are copied.
-func (m *Memory) Moved() uint64 {
+// CopiedEpoch returns the latest epoch for which all records of this balancer are copied.
+func (m *Replica) CopiedEpoch() uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.moved
 }
 
 // Len returns the number of stored keys.
-func (m *Memory) Len() int {
+func (m *Replica) Len() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.keys.Len()
 }
 
 // Expire deletes keys older than the window.
-func (m *Memory) Expire() {
+func (m *Replica) Expire() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.keys.Expire(m.settings.Clock())
@@ -193,7 +193,7 @@
 //
 // It refuses claims with an older epoch before the records are copied, so that the
 // copy misses none.
-func (m *Memory) SetRoster(r roster.Roster) bool {
+func (m *Replica) SetRoster(r roster.Roster) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if r.Version <= m.view.Roster.Version {
@@ -204,9 +204,9 @@
 	return true
 }
 
-// Move copies the records to the members that must store them under the newest
+// CopyRecords copies the records to the members that must store them under the newest
 // roster, until all are copied or ctx ends.
-func (m *Memory) Move(ctx context.Context) {
+func (m *Replica) CopyRecords(ctx context.Context) {
 	for ctx.Err() == nil {
 		v, transfers := m.transfers()
 		if v.Roster.Settled() || m.copyAll(ctx, transfers) {
@@ -222,7 +222,7 @@
 	}
 }
 
-func (m *Memory) transfers() (roster.View, map[roster.Member][]keys.Record) {
+func (m *Replica) transfers() (roster.View, map[roster.Member][]keys.Record) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.view, m.keys.Transfers(m.view, m.settings.Self)
@@ -230,7 +230,7 @@
 
 // copyAll copies records to their members and reports whether all calls succeeded.
 // Move retries failed members until they respond or leave the roster.
-func (m *Memory) copyAll(ctx context.Context, transfers map[roster.Member][]keys.Record) bool {
+func (m *Replica) copyAll(ctx context.Context, transfers map[roster.Member][]keys.Record) bool {
 	done := true
 	for x, records := range transfers {
 		for len(records) > 0 {
--- a/internal/request/homes/homes.go
+++ b/internal/request/slotassignment/slotassignment.go
@@ -1,4 +1,4 @@
-package homes
+package slotassignment
 
 import (
 	"cmp"
@@ -15,18 +15,18 @@
 	Slots int
 }
 
-// Homes counts the slots of each upstream that are assigned to each balancer.
-type Homes struct{ assigned map[string]map[string]int }
+// Assignment counts the slots of each upstream that are assigned to each balancer.
+type Assignment struct{ assigned map[string]map[string]int }
 
 type slot struct {
 	upstream string
 	hash     uint64
 }
 
-// New assigns the slots evenly by rendezvous hashing: each goes to its highest-ranked
+// Assign assigns the slots evenly by rendezvous hashing: each goes to its highest-ranked
 // balancer that has fewer than the even share, rounded up.
-func New(upstreams []Upstream, balancers []string) Homes {
-	h := Homes{assigned: map[string]map[string]int{}}
+func Assign(upstreams []Upstream, balancers []string) Assignment {
+	h := Assignment{assigned: map[string]map[string]int{}}
 	seeds := make([]uint64, len(balancers))
 	for i, b := range balancers {
 		seeds[i] = xxhash.Sum64String(b)
@@ -63,4 +63,4 @@
 }
 
 // Of returns the number of an upstream's slots that are assigned to a balancer.
-func (h Homes) Of(balancer, upstream string) int { return h.assigned[balancer][upstream] }
+func (h Assignment) Slots(balancer, upstream string) int { return h.assigned[balancer][upstream] }
--- a/internal/setting/check/check.go
+++ b/internal/setting/check/check.go
@@ -116,7 +116,7 @@
 		return nil
 	}
 	k := s.Control
-	listed := slices.ContainsFunc(k.Founders, func(f settings.Founder) bool { return f.Name == s.Name })
+	listed := slices.ContainsFunc(k.Founders, func(f settings.InitialVoter) bool { return f.Name == s.Name })
 	switch {
 	case s.DataFolder == "":
 		return c.invalid("DataFolder", "", "a folder on a disk; required for a voter")
--- a/internal/setting/defaults/defaults.go
+++ b/internal/setting/defaults/defaults.go
@@ -6,14 +6,14 @@
 	"wasabideal/internal/setting/settings"
 )
 
-// Pass sets default values; they are defined only here.
-type Pass struct{}
+// Defaults sets default values; they are defined only here.
+type Defaults struct{}
 
 // String returns the name of the pass.
-func (Pass) String() string { return "defaults" }
+func (Defaults) String() string { return "defaults" }
 
 // Apply returns the settings with defaults in place of zero values.
-func (Pass) Apply(s settings.Settings) settings.Settings {
+func (Defaults) Apply(s settings.Settings) settings.Settings {
 	setString(&s.Role, settings.RoleBalancer)
 	setString(&s.LogLevel, "info")
 	setString(&s.Listen.Fabric, "127.0.0.1:6080")
--- a/internal/setting/settings/settings.go
+++ b/internal/setting/settings/settings.go
@@ -46,12 +46,12 @@
 	Rpc string
 	// Admin serves announcements, health and metrics over HTTP.
 	Admin string
-	// Door holds the addresses that serve requests over HTTP, one per service.
-	Door []Door
+	// HTTPListener holds the addresses that serve requests over HTTP, one per service.
+	Door []HTTPListener
 }
 
-// Door is the HTTP listen address for the requests of a service.
-type Door struct{ Service, Address string }
+// HTTPListener is the HTTP listen address for the requests of a service.
+type HTTPListener struct{ Service, Address string }
 
 // Balancer holds the settings of a balancer.
 type Balancer struct {
@@ -97,12 +97,12 @@
 	TraceFile string
 }
 
-// Founder is a voter of the initial voter list.
-type Founder struct{ Name, Address string }
+// InitialVoter is a voter of the initial voter list.
+type InitialVoter struct{ Name, Address string }
 
 // Control holds the settings of a voter.
 type Control struct {
-	Founders []Founder
+	Founders []InitialVoter
 	// Heartbeat is the interval between a leader's messages, Election the minimum
 	// election timeout.
 	Heartbeat Duration
--- a/internal/setting/settings/settings_test.go
+++ b/internal/setting/settings/settings_test.go
@@ -32,7 +32,7 @@
 		t.Run(text, func(t *testing.T) {
 			s, err := settings.Decode("x.toml", []byte(minimal+text))
 			require.NoError(t, err)
-			err = check.New("x.toml").Check(defaults.Pass{}.Apply(s))
+			err = check.New("x.toml").Check(defaults.Defaults{}.Apply(s))
 			if key == "" {
 				require.NoError(t, err)
 				return
@@ -50,7 +50,7 @@
 	f.Add([]byte(minimal))
 	f.Fuzz(func(_ *testing.T, b []byte) {
 		if s, err := settings.Decode("x.toml", b); err == nil {
-			_ = check.New("x.toml").Check(defaults.Pass{}.Apply(s))
+			_ = check.New("x.toml").Check(defaults.Defaults{}.Apply(s))
 		}
 	})
 }
--- a/internal/setting/wiring/wiring.go
+++ b/internal/setting/wiring/wiring.go
@@ -11,7 +11,7 @@
 	"wasabideal/internal/balancer/reducer"
 	"wasabideal/internal/configuration/puller"
 	"wasabideal/internal/control/agreement"
-	"wasabideal/internal/control/keeper"
+	"wasabideal/internal/control/rostermanager"
 	"wasabideal/internal/daemon/balancer"
 	"wasabideal/internal/daemon/control"
 	"wasabideal/internal/flow/router"
@@ -51,7 +51,7 @@
 		Fabric: s.Listen.Fabric, Peer: s.Listen.Peer, Rpc: s.Listen.Rpc, Admin: s.Listen.Admin,
 		GroupToken: s.GroupToken, OperatorToken: s.OperatorToken, Tick: b.Tick.Value(),
 		StopTimeout: b.StopTimeout.Value(), Clock: w.Clock, MaxKeys: b.MaxKeys, KeyWindow: keyWindow,
-		Doors: lo.SliceToMap(s.Listen.Door, func(d settings.Door) (string, string) { return d.Service, d.Address }),
+		Doors: lo.SliceToMap(s.Listen.Door, func(d settings.HTTPListener) (string, string) { return d.Service, d.Address }),
 		Puller: puller.Settings{
 			Sources: b.Sources, Token: s.GroupToken, Hold: sourceHold, Grace: sourceGrace, RetryAfter: sourceRetry,
 		},
@@ -94,12 +94,12 @@
 	c := s.Control
 	return control.Settings{
 		Name: s.Name, Rpc: c.Rpc, DataFolder: s.DataFolder,
-		Founders: lo.Map(c.Founders, func(f settings.Founder, _ int) agreement.Voter {
+		Founders: lo.Map(c.Founders, func(f settings.InitialVoter, _ int) agreement.Voter {
 			return agreement.Voter{Name: f.Name, Address: f.Address}
 		}),
 		Heartbeat: c.Heartbeat.Value(), Election: c.Election.Value(), Tick: c.Tick.Value(),
 		AcceptTimeout: c.AcceptTimeout.Value(), CompactAfter: c.CompactAfter,
 		GroupToken: s.GroupToken, OperatorToken: s.OperatorToken, Clock: w.Clock,
-		Keeper: keeper.Settings{Gather: rosterGather, Silent: rosterSilent, Window: keyWindow},
+		RosterManager: rostermanager.Settings{ChangeInterval: rosterGather, Silent: rosterSilent, KeyRetention: keyWindow},
 	}
 }
--- a/internal/silence/accrual/accrual.go
+++ b/internal/silence/accrual/accrual.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"wasabideal/internal/silence/word"
+	"wasabideal/internal/silence/evidence"
 )
 
 const (
@@ -58,7 +58,7 @@
 type missedPacket struct {
 	reporter string
 	// upstream is the destination of the packet.
-	upstream word.Subject
+	upstream evidence.Subject
 	// sent is when the packet was first sent, reported when its retransmission was reported.
 	sent, reported time.Time
 	weight         float64
@@ -74,12 +74,12 @@
 	// firstSent is when the earliest packet behind the suspicion was sent.
 	firstSent time.Time
 	// implicated are up to maxImplicated upstreams that left those packets unanswered.
-	implicated []word.Subject
+	implicated []evidence.Subject
 }
 
-// Accrual accumulates the evidence that was reported to one voter.
-type Accrual struct {
-	records map[word.Subject]*record
+// Detector accumulates the evidence that was reported to one voter.
+type Detector struct {
+	records map[evidence.Subject]*record
 	version uint64
 	// refuted is the decayed count of refuted suspicions as of decayedAt.
 	refuted   float64
@@ -87,32 +87,32 @@
 }
 
 // New returns an accrual without evidence.
-func New() *Accrual { return &Accrual{records: map[word.Subject]*record{}} }
+func New() *Detector { return &Detector{records: map[evidence.Subject]*record{}} }
 
 // Version increases whenever the result of Doubts changes.
-func (a *Accrual) Version() uint64 { return a.version }
+func (a *Detector) Version() uint64 { return a.version }
 
 // subjects returns the subjects that an event concerns: the upstream and its whole zone.
-func subjects(e word.Event) [2]word.Subject {
-	return [2]word.Subject{{Incarnation: e.Incarnation, Born: e.Born}, {Zone: e.Zone}}
+func subjects(e evidence.Event) [2]evidence.Subject {
+	return [2]evidence.Subject{{Incarnation: e.Incarnation, Born: e.Born}, {Zone: e.Zone}}
 }
 
-// Note records an event that a balancer or voter reported.
-func (a *Accrual) Note(now time.Time, reporter string, e word.Event) {
+// Record records an event that a balancer or voter reported.
+func (a *Detector) Record(now time.Time, reporter string, e evidence.Event) {
 	at := now.Add(-e.Age)
 	for _, s := range subjects(e) {
 		switch {
-		case s == word.Subject{}:
+		case s == evidence.Subject{}:
 		case e.Answered:
 			a.recordResponse(s, at)
 		default:
-			a.recordMissed(now, s, missedPacket{reporter: reporter, upstream: word.Subject{Incarnation: e.Incarnation, Born: e.Born}, sent: at, reported: now, weight: e.Weight})
+			a.recordMissed(now, s, missedPacket{reporter: reporter, upstream: evidence.Subject{Incarnation: e.Incarnation, Born: e.Born}, sent: at, reported: now, weight: e.Weight})
 		}
 	}
 }
 
-// Questioned reports whether a response of the upstream would refute a suspicion.
-func (a *Accrual) Questioned(e word.Event) bool {
+// Refutes reports whether a response of the upstream would refute a suspicion.
+func (a *Detector) Refutes(e evidence.Event) bool {
 	for _, s := range subjects(e) {
 		if r := a.records[s]; r != nil && !r.suspectedAt.IsZero() {
 			return true
@@ -121,7 +121,7 @@
 	return false
 }
 
-func (a *Accrual) recordMissed(now time.Time, s word.Subject, e missedPacket) {
+func (a *Detector) recordMissed(now time.Time, s evidence.Subject, e missedPacket) {
 	r := a.records[s]
 	if r == nil {
 		r = &record{}
@@ -133,7 +133,7 @@
 	r.missed = append(r.missed, e)
 }
 
-func (a *Accrual) recordResponse(s word.Subject, at time.Time) {
+func (a *Detector) recordResponse(s evidence.Subject, at time.Time) {
 	r := a.records[s]
 	if r == nil {
 		return
@@ -149,10 +149,10 @@
 	}
 }
 
-// Decide evaluates the evidence. balancers is how many balancers poll this voter, relays
+// Evaluate evaluates the evidence. balancers is how many balancers poll this voter, relays
 // the longest chain of balancers that relay its answers. It returns when it must be called
 // again even without further evidence, or zero.
-func (a *Accrual) Decide(now time.Time, balancers, relays int) time.Time {
+func (a *Detector) Evaluate(now time.Time, balancers, relays int) time.Time {
 	var nextTimeout time.Time
 	timeout := refutationTimeout + time.Duration(relays)*refutationTimeoutPerHop
 	a.refuted *= math.Exp(-now.Sub(a.decayedAt).Seconds() / refutedDecay.Seconds())
@@ -186,7 +186,7 @@
 }
 
 // expire reports whether all state of the record has expired, so that it can be deleted.
-func (a *Accrual) expire(now time.Time, r *record) bool {
+func (a *Detector) expire(now time.Time, r *record) bool {
 	if len(r.missed) > 0 || !r.unresponsiveAt.IsZero() && now.Sub(r.unresponsiveAt) < unresponsiveTTL {
 		return false
 	}
@@ -200,7 +200,7 @@
 	return true
 }
 
-func (a *Accrual) evaluate(now time.Time, s word.Subject, r *record, balancers int, timeout time.Duration) {
+func (a *Detector) evaluate(now time.Time, s evidence.Subject, r *record, balancers int, timeout time.Duration) {
 	weight, overdue := 0.0, 0.0
 	for _, e := range r.missed {
 		weight += e.weight
@@ -243,7 +243,7 @@
 
 // Implicated returns up to maxImplicated upstreams whose unanswered packets caused the
 // suspicion of a subject.
-func (a *Accrual) Implicated(s word.Subject) []word.Subject {
+func (a *Detector) Implicated(s evidence.Subject) []evidence.Subject {
 	if r := a.records[s]; r != nil {
 		return r.implicated
 	}
@@ -251,7 +251,7 @@
 }
 
 // thresholds returns the evidence at which a subject is suspected and unresponsive.
-func (a *Accrual) thresholds(s word.Subject) (suspect, unresponsive float64) {
+func (a *Detector) thresholds(s evidence.Subject) (suspect, unresponsive float64) {
 	suspect, unresponsive = suspectThreshold, unresponsiveThreshold
 	if s.Zone != "" {
 		suspect, unresponsive = zoneSuspectThreshold, zoneUnresponsiveThreshold
@@ -269,15 +269,15 @@
 	return len(seen)
 }
 
-// Doubts returns up to maxDoubts suspected subjects, zones first.
-func (a *Accrual) Doubts(now time.Time) []word.Doubt {
-	var out []word.Doubt
+// Suspicions returns up to maxDoubts suspected subjects, zones first.
+func (a *Detector) Suspicions(now time.Time) []evidence.Suspicion {
+	var out []evidence.Suspicion
 	for s, r := range a.records {
 		if !r.suspectedAt.IsZero() {
-			out = append(out, word.Doubt{Subject: s, Age: now.Sub(r.firstSent), Unresponsive: !r.unresponsiveAt.IsZero()})
+			out = append(out, evidence.Suspicion{Subject: s, Age: now.Sub(r.firstSent), Unresponsive: !r.unresponsiveAt.IsZero()})
 		}
 	}
-	slices.SortFunc(out, func(x, y word.Doubt) int {
+	slices.SortFunc(out, func(x, y evidence.Suspicion) int {
 		return cmp.Or(cmp.Compare(y.Zone, x.Zone), cmp.Compare(x.Incarnation, y.Incarnation), cmp.Compare(x.Born, y.Born))
 	})
 	return out[:min(len(out), maxDoubts)]
