--- a/internal/silence/accrual/accrual_test.go
+++ b/internal/silence/accrual/accrual_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 
 	"wasabideal/internal/silence/accrual"
-	"wasabideal/internal/silence/word"
+	"wasabideal/internal/silence/evidence"
 )
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
@@ -18,19 +18,19 @@
 // usual is the weight of an unanswered packet at a loss rate of one in a hundred.
 const usual = 4.6
 
-func unanswered(incarnation uint64, weight float64) word.Event {
-	return word.Event{Incarnation: incarnation, Zone: "a", Age: 200 * time.Millisecond, Weight: weight}
+func unanswered(incarnation uint64, weight float64) evidence.Event {
+	return evidence.Event{Incarnation: incarnation, Zone: "a", Age: 200 * time.Millisecond, Weight: weight}
 }
 
-func answered(incarnation uint64, age time.Duration) word.Event {
-	return word.Event{Incarnation: incarnation, Zone: "a", Age: age, Answered: true}
+func answered(incarnation uint64, age time.Duration) evidence.Event {
+	return evidence.Event{Incarnation: incarnation, Zone: "a", Age: age, Answered: true}
 }
 
 // doubts encodes the suspected subjects: u is an upstream, z a zone, and upper case means
 // unresponsive.
-func doubts(a *accrual.Accrual, now time.Time) string {
+func doubts(a *accrual.Detector, now time.Time) string {
 	out := ""
-	for _, d := range a.Doubts(now) {
+	for _, d := range a.Suspicions(now) {
 		name := "u"
 		if d.Zone != "" {
 			name = "z"
@@ -47,23 +47,23 @@
 // one unanswered packet per balancer is too little evidence unless reports are combined.
 func TestTimeoutsOfSeveralBalancersAreCombined(t *testing.T) {
 	a := accrual.New()
-	a.Note(at(0), "b1", unanswered(1, usual))
-	require.Zero(t, a.Decide(at(0), 7, 0))
+	a.Record(at(0), "b1", unanswered(1, usual))
+	require.Zero(t, a.Evaluate(at(0), 7, 0))
 	require.Empty(t, doubts(a, at(0)))
-	a.Note(at(10), "b2", unanswered(1, usual))
-	require.Equal(t, at(60), a.Decide(at(10), 7, 0))
+	a.Record(at(10), "b2", unanswered(1, usual))
+	require.Equal(t, at(60), a.Evaluate(at(10), 7, 0))
 	require.Contains(t, doubts(a, at(10)), "u", "balancers are asked for responses of the upstream")
-	a.Note(at(20), "b3", unanswered(1, usual))
-	a.Decide(at(20), 7, 0)
+	a.Record(at(20), "b3", unanswered(1, usual))
+	a.Evaluate(at(20), 7, 0)
 	require.NotContains(t, doubts(a, at(20)), "U", "the refutation timeout of the balancers has not passed")
-	require.Equal(t, at(80), a.Decide(at(70), 7, 0))
+	require.Equal(t, at(80), a.Evaluate(at(70), 7, 0))
 	require.NotContains(t, doubts(a, at(70)), "U", "the refutation timeout of the last packet has not passed")
-	a.Decide(at(80), 7, 0)
+	a.Evaluate(at(80), 7, 0)
 	require.Contains(t, doubts(a, at(80)), "U")
-	require.Equal(t, 280*time.Millisecond, a.Doubts(at(80))[len(a.Doubts(at(80)))-1].Age)
-	a.Decide(at(2000), 7, 0)
+	require.Equal(t, 280*time.Millisecond, a.Suspicions(at(80))[len(a.Suspicions(at(80)))-1].Age)
+	a.Evaluate(at(2000), 7, 0)
 	require.Contains(t, doubts(a, at(2000)), "U")
-	a.Decide(at(2700), 7, 0)
+	a.Evaluate(at(2700), 7, 0)
 	require.Empty(t, doubts(a, at(2700)), "expires without new evidence")
 }
 
@@ -72,31 +72,31 @@
 func TestOneBalancerAloneIsNotEnough(t *testing.T) {
 	a := accrual.New()
 	for i := range 20 {
-		a.Note(at(i), "b1", unanswered(uint64(i%4), usual))
-		a.Decide(at(i), 7, 0)
+		a.Record(at(i), "b1", unanswered(uint64(i%4), usual))
+		a.Evaluate(at(i), 7, 0)
 	}
-	a.Decide(at(200), 7, 0)
+	a.Evaluate(at(200), 7, 0)
 	require.NotContains(t, doubts(a, at(200)), "U")
 	require.NotContains(t, doubts(a, at(200)), "Z")
-	a.Decide(at(201), 1, 0)
+	a.Evaluate(at(201), 1, 0)
 	require.Contains(t, doubts(a, at(201)), "U", "it is enough if no other balancer polls this voter")
 }
 
 func TestResponseDiscardsEarlierEvidence(t *testing.T) {
 	a := accrual.New()
 	for i, from := range []string{"b1", "b2", "b3", "b4"} {
-		a.Note(at(i), from, unanswered(1, usual))
+		a.Record(at(i), from, unanswered(1, usual))
 	}
-	a.Decide(at(5), 7, 0)
-	require.True(t, a.Questioned(answered(1, 0)))
-	a.Note(at(10), "b5", answered(1, 400*time.Millisecond))
+	a.Evaluate(at(5), 7, 0)
+	require.True(t, a.Refutes(answered(1, 0)))
+	a.Record(at(10), "b5", answered(1, 400*time.Millisecond))
 	require.Contains(t, doubts(a, at(10)), "u", "the response precedes the first unanswered packet")
-	a.Note(at(20), "b5", answered(1, 0))
+	a.Record(at(20), "b5", answered(1, 0))
 	require.Empty(t, doubts(a, at(20)))
-	require.False(t, a.Questioned(answered(1, 0)))
-	a.Note(at(30), "b1", unanswered(1, usual))
-	a.Note(at(30), "b2", unanswered(1, usual))
-	a.Decide(at(100), 7, 0)
+	require.False(t, a.Refutes(answered(1, 0)))
+	a.Record(at(30), "b1", unanswered(1, usual))
+	a.Record(at(30), "b2", unanswered(1, usual))
+	a.Evaluate(at(100), 7, 0)
 	require.Empty(t, doubts(a, at(100)), "packets sent before the response are ignored")
 }
 
@@ -105,10 +105,10 @@
 func TestLossyLinksNeedMoreEvidence(t *testing.T) {
 	a := accrual.New()
 	for i, from := range []string{"b1", "b2", "b3", "b4", "b5", "b6"} {
-		a.Note(at(i), from, unanswered(1, 1.1))
+		a.Record(at(i), from, unanswered(1, 1.1))
 	}
-	a.Decide(at(10), 7, 0)
-	a.Decide(at(100), 7, 0)
+	a.Evaluate(at(10), 7, 0)
+	a.Evaluate(at(100), 7, 0)
 	require.Empty(t, doubts(a, at(100)))
 }
 
@@ -117,12 +117,12 @@
 func TestEvidenceOfAZoneIsCombined(t *testing.T) {
 	a := accrual.New()
 	for i := range 5 {
-		a.Note(at(i), []string{"b1", "b2"}[i%2], unanswered(uint64(i), usual))
+		a.Record(at(i), []string{"b1", "b2"}[i%2], unanswered(uint64(i), usual))
 	}
-	a.Decide(at(5), 7, 0)
-	a.Decide(at(100), 7, 0)
+	a.Evaluate(at(5), 7, 0)
+	a.Evaluate(at(100), 7, 0)
 	require.Equal(t, "Z", doubts(a, at(100)))
-	a.Note(at(110), "b3", answered(9, 0))
+	a.Record(at(110), "b3", answered(9, 0))
 	require.Empty(t, doubts(a, at(110)), "one of its upstreams responds")
 }
 
@@ -130,16 +130,16 @@
 // after a later response has already refuted the suspicion. The response must be kept.
 func TestPacketsSentBeforeAResponseAreIgnored(t *testing.T) {
 	a := accrual.New()
-	a.Note(at(0), "b1", unanswered(1, 2*usual))
-	a.Decide(at(0), 7, 0)
-	a.Note(at(50), "b2", answered(1, 0))
-	a.Decide(at(60), 7, 0)
+	a.Record(at(0), "b1", unanswered(1, 2*usual))
+	a.Evaluate(at(0), 7, 0)
+	a.Record(at(50), "b2", answered(1, 0))
+	a.Evaluate(at(60), 7, 0)
 	for i, from := range []string{"b1", "b2", "b3"} {
 		late := unanswered(1, 2*usual)
 		late.Age = 600 * time.Millisecond
-		a.Note(at(400+i), from, late)
+		a.Record(at(400+i), from, late)
 	}
-	a.Decide(at(410), 7, 0)
+	a.Evaluate(at(410), 7, 0)
 	require.Empty(t, doubts(a, at(410)))
 }
 
@@ -148,10 +148,10 @@
 	for i, from := range []string{"b1", "b2", "b3"} {
 		e := unanswered(1, usual)
 		e.Born = 100
-		a.Note(at(i), from, e)
+		a.Record(at(i), from, e)
 	}
-	a.Decide(at(100), 7, 0)
-	for _, d := range a.Doubts(at(100)) {
+	a.Evaluate(at(100), 7, 0)
+	for _, d := range a.Suspicions(at(100)) {
 		if d.Incarnation == 1 {
 			require.Equal(t, uint64(100), d.Born)
 		}
@@ -167,14 +167,14 @@
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 15).Draw(t, "pause")) * time.Millisecond)
 			if now.Sub(alive) > 40*time.Millisecond {
-				a.Note(now, "b0", answered(1, 0))
+				a.Record(now, "b0", answered(1, 0))
 				alive = now
 			}
 			e := unanswered(1, rapid.Float64Range(0, 5).Draw(t, "weight"))
 			e.Age = time.Duration(rapid.IntRange(180, 1500).Draw(t, "age")) * time.Millisecond
-			a.Note(now, rapid.SampledFrom([]string{"b1", "b2", "b3"}).Draw(t, "from"), e)
-			a.Decide(now, 4, 0)
-			for _, d := range a.Doubts(now) {
+			a.Record(now, rapid.SampledFrom([]string{"b1", "b2", "b3"}).Draw(t, "from"), e)
+			a.Evaluate(now, 4, 0)
+			for _, d := range a.Suspicions(now) {
 				require.False(t, d.Unresponsive)
 			}
 		}
@@ -184,10 +184,10 @@
 func TestDoubtsAreBounded(t *testing.T) {
 	a := accrual.New()
 	for id := range uint64(500) {
-		a.Note(at(0), "b1", unanswered(id+1, 2*usual))
+		a.Record(at(0), "b1", unanswered(id+1, 2*usual))
 	}
-	a.Decide(at(0), 7, 0)
-	all := a.Doubts(at(0))
+	a.Evaluate(at(0), 7, 0)
+	all := a.Suspicions(at(0))
 	require.Len(t, all, 64)
 	require.Equal(t, "a", all[0].Zone, "the zone is reported first")
 }
@@ -200,19 +200,19 @@
 	raised := 0
 	for n := range 200 {
 		now := at(10 * n)
-		a.Note(now, "b1", unanswered(uint64(n%20+1), usual))
-		a.Decide(now, 7, 0)
-		for _, d := range a.Doubts(now) {
+		a.Record(now, "b1", unanswered(uint64(n%20+1), usual))
+		a.Evaluate(now, 7, 0)
+		for _, d := range a.Suspicions(now) {
 			raised++
-			a.Note(now, "b2", word.Event{Incarnation: d.Incarnation, Zone: d.Zone, Answered: true})
+			a.Record(now, "b2", evidence.Event{Incarnation: d.Incarnation, Zone: d.Zone, Answered: true})
 		}
 	}
 	require.Less(t, raised, 25, "69 if refutations do not raise the threshold")
 	now := at(30_000)
 	for i, from := range []string{"b1", "b2", "b3"} {
-		a.Note(now.Add(time.Duration(i)*time.Millisecond), from, unanswered(1, usual))
+		a.Record(now.Add(time.Duration(i)*time.Millisecond), from, unanswered(1, usual))
 	}
-	a.Decide(now.Add(5*time.Millisecond), 7, 0)
-	a.Decide(now.Add(100*time.Millisecond), 7, 0)
+	a.Evaluate(now.Add(5*time.Millisecond), 7, 0)
+	a.Evaluate(now.Add(100*time.Millisecond), 7, 0)
 	require.Contains(t, doubts(a, now.Add(100*time.Millisecond)), "U", "the threshold is back to normal after half a minute")
 }
--- a/internal/silence/confirmation/confirmation.go
+++ b/internal/silence/confirmation/confirmation.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
+	"wasabideal/internal/silence/evidence"
 	"wasabideal/internal/silence/probe"
-	"wasabideal/internal/silence/word"
 )
 
 const (
@@ -22,11 +22,11 @@
 	forgetAfter = 5 * time.Second
 )
 
-// Suspicion is a suspected subject with the upstreams that left packets unanswered.
-type Suspicion struct {
-	word.Doubt
+// Candidate is a suspected subject with the upstreams that left packets unanswered.
+type Candidate struct {
+	evidence.Suspicion
 	// Upstreams are the suspected upstream, or some upstreams of the suspected zone.
-	Upstreams []word.Subject
+	Upstreams []evidence.Subject
 }
 
 // hostState is the probe state of the host of one upstream.
@@ -39,22 +39,22 @@
 	suspectedAt time.Time
 }
 
-// Confirmation schedules the probes of one voter and keeps their outcomes.
-type Confirmation struct {
-	hosts   map[word.Subject]*hostState
+// Confirmer schedules the probes of one voter and keeps their outcomes.
+type Confirmer struct {
+	hosts   map[evidence.Subject]*hostState
 	running int
 	version uint64
 }
 
 // New returns a confirmation without outcomes.
-func New() *Confirmation { return &Confirmation{hosts: map[word.Subject]*hostState{}} }
+func New() *Confirmer { return &Confirmer{hosts: map[evidence.Subject]*hostState{}} }
 
 // Version increases whenever a probe changes whether a host counts as down.
-func (c *Confirmation) Version() uint64 { return c.version }
+func (c *Confirmer) Version() uint64 { return c.version }
 
-// Due returns the upstreams to probe now and marks their probes as running.
-func (c *Confirmation) Due(now time.Time, all []Suspicion) []word.Subject {
-	var due []word.Subject
+// NextProbes returns the upstreams to probe now and marks their probes as running.
+func (c *Confirmer) NextProbes(now time.Time, all []Candidate) []evidence.Subject {
+	var due []evidence.Subject
 	for _, s := range all {
 		for _, u := range s.targets() {
 			h := c.hosts[u]
@@ -92,8 +92,8 @@
 	}
 }
 
-// Probed records the outcome of a probe that Due requested.
-func (c *Confirmation) Probed(now, startedAt time.Time, u word.Subject, o probe.Outcome) {
+// RecordOutcome records the outcome of a probe that Due requested.
+func (c *Confirmer) RecordOutcome(now, startedAt time.Time, u evidence.Subject, o probe.Outcome) {
 	h := c.hosts[u]
 	if h == nil || !h.running {
 		return
@@ -107,17 +107,17 @@
 }
 
 // Confirm returns the suspicions, marked as unresponsive only if probes agree.
-func (c *Confirmation) Confirm(now time.Time, all []Suspicion) []word.Doubt {
-	out := make([]word.Doubt, 0, len(all))
+func (c *Confirmer) Confirm(now time.Time, all []Candidate) []evidence.Suspicion {
+	out := make([]evidence.Suspicion, 0, len(all))
 	for _, s := range all {
-		d := s.Doubt
+		d := s.Suspicion
 		d.Unresponsive = d.Unresponsive && c.confirmed(now, s)
 		out = append(out, d)
 	}
 	return out
 }
 
-func (c *Confirmation) confirmed(now time.Time, s Suspicion) bool {
+func (c *Confirmer) confirmed(now time.Time, s Candidate) bool {
 	down := 0
 	for _, u := range s.targets() {
 		h := c.hosts[u]
@@ -138,4 +138,6 @@
 }
 
 // targets returns the upstreams to probe for the suspicion.
-func (s Suspicion) targets() []word.Subject { return s.Upstreams[:min(len(s.Upstreams), zoneProbes)] }
+func (s Candidate) targets() []evidence.Subject {
+	return s.Upstreams[:min(len(s.Upstreams), zoneProbes)]
+}
--- a/internal/silence/confirmation/confirmation_test.go
+++ b/internal/silence/confirmation/confirmation_test.go
@@ -7,26 +7,26 @@
 	"github.com/stretchr/testify/require"
 
 	"wasabideal/internal/silence/confirmation"
+	"wasabideal/internal/silence/evidence"
 	"wasabideal/internal/silence/probe"
-	"wasabideal/internal/silence/word"
 )
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
 func at(milliseconds int) time.Time { return epoch.Add(time.Duration(milliseconds) * time.Millisecond) }
 
-func upstreams(ids ...uint64) []word.Subject {
-	var out []word.Subject
+func upstreams(ids ...uint64) []evidence.Subject {
+	var out []evidence.Subject
 	for _, id := range ids {
-		out = append(out, word.Subject{Incarnation: id})
+		out = append(out, evidence.Subject{Incarnation: id})
 	}
 	return out
 }
 
 // unresponsive returns an unresponsive subject whose first unanswered packet was sent at -300 ms.
-func unresponsive(now time.Time, s word.Subject, upstreams []word.Subject) []confirmation.Suspicion {
-	return []confirmation.Suspicion{{
-		Doubt: word.Doubt{Subject: s, Age: now.Sub(at(-300)), Unresponsive: true}, Upstreams: upstreams,
+func unresponsive(now time.Time, s evidence.Subject, upstreams []evidence.Subject) []confirmation.Candidate {
+	return []confirmation.Candidate{{
+		Suspicion: evidence.Suspicion{Subject: s, Age: now.Sub(at(-300)), Unresponsive: true}, Upstreams: upstreams,
 	}}
 }
 
@@ -35,14 +35,14 @@
 		probe.Inconclusive: false, probe.Accepted: false, probe.Refused: true, probe.Unanswered: true,
 	} {
 		c := confirmation.New()
-		all := unresponsive(at(0), word.Subject{Incarnation: 1}, upstreams(1))
+		all := unresponsive(at(0), evidence.Subject{Incarnation: 1}, upstreams(1))
 		require.False(t, c.Confirm(at(0), all)[0].Unresponsive, "not probed yet")
-		require.Equal(t, upstreams(1), c.Due(at(0), all))
-		require.Empty(t, c.Due(at(10), all), "a probe is running")
+		require.Equal(t, upstreams(1), c.NextProbes(at(0), all))
+		require.Empty(t, c.NextProbes(at(10), all), "a probe is running")
 		before := c.Version()
-		c.Probed(at(500), at(0), word.Subject{Incarnation: 1}, o)
+		c.RecordOutcome(at(500), at(0), evidence.Subject{Incarnation: 1}, o)
 		require.Equal(t, want, c.Version() > before)
-		all = unresponsive(at(500), word.Subject{Incarnation: 1}, upstreams(1))
+		all = unresponsive(at(500), evidence.Subject{Incarnation: 1}, upstreams(1))
 		require.Equal(t, want, c.Confirm(at(500), all)[0].Unresponsive, o.String())
 	}
 }
@@ -50,30 +50,30 @@
 // Guards against confirming a suspicion by a probe that started before its first packet.
 func TestProbeBeforeTheSuspicionIsIgnored(t *testing.T) {
 	c := confirmation.New()
-	all := unresponsive(at(0), word.Subject{Incarnation: 1}, upstreams(1))
-	c.Due(at(0), all)
-	c.Probed(at(500), at(0), word.Subject{Incarnation: 1}, probe.Unanswered)
+	all := unresponsive(at(0), evidence.Subject{Incarnation: 1}, upstreams(1))
+	c.NextProbes(at(0), all)
+	c.RecordOutcome(at(500), at(0), evidence.Subject{Incarnation: 1}, probe.Unanswered)
 	all[0].Age = 300 * time.Millisecond
 	require.False(t, c.Confirm(at(1000), all)[0].Unresponsive)
-	require.Equal(t, upstreams(1), c.Due(at(1000), all))
+	require.Equal(t, upstreams(1), c.NextProbes(at(1000), all))
 }
 
 // Guards against an upstream that stays unresponsive after its host has recovered.
 func TestRecoveredHostIsNoLongerUnresponsive(t *testing.T) {
 	c := confirmation.New()
-	all := unresponsive(at(0), word.Subject{Incarnation: 1}, upstreams(1))
-	c.Due(at(0), all)
-	c.Probed(at(500), at(0), word.Subject{Incarnation: 1}, probe.Unanswered)
+	all := unresponsive(at(0), evidence.Subject{Incarnation: 1}, upstreams(1))
+	c.NextProbes(at(0), all)
+	c.RecordOutcome(at(500), at(0), evidence.Subject{Incarnation: 1}, probe.Unanswered)
 	all[0].Age = 2 * time.Second
-	require.Empty(t, c.Due(at(1400), all))
-	require.Equal(t, upstreams(1), c.Due(at(1600), all))
+	require.Empty(t, c.NextProbes(at(1400), all))
+	require.Equal(t, upstreams(1), c.NextProbes(at(1600), all))
 	require.True(t, c.Confirm(at(1600), all)[0].Unresponsive, "until the next probe ends")
-	c.Probed(at(1601), at(1600), word.Subject{Incarnation: 1}, probe.Accepted)
+	c.RecordOutcome(at(1601), at(1600), evidence.Subject{Incarnation: 1}, probe.Accepted)
 	require.False(t, c.Confirm(at(1601), all)[0].Unresponsive)
 }
 
 func TestZoneIsUnresponsiveOnlyIfEnoughHostsAreDownAndNoneAccepts(t *testing.T) {
-	zone := word.Subject{Zone: "a"}
+	zone := evidence.Subject{Zone: "a"}
 	for name, c := range map[string]struct {
 		outcomes []probe.Outcome
 		want     bool
@@ -84,9 +84,9 @@
 	} {
 		x := confirmation.New()
 		all := unresponsive(at(0), zone, upstreams(1, 2, 3))
-		x.Due(at(0), all)
+		x.NextProbes(at(0), all)
 		for i, o := range c.outcomes {
-			x.Probed(at(500), at(0), word.Subject{Incarnation: uint64(i + 1)}, o)
+			x.RecordOutcome(at(500), at(0), evidence.Subject{Incarnation: uint64(i + 1)}, o)
 		}
 		all = unresponsive(at(500), zone, upstreams(1, 2, 3))
 		require.Equal(t, c.want, x.Confirm(at(500), all)[0].Unresponsive, name)
@@ -95,14 +95,14 @@
 
 func TestProbesAreBounded(t *testing.T) {
 	c := confirmation.New()
-	var all []confirmation.Suspicion
+	var all []confirmation.Candidate
 	for id := range uint64(500) {
-		all = append(all, unresponsive(at(0), word.Subject{Incarnation: id}, upstreams(id))...)
+		all = append(all, unresponsive(at(0), evidence.Subject{Incarnation: id}, upstreams(id))...)
 	}
-	require.Len(t, c.Due(at(0), all), 64)
-	require.Empty(t, c.Due(at(100), all))
+	require.Len(t, c.NextProbes(at(0), all), 64)
+	require.Empty(t, c.NextProbes(at(100), all))
 	for id := range uint64(500) {
-		c.Probed(at(500), at(0), word.Subject{Incarnation: id}, probe.Unanswered)
+		c.RecordOutcome(at(500), at(0), evidence.Subject{Incarnation: id}, probe.Unanswered)
 	}
-	require.Len(t, c.Due(at(600), all), 64)
+	require.Len(t, c.NextProbes(at(600), all), 64)
 }
--- a/internal/silence/witness/witness.go
+++ b/internal/silence/evaluators/evaluators.go
@@ -1,19 +1,19 @@
-package witness
+package evaluators
 
 import (
 	"wasabideal/internal/fanout/rendezvous"
-	"wasabideal/internal/silence/word"
+	"wasabideal/internal/silence/evidence"
 )
 
 // replicas is how many voters receive the evidence of one upstream, since one of them may have
 // just restarted or be partitioned.
 const replicas = 2
 
-// Share returns the events to send to each voter. Liveness reports go to all voters, since any
+// Assign returns the events to send to each voter. Liveness reports go to all voters, since any
 // of them may suspect the upstream's zone.
-func Share(voters []string, events []word.Event) map[string][]word.Event {
+func Assign(voters []string, events []evidence.Event) map[string][]evidence.Event {
 	nodes := rendezvous.New(voters)
-	shares := make(map[string][]word.Event, len(voters))
+	shares := make(map[string][]evidence.Event, len(voters))
 	for _, e := range events {
 		recipients := voters
 		if !e.Answered {
--- a/internal/silence/witness/witness_test.go
+++ b/internal/silence/evaluators/evaluators_test.go
@@ -1,4 +1,4 @@
-package witness_test
+package evaluators_test
 
 import (
 	"fmt"
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 
 	"wasabideal/internal/silence/accrual"
-	"wasabideal/internal/silence/witness"
-	"wasabideal/internal/silence/word"
+	"wasabideal/internal/silence/evaluators"
+	"wasabideal/internal/silence/evidence"
 )
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
@@ -26,25 +26,25 @@
 // each voter reported the same 64.
 func TestAllOfManyUnresponsiveUpstreamsAreReported(t *testing.T) {
 	const silent = 430
-	all := map[string]*accrual.Accrual{}
+	all := map[string]*accrual.Detector{}
 	for _, v := range voters(25) {
 		all[v] = accrual.New()
 	}
 	for id := range uint64(silent) {
 		for packet := range 4 {
 			from := fmt.Sprint("balancer ", packet%2)
-			for v, events := range witness.Share(voters(25), []word.Event{{Incarnation: id + 1, Zone: fmt.Sprint("z", id%5), Weight: 5}}) {
+			for v, events := range evaluators.Assign(voters(25), []evidence.Event{{Incarnation: id + 1, Zone: fmt.Sprint("z", id%5), Weight: 5}}) {
 				for _, e := range events {
-					all[v].Note(epoch, from, e)
+					all[v].Record(epoch, from, e)
 				}
 			}
 		}
 	}
 	reported := map[uint64]int{}
 	for _, a := range all {
-		a.Decide(epoch, 20, 0)
-		a.Decide(epoch.Add(time.Second), 20, 0)
-		for _, d := range a.Doubts(epoch.Add(time.Second)) {
+		a.Evaluate(epoch, 20, 0)
+		a.Evaluate(epoch.Add(time.Second), 20, 0)
+		for _, d := range a.Suspicions(epoch.Add(time.Second)) {
 			if d.Unresponsive && d.Incarnation != 0 {
 				reported[d.Incarnation]++
 			}
@@ -57,7 +57,7 @@
 }
 
 func TestLivenessReportsGoToAllVoters(t *testing.T) {
-	shares := witness.Share(voters(5), []word.Event{{Incarnation: 1, Answered: true}, {Incarnation: 2}})
+	shares := evaluators.Assign(voters(5), []evidence.Event{{Incarnation: 1, Answered: true}, {Incarnation: 2}})
 	missed := 0
 	require.Len(t, shares, 5)
 	for _, events := range shares {
@@ -68,6 +68,6 @@
 }
 
 func TestSingleParentReceivesAllEvents(t *testing.T) {
-	events := []word.Event{{Incarnation: 1}, {Incarnation: 2}, {Incarnation: 3, Answered: true}}
-	require.Equal(t, map[string][]word.Event{"parent": events}, witness.Share([]string{"parent"}, events))
+	events := []evidence.Event{{Incarnation: 1}, {Incarnation: 2}, {Incarnation: 3, Answered: true}}
+	require.Equal(t, map[string][]evidence.Event{"parent": events}, evaluators.Assign([]string{"parent"}, events))
 }
--- a/internal/silence/word/word.go
+++ b/internal/silence/evidence/evidence.go
@@ -1,4 +1,4 @@
-package word
+package evidence
 
 import "time"
 
@@ -35,8 +35,8 @@
 	Events []Event
 }
 
-// Doubt is the suspicion that a voter reports to balancers: a subject leaves packets unanswered.
-type Doubt struct {
+// Suspicion is the suspicion that a voter reports to balancers: a subject leaves packets unanswered.
+type Suspicion struct {
 	_ struct{} `cbor:",toarray"`
 	Subject
 	// Age is the time since the earliest of those packets was sent.
--- a/internal/silence/probe/probe.go
+++ b/internal/silence/probe/probe.go
@@ -33,8 +33,8 @@
 func (o Outcome) Down() bool { return o == Refused || o == Unanswered }
 
 const (
-	// Patience is the timeout for the answer of a host.
-	Patience = 500 * time.Millisecond
+	// Timeout is the timeout for the answer of a host.
+	Timeout = 500 * time.Millisecond
 	// attempts is the number of handshakes started in that time, since packets may be lost.
 	attempts = 3
 	// maxStall is by how much a probe may exceed its planned duration before this process counts
@@ -68,7 +68,7 @@
 func (p *Prober) Check(ctx context.Context, suspect netip.AddrPort, references []netip.AddrPort) Outcome {
 	// The dial timeout exceeds the wait, so that no handshake is cancelled while its answer
 	// is still unread.
-	ctx, cancel := context.WithTimeout(ctx, Patience+maxStall+2*drain)
+	ctx, cancel := context.WithTimeout(ctx, Timeout+maxStall+2*drain)
 	defer cancel()
 	answers := make(chan Outcome, attempts)
 	// References must answer during both the first and the last attempt.
@@ -83,14 +83,14 @@
 		case attempts - 1:
 			p.dialReferences(ctx, references, last)
 		}
-		if o, ok := p.wait(ctx, answers, Patience/attempts); ok {
+		if o, ok := p.wait(ctx, answers, Timeout/attempts); ok {
 			return o
 		}
 	}
 	if o, ok := p.wait(ctx, answers, drain); ok {
 		return o
 	}
-	if p.clock().Sub(startedAt) > Patience+drain+maxStall || len(first) == 0 || len(last) == 0 {
+	if p.clock().Sub(startedAt) > Timeout+drain+maxStall || len(first) == 0 || len(last) == 0 {
 		return Inconclusive
 	}
 	return Unanswered
--- a/internal/silence/sample/sample.go
+++ b/internal/silence/sample/sample.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"wasabideal/internal/silence/word"
+	"wasabideal/internal/silence/evidence"
 )
 
 const (
@@ -35,19 +35,19 @@
 	answeredAt time.Time
 }
 
-// Sample counts the recently relayed events of each upstream.
-type Sample struct {
+// Sampler counts the recently relayed events of each upstream.
+type Sampler struct {
 	bySubject map[subject]*counter
 	sweptAt   time.Time
 }
 
 // New returns an empty sample.
-func New() *Sample { return &Sample{bySubject: map[subject]*counter{}} }
+func New() *Sampler { return &Sampler{bySubject: map[subject]*counter{}} }
 
-// Take returns the events of a balancer that are to be relayed.
-func (s *Sample) Take(now time.Time, from string, events []word.Event) []word.Event {
+// Filter returns the events of a balancer that are to be relayed.
+func (s *Sampler) Filter(now time.Time, from string, events []evidence.Event) []evidence.Event {
 	s.sweep(now)
-	var out []word.Event
+	var out []evidence.Event
 	for _, e := range events {
 		if s.allow(now, from, e) {
 			out = append(out, e)
@@ -56,7 +56,7 @@
 	return out
 }
 
-func (s *Sample) allow(now time.Time, from string, e word.Event) bool {
+func (s *Sampler) allow(now time.Time, from string, e evidence.Event) bool {
 	k := subject{incarnation: e.Incarnation, born: e.Born}
 	c := s.bySubject[k]
 	if c == nil || now.Sub(c.startedAt) >= window {
@@ -85,7 +85,7 @@
 	return true
 }
 
-func (s *Sample) sweep(now time.Time) {
+func (s *Sampler) sweep(now time.Time) {
 	if now.Sub(s.sweptAt) < window {
 		return
 	}
--- a/internal/silence/sample/sample_test.go
+++ b/internal/silence/sample/sample_test.go
@@ -8,18 +8,18 @@
 	"github.com/stretchr/testify/require"
 
 	"wasabideal/internal/silence/accrual"
+	"wasabideal/internal/silence/evidence"
 	"wasabideal/internal/silence/sample"
-	"wasabideal/internal/silence/word"
 )
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func missed(incarnation uint64) word.Event {
-	return word.Event{Incarnation: incarnation, Zone: "a", Age: 190 * time.Millisecond, Weight: 4.6}
+func missed(incarnation uint64) evidence.Event {
+	return evidence.Event{Incarnation: incarnation, Zone: "a", Age: 190 * time.Millisecond, Weight: 4.6}
 }
 
-func answered(incarnation uint64, age time.Duration) word.Event {
-	return word.Event{Incarnation: incarnation, Zone: "a", Age: age, Answered: true}
+func answered(incarnation uint64, age time.Duration) evidence.Event {
+	return evidence.Event{Incarnation: incarnation, Zone: "a", Age: age, Answered: true}
 }
 
 // Guards against voters overloaded with reports when some upstreams lose power: each of 80
@@ -30,28 +30,28 @@
 	for b := range 80 {
 		for u := range uint64(20) {
 			for range 10 {
-				relayed += len(s.Take(epoch, fmt.Sprint("b", b), []word.Event{missed(u + 1)}))
+				relayed += len(s.Filter(epoch, fmt.Sprint("b", b), []evidence.Event{missed(u + 1)}))
 			}
 		}
 	}
 	require.Equal(t, 20*6, relayed)
-	require.NotEmpty(t, s.Take(epoch.Add(time.Second), "b1", []word.Event{missed(1)}), "events of the next window are relayed")
+	require.NotEmpty(t, s.Filter(epoch.Add(time.Second), "b1", []evidence.Event{missed(1)}), "events of the next window are relayed")
 }
 
 func TestRelayedReportsSufficeAsEvidence(t *testing.T) {
 	s, a := sample.New(), accrual.New()
 	for _, from := range []string{"b1", "b1", "b1", "b1", "b2", "b2", "b3"} {
-		for _, e := range s.Take(epoch, from, []word.Event{missed(1)}) {
-			a.Note(epoch, from, e)
+		for _, e := range s.Filter(epoch, from, []evidence.Event{missed(1)}) {
+			a.Record(epoch, from, e)
 		}
 	}
 	for now := epoch; now.Before(epoch.Add(300 * time.Millisecond)); now = now.Add(20 * time.Millisecond) {
-		a.Decide(now, 40, 0)
+		a.Evaluate(now, 40, 0)
 	}
-	for _, d := range a.Doubts(epoch.Add(300 * time.Millisecond)) {
+	for _, d := range a.Suspicions(epoch.Add(300 * time.Millisecond)) {
 		require.Equal(t, d.Zone == "", d.Unresponsive, "the upstream is unresponsive, its zone is not")
 	}
-	require.Len(t, a.Doubts(epoch), 2)
+	require.Len(t, a.Suspicions(epoch), 2)
 }
 
 // Guards against resets of flows to a live upstream: balancers receive responses one after
@@ -61,7 +61,7 @@
 	now := epoch
 	for i := range 10 {
 		now = epoch.Add(time.Duration(i) * 25 * time.Millisecond)
-		require.Len(t, s.Take(now, fmt.Sprint("b", i), []word.Event{answered(1, 0)}), 1)
+		require.Len(t, s.Filter(now, fmt.Sprint("b", i), []evidence.Event{answered(1, 0)}), 1)
 	}
-	require.Empty(t, s.Take(now, "b1", []word.Event{answered(1, 5*time.Millisecond)}))
+	require.Empty(t, s.Filter(now, "b1", []evidence.Event{answered(1, 5*time.Millisecond)}))
 }
--- a/internal/silence/doubts/doubts.go
+++ b/internal/silence/suspicions/suspicions.go
@@ -1,13 +1,13 @@
-package doubts
+package suspicions
 
 import (
 	"time"
 
-	"wasabideal/internal/silence/word"
+	"wasabideal/internal/silence/evidence"
 )
 
-// Doubt is the suspicion of one subject, in the balancer's own time.
-type Doubt struct {
+// Suspicion is the suspicion of one subject, in the balancer's own time.
+type Suspicion struct {
 	// First is when the first of the unanswered packets was sent.
 	First time.Time
 	// Unresponsive reports whether a voter has enough evidence.
@@ -20,28 +20,28 @@
 type report struct {
 	// at is when the report arrived, contact when the voter was last reachable.
 	at, contact time.Time
-	doubts      []word.Doubt
+	doubts      []evidence.Suspicion
 	// expired reports whether the voter's lease has expired.
 	expired bool
 }
 
-// Doubts holds the latest report of each voter. It is not safe for concurrent use.
-type Doubts struct {
+// Set holds the latest report of each voter. It is not safe for concurrent use.
+type Set struct {
 	lease   time.Duration
 	reports map[string]report
 }
 
 // New returns an empty set. A voter's report expires after the lease without contact.
-func New(lease time.Duration) *Doubts { return &Doubts{lease: lease, reports: map[string]report{}} }
+func New(lease time.Duration) *Set { return &Set{lease: lease, reports: map[string]report{}} }
 
-// Take replaces the report of a voter that is reachable now, and returns whether All may
+// Update replaces the report of a voter that is reachable now, and returns whether All may
 // have changed.
-func (d *Doubts) Take(now time.Time, voter string, all []word.Doubt) bool {
-	return d.Hear(now, now, voter, all)
+func (d *Set) Update(now time.Time, voter string, all []evidence.Suspicion) bool {
+	return d.UpdateRelayed(now, now, voter, all)
 }
 
-// Hear does the same for a relayed report; contact is when the voter was last reachable.
-func (d *Doubts) Hear(now, contact time.Time, voter string, all []word.Doubt) bool {
+// UpdateRelayed does the same for a relayed report; contact is when the voter was last reachable.
+func (d *Set) UpdateRelayed(now, contact time.Time, voter string, all []evidence.Suspicion) bool {
 	before := d.reports[voter]
 	if len(all) == 0 {
 		delete(d.reports, voter)
@@ -51,16 +51,16 @@
 	return true
 }
 
-// Contact records that a voter was reachable and its report is unchanged.
-func (d *Doubts) Contact(contact time.Time, voter string) {
+// RecordContact records that a voter was reachable and its report is unchanged.
+func (d *Set) RecordContact(contact time.Time, voter string) {
 	if r, ok := d.reports[voter]; ok && contact.After(r.contact) {
 		r.contact = contact
 		d.reports[voter] = r
 	}
 }
 
-// Stand returns whether any voter with a valid lease suspects anything.
-func (d *Doubts) Stand() bool {
+// Any returns whether any voter with a valid lease suspects anything.
+func (d *Set) Any() bool {
 	for _, r := range d.reports {
 		if !r.expired {
 			return true
@@ -69,9 +69,9 @@
 	return false
 }
 
-// Expired updates which reports have expired because their voter has not answered for the
+// Expire updates which reports have expired because their voter has not answered for the
 // lease, and returns whether any expired or became valid again.
-func (d *Doubts) Expired(now time.Time) bool {
+func (d *Set) Expire(now time.Time) bool {
 	changed := false
 	for voter, r := range d.reports {
 		if expired := now.Sub(r.contact) > d.lease; expired != r.expired {
@@ -85,8 +85,8 @@
 
 // All merges the valid reports. The report of one voter suffices, since the others may be
 // partitioned from the balancers that observed the timeouts.
-func (d *Doubts) All() map[word.Subject]Doubt {
-	all := map[word.Subject]Doubt{}
+func (d *Set) All() map[evidence.Subject]Suspicion {
+	all := map[evidence.Subject]Suspicion{}
 	for voter, r := range d.reports {
 		if r.expired {
 			continue
--- a/internal/soak/run/callers.go
+++ b/internal/soak/run/callers.go
@@ -61,7 +61,7 @@
 			return
 		}
 		c.run.callersProcessor.wait()
-		p, _, err := c.run.settings.World.Decode(append([]byte(nil), buffer[:n]...), false)
+		p, _, err := c.run.settings.Platform.Decode(append([]byte(nil), buffer[:n]...), false)
 		if err != nil {
 			c.run.violated(InvariantResponse, err.Error())
 			continue
@@ -81,7 +81,7 @@
 		return
 	}
 	to := ready[flowHash(s.Caller, s.Address)%uint64(len(ready))]
-	c.run.network.deliver(func() { _, _ = c.conn.WriteToUDPAddrPort(c.run.settings.World.Encode(s), to) })
+	c.run.network.deliver(func() { _, _ = c.conn.WriteToUDPAddrPort(c.run.settings.Platform.Encode(s), to) })
 }
 
 // flowHash is the fabric's hash over both addresses of a flow.
--- a/internal/soak/run/evacuate.go
+++ b/internal/soak/run/evacuate.go
@@ -41,7 +41,7 @@
 func (r *Run) requestEvacuation(n int, zone string, evacuate bool) bool {
 	for try := range r.apis {
 		api := r.apis[(n+try)%len(r.apis)]
-		if r.settings.World.Evacuate(context.Background(), api, zone, evacuate) == nil {
+		if r.settings.Platform.Evacuate(context.Background(), api, zone, evacuate) == nil {
 			return true
 		}
 	}
--- a/internal/soak/run/operate.go
+++ b/internal/soak/run/operate.go
@@ -28,7 +28,7 @@
 	r.mu.Unlock()
 	for try := range r.apis {
 		api := r.apis[(int(c.Revision)+try)%len(r.apis)]
-		if r.settings.World.Publish(context.Background(), api, c) == nil {
+		if r.settings.Platform.Publish(context.Background(), api, c) == nil {
 			r.mu.Lock()
 			r.acknowledged = max(r.acknowledged, c.Revision)
 			r.mu.Unlock()
@@ -57,7 +57,7 @@
 	r.mu.Lock()
 	minRevision := r.acknowledged
 	r.mu.Unlock()
-	revision, err := r.settings.World.Read(context.Background(), api)
+	revision, err := r.settings.Platform.Read(context.Background(), api)
 	if err != nil {
 		return false
 	}
@@ -72,7 +72,7 @@
 	for !r.hasEnded() {
 		var ready []string
 		for _, b := range r.balancers {
-			if r.settings.World.Ready(context.Background(), fmt.Sprintf("%s:%d", b, ReadyPort)) {
+			if r.settings.Platform.Ready(context.Background(), fmt.Sprintf("%s:%d", b, ReadyPort)) {
 				failures[b] = 0
 			} else {
 				failures[b]++
--- a/internal/soak/run/run.go
+++ b/internal/soak/run/run.go
@@ -51,7 +51,7 @@
 	balancers []string
 	proxies   []*proxy.Proxy
 	closers   []func()
-	machines  []Machine
+	machines  []VM
 	running   sync.WaitGroup
 
 	mu        sync.Mutex
@@ -74,10 +74,10 @@
 	opened, unopened, answered, unanswered int
 }
 
-// Play executes one run and returns its counts and violated invariants.
+// Execute executes one run and returns its counts and violated invariants.
 //
 // Cancelling the context ends fault injection early; the recovery is still checked.
-func Play(ctx context.Context, s Settings) (Result, error) {
+func Execute(ctx context.Context, s Settings) (Result, error) {
 	if err := s.check(); err != nil {
 		return Result{Seed: s.Seed}, err
 	}
@@ -189,7 +189,7 @@
 			return err
 		}
 		r.proxies = append(r.proxies, p)
-		if err := r.startMachine(Machine{
+		if err := r.startMachine(VM{
 			Role: "voter", Name: fmt.Sprint("voter-", z), Zone: r.zone(z), Ip: ip(kindVoter, z, 0), Seeds: list,
 			Advertise: fmt.Sprintf("%s:%d", ip(kindProxy, z, 0), RpcPort), Founding: true,
 		}); err != nil {
@@ -198,7 +198,7 @@
 	}
 	for n := range r.settings.Balancers {
 		z := n % r.settings.Zones
-		m := Machine{Role: "balancer", Name: fmt.Sprint("balancer-", n), Zone: r.zone(z), Ip: ip(kindBalancer, z, n), Seeds: list}
+		m := VM{Role: "balancer", Name: fmt.Sprint("balancer-", n), Zone: r.zone(z), Ip: ip(kindBalancer, z, n), Seeds: list}
 		if err := r.startMachine(m); err != nil {
 			return err
 		}
@@ -209,18 +209,18 @@
 
 func (r *Run) zone(z int) string { return fmt.Sprint("zone-", z%r.settings.Zones) }
 
-func (r *Run) startMachine(m Machine) error {
+func (r *Run) startMachine(m VM) error {
 	m.Folder = filepath.Join(r.settings.Folder, m.Name)
 	if err := os.MkdirAll(m.Folder, 0o750); err != nil {
 		return fmt.Errorf("create folder: %w", err)
 	}
 	file := filepath.Join(r.settings.Folder, m.Name+".toml")
-	if err := os.WriteFile(file, []byte(r.settings.World.Settings(m)), 0o600); err != nil {
+	if err := os.WriteFile(file, []byte(r.settings.Platform.Settings(m)), 0o600); err != nil {
 		return fmt.Errorf("write settings: %w", err)
 	}
 	p := &fleet.Process{
 		Name: m.Name, Program: r.settings.Program, Arguments: []string{"machine"},
-		Environment: []string{r.settings.World.Environment(file)}, Log: filepath.Join(r.settings.Folder, m.Name+".log"),
+		Environment: []string{r.settings.Platform.Environment(file)}, Log: filepath.Join(r.settings.Folder, m.Name+".log"),
 	}
 	r.processes[m.Name] = p
 	r.names = append(r.names, m.Name)
@@ -234,7 +234,7 @@
 	for _, m := range r.machines {
 		m.Founding = false
 		file := filepath.Join(r.settings.Folder, m.Name+".toml")
-		if err := os.WriteFile(file, []byte(r.settings.World.Settings(m)), 0o600); err != nil {
+		if err := os.WriteFile(file, []byte(r.settings.Platform.Settings(m)), 0o600); err != nil {
 			return fmt.Errorf("write settings: %w", err)
 		}
 	}
--- a/internal/soak/run/run_test.go
+++ b/internal/soak/run/run_test.go
@@ -10,7 +10,7 @@
 
 // Guards against a panic if more VMs are configured than there are addresses.
 func TestSettingsOutOfBoundsAreRejected(t *testing.T) {
-	_, err := run.Play(t.Context(), run.Settings{Zones: 3, Balancers: 6, Upstreams: 8, Callers: 100_000})
+	_, err := run.Execute(t.Context(), run.Settings{Zones: 3, Balancers: 6, Upstreams: 8, Callers: 100_000})
 	var setting *run.SettingError
 	require.ErrorAs(t, err, &setting)
 	require.Equal(t, "Callers", setting.Name)
--- a/internal/soak/run/upstreams.go
+++ b/internal/soak/run/upstreams.go
@@ -97,7 +97,7 @@
 			apis = append(apis, b.run.apis[(n+try)%len(b.run.apis)])
 		}
 		for _, api := range lo.Compact(apis) {
-			referred, err := b.run.settings.World.Announce(context.Background(), api, u)
+			referred, err := b.run.settings.Platform.Announce(context.Background(), api, u)
 			if err != nil {
 				next = ""
 				continue
@@ -113,7 +113,7 @@
 		select {
 		case <-b.done:
 			return
-		case <-time.After(AnnounceEvery):
+		case <-time.After(AnnounceInterval):
 		}
 	}
 }
@@ -152,7 +152,7 @@
 			return
 		}
 		b.wait()
-		p, incarnation, err := b.run.settings.World.Decode(buffer[:n], true)
+		p, incarnation, err := b.run.settings.Platform.Decode(buffer[:n], true)
 		if err != nil {
 			b.run.violated(InvariantResponse, err.Error())
 			continue
@@ -213,7 +213,7 @@
 	s.Cookie, s.Acknowledged, s.Sequence = p.Cookie, acknowledged, p.Acknowledged
 	to := netip.AddrPortFrom(p.Caller.Addr(), FabricPort)
 	// Send errors are ignored: the caller may have stopped.
-	b.run.network.deliver(func() { _, _ = b.conn.WriteToUDPAddrPort(b.run.settings.World.Encode(s), to) })
+	b.run.network.deliver(func() { _, _ = b.conn.WriteToUDPAddrPort(b.run.settings.Platform.Encode(s), to) })
 }
 
 // cookie returns the cookie of flows that were opened since the last restart.
--- a/internal/soak/run/world.go
+++ b/internal/soak/run/world.go
@@ -19,11 +19,11 @@
 	MetricsPort = 9464
 )
 
-// AnnounceEvery is the interval between two announcements of an upstream.
-const AnnounceEvery = 400 * time.Millisecond
+// AnnounceInterval is the interval between two announcements of an upstream.
+const AnnounceInterval = 400 * time.Millisecond
 
-// Machine describes the simulated VM on which a process runs.
-type Machine struct {
+// VM describes the simulated VM on which a process runs.
+type VM struct {
 	Role, Name, Zone, Ip string
 	// Advertise is the RPC address that other processes use.
 	Advertise string
@@ -40,9 +40,9 @@
 	Data              []byte
 }
 
-// World implements the platform-specific side of the interfaces between processes.
-type World interface {
-	Settings(m Machine) string
+// Platform implements the platform-specific side of the interfaces between processes.
+type Platform interface {
+	Settings(m VM) string
 	Environment(file string) string
 	Publish(ctx context.Context, address string, c configuration.Configuration) error
 	Read(ctx context.Context, address string) (uint64, error)
@@ -67,8 +67,8 @@
 	Folder                               string
 	Zones, Balancers, Upstreams, Callers int
 	// Busy is the number of busy loops that compete with the run for CPU time.
-	Busy  int
-	World World
+	Busy     int
+	Platform Platform
 }
 
 // SettingError reports a setting outside its bounds.
--- a/internal/standin/server/server.go
+++ b/internal/standin/rpctest/rpctest.go
@@ -1,4 +1,4 @@
-package server
+package rpctest
 
 import (
 	"context"
--- a/internal/standin/virtual/virtual.go
+++ b/internal/standin/virtual/virtual.go
@@ -22,17 +22,19 @@
 	return last
 }
 
-// Time is a virtual clock with a queue of scheduled events. It is not safe for concurrent use.
-type Time struct {
+// Clock is a virtual clock with a queue of scheduled events. It is not safe for concurrent use.
+type Clock struct {
 	Now    time.Time
 	events queue
 }
 
-// After schedules a function call after a duration of virtual time.
-func (t *Time) After(d time.Duration, call func()) { heap.Push(&t.events, event{t.Now.Add(d), call}) }
+// AfterFunc schedules a function call after a duration of virtual time.
+func (t *Clock) AfterFunc(d time.Duration, call func()) {
+	heap.Push(&t.events, event{t.Now.Add(d), call})
+}
 
-// Run executes all events up to and including the given time and advances the clock to it.
-func (t *Time) Run(until time.Time) {
+// RunUntil executes all events up to and including the given time and advances the clock to it.
+func (t *Clock) RunUntil(until time.Time) {
 	for len(t.events) > 0 && !t.events[0].at.After(until) {
 		e := heap.Pop(&t.events).(event)
 		t.Now = e.at
--- a/internal/start/fill/fill.go
+++ b/internal/start/applydefaults/applydefaults.go
@@ -1,4 +1,4 @@
-package fill
+package applydefaults
 
 import (
 	"context"
@@ -21,6 +21,6 @@
 	if err != nil {
 		return err
 	}
-	do.OverrideValue(i, defaults.Pass{}.Apply(s))
+	do.OverrideValue(i, defaults.Defaults{}.Apply(s))
 	return nil
 }
--- a/internal/start/fill/doc.go
+++ b/internal/start/applydefaults/doc.go
@@ -1,2 +1,2 @@
 // Package fill implements the stage that sets the defaults of settings.
-package fill
+package applydefaults
--- a/internal/start/verify/verify.go
+++ b/internal/start/checksettings/checksettings.go
@@ -1,4 +1,4 @@
-package verify
+package checksettings
 
 import (
 	"context"
--- a/internal/start/verify/doc.go
+++ b/internal/start/checksettings/doc.go
@@ -1,2 +1,2 @@
 // Package verify implements the stage that validates the settings.
-package verify
+package checksettings
--- a/internal/start/read/doc.go
+++ b/internal/start/readsettings/doc.go
@@ -1,2 +1,2 @@
 // Package read implements the stage that reads the settings file.
-package read
+package readsettings
--- a/internal/start/read/read.go
+++ b/internal/start/readsettings/readsettings.go
@@ -1,4 +1,4 @@
-package read
+package readsettings
 
 import (
 	"context"
--- a/internal/start/wait/wait.go
+++ b/internal/start/serve/serve.go
@@ -1,4 +1,4 @@
-package wait
+package serve
 
 import (
 	"context"
@@ -30,7 +30,7 @@
 	c, noControl := do.Invoke[*control.Control](i)
 	var stopRequested <-chan struct{}
 	if noBalancer == nil {
-		stopRequested = b.StopAsked()
+		stopRequested = b.StopRequested()
 	}
 	select {
 	case s := <-signals:
--- a/internal/start/route/doc.go
+++ b/internal/start/startbalancer/doc.go
@@ -1,2 +1,2 @@
 // Package route implements the stage that starts a balancer.
-package route
+package startbalancer
--- a/internal/start/route/flusher.go
+++ b/internal/start/startbalancer/flusher.go
@@ -1,4 +1,4 @@
-package route
+package startbalancer
 
 import (
 	"bufio"
--- a/internal/start/route/route.go
+++ b/internal/start/startbalancer/startbalancer.go
@@ -1,4 +1,4 @@
-package route
+package startbalancer
 
 import (
 	"bufio"
@@ -81,9 +81,9 @@
 	}
 	var c configuration.Configuration
 	if err == nil && json.Unmarshal(b, &c) == nil && c.Check() == nil {
-		x.Stored = &c
+		x.SavedConfiguration = &c
 	}
-	x.Store = func(c configuration.Configuration) error {
+	x.SaveConfiguration = func(c configuration.Configuration) error {
 		b, err := json.Marshal(c)
 		if err != nil {
 			return fmt.Errorf("encode configuration: %w", err)
--- a/internal/start/vote/vote.go
+++ b/internal/start/startvoter/startvoter.go
@@ -1,4 +1,4 @@
-package vote
+package startvoter
 
 import (
 	"context"
--- a/internal/upstream/directory/directory.go
+++ b/internal/upstream/directory/directory.go
@@ -107,11 +107,11 @@
 	return false, true
 }
 
-// Recall adds an upstream that another voter received before a restart, unless the same or a
+// Restore adds an upstream that another voter received before a restart, unless the same or a
 // later run of it is known. It is forgotten without a notice if it does not announce itself
 // here: otherwise, seconds after a power loss of all VMs, each voter would publish thousands of
 // silent upstreams to every balancer.
-func (d *Directory) Recall(now time.Time, u upstream.Upstream, cold time.Duration) {
+func (d *Directory) Restore(now time.Time, u upstream.Upstream, cold time.Duration) {
 	if old := d.entries[u.Incarnation]; old != nil && u.Born <= old.Born {
 		return
 	}
@@ -246,9 +246,9 @@
 	return e.Address, true
 }
 
-// Heard returns the addresses of the upstreams with the most recent announcements, except for
+// RecentAddresses returns the addresses of the upstreams with the most recent announcements, except for
 // the excluded ones.
-func (d *Directory) Heard(limit int, excluded func(incarnation uint64) bool) []netip.AddrPort {
+func (d *Directory) RecentAddresses(limit int, excluded func(incarnation uint64) bool) []netip.AddrPort {
 	latestFirst := func(a, b *entry) int { return b.lastAnnounced.Compare(a.lastAnnounced) }
 	var latest []*entry
 	for id, e := range d.entries {
--- a/internal/upstream/directory/directory_test.go
+++ b/internal/upstream/directory/directory_test.go
@@ -146,7 +146,7 @@
 	}
 	ports := func(most int) []uint16 {
 		var out []uint16
-		for _, a := range d.Heard(most, func(id uint64) bool { return id == 6 }) {
+		for _, a := range d.RecentAddresses(most, func(id uint64) bool { return id == 6 }) {
 			out = append(out, a.Port())
 		}
 		return out
@@ -168,7 +168,7 @@
 // megabytes to each of 290 balancers, and upstreams that timed out all switched to one voter.
 func TestSilenceOfARecalledUpstreamIsNotPublished(t *testing.T) {
 	d := newDirectory()
-	d.Recall(epoch, announced(1, 7, upstream.Ready), 0)
+	d.Restore(epoch, announced(1, 7, upstream.Ready), 0)
 	require.True(t, d.Since(epoch, 0)[0].Recalled)
 	version := d.Version()
 	require.False(t, d.Tick(epoch.Add(5*time.Second)))
@@ -178,12 +178,12 @@
 
 func TestAnnouncementOfARecalledUpstreamIsPublished(t *testing.T) {
 	d := newDirectory()
-	d.Recall(epoch, announced(1, 7, upstream.Ready), 0)
+	d.Restore(epoch, announced(1, 7, upstream.Ready), 0)
 	publish, newer := d.Announce(epoch.Add(time.Second), announced(1, 8, upstream.Ready), 0)
 	require.True(t, publish)
 	require.True(t, newer)
 	require.False(t, d.Since(epoch, 0)[0].Recalled)
-	d.Recall(epoch.Add(time.Second), announced(1, 7, upstream.Ready), 0)
+	d.Restore(epoch.Add(time.Second), announced(1, 7, upstream.Ready), 0)
 	require.False(t, d.Since(epoch, 0)[0].Recalled, "an announced upstream is not recalled")
 }
 
@@ -219,7 +219,7 @@
 		publish, newer := d.Announce(epoch.Add(time.Second), startedAt(100, 90, s), 0)
 		require.False(t, publish)
 		require.False(t, newer)
-		d.Recall(epoch, startedAt(100, 95, s), 0)
+		d.Restore(epoch, startedAt(100, 95, s), 0)
 		require.Equal(t, startedAt(200, 1, upstream.Ready), d.Since(epoch, 0)[0].Upstream)
 	}
 }
--- a/internal/upstream/handover/handover.go
+++ b/internal/upstream/handover/handover.go
@@ -21,9 +21,9 @@
 	relayedShare = 1.0 / 12
 )
 
-// Gather returns the batch delay at a level of the balancer tree for announcements with an
+// BatchDelay returns the batch delay at a level of the balancer tree for announcements with an
 // interval, which upstreams make directly to the balancer or other balancers forward to it.
-func Gather(interval time.Duration, level int, direct bool) time.Duration {
+func BatchDelay(interval time.Duration, level int, direct bool) time.Duration {
 	share := relayedShare
 	switch {
 	case level == 0 || direct && level == 1:
@@ -62,8 +62,8 @@
 	at   time.Time
 }
 
-// Handover batches announcements; it is safe for concurrent use.
-type Handover struct {
+// Batcher batches announcements; it is safe for concurrent use.
+type Batcher struct {
 	clock func() time.Time
 	send  func(ctx context.Context, all []Announcement) error
 	mu    sync.Mutex
@@ -71,13 +71,13 @@
 }
 
 // New returns a handover that sends its batches with send.
-func New(clock func() time.Time, send func(ctx context.Context, all []Announcement) error) *Handover {
-	return &Handover{clock: clock, send: send}
+func New(clock func() time.Time, send func(ctx context.Context, all []Announcement) error) *Batcher {
+	return &Batcher{clock: clock, send: send}
 }
 
 // Add adds announcements to the next batch, which is sent after the delay at the latest, and
 // returns once it has been sent.
-func (h *Handover) Add(ctx context.Context, delay time.Duration, all ...Announcement) error {
+func (h *Batcher) Add(ctx context.Context, delay time.Duration, all ...Announcement) error {
 	b := h.join(delay, all)
 	select {
 	case <-b.done:
@@ -88,7 +88,7 @@
 }
 
 // join adds announcements to the next batch and keeps the latest one of each upstream.
-func (h *Handover) join(delay time.Duration, all []Announcement) *batch {
+func (h *Batcher) join(delay time.Duration, all []Announcement) *batch {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := h.clock()
@@ -109,7 +109,7 @@
 }
 
 // flush sends a batch and reports the result to all callers that wait for it.
-func (h *Handover) flush(b *batch) {
+func (h *Batcher) flush(b *batch) {
 	h.mu.Lock()
 	if h.next != b {
 		// The batch was already sent: a later announcement had a shorter delay.
--- a/internal/upstream/handover/handover_test.go
+++ b/internal/upstream/handover/handover_test.go
@@ -20,9 +20,9 @@
 func TestBatchDelaysAddUpToLessThanASecond(t *testing.T) {
 	const interval = 1200 * time.Millisecond
 	for level := range 5 {
-		all := handover.Gather(interval, level, true)
+		all := handover.BatchDelay(interval, level, true)
 		for above := range level {
-			all += handover.Gather(interval, above, false)
+			all += handover.BatchDelay(interval, above, false)
 		}
 		require.LessOrEqual(t, all, 800*time.Millisecond)
 	}
--- a/internal/upstream/home/doc.go
+++ b/internal/upstream/owner/doc.go
@@ -6,4 +6,4 @@
 //
 // All announcements of an upstream therefore go to one voter, in its own availability zone if
 // possible, so that the voter's notices reach the balancers there when the zone is partitioned.
-package home
+package owner
--- a/internal/upstream/home/home.go
+++ b/internal/upstream/owner/owner.go
@@ -1,4 +1,4 @@
-package home
+package owner
 
 import (
 	"strconv"
--- a/internal/upstream/home/home_test.go
+++ b/internal/upstream/owner/owner_test.go
@@ -1,4 +1,4 @@
-package home_test
+package owner_test
 
 import (
 	"net/netip"
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 
 	"wasabideal/internal/model/upstream"
-	"wasabideal/internal/upstream/home"
+	"wasabideal/internal/upstream/owner"
 )
 
 func announcement(incarnation uint64) upstream.Upstream {
@@ -15,23 +15,23 @@
 }
 
 func TestVoterOfTheOwnZoneIsPreferred(t *testing.T) {
-	require.Equal(t, "v1", home.Of(announcement(1), []home.Voter{{Address: "v2", Zone: "b"}, {Address: "v1", Zone: "a"}}))
-	require.Equal(t, "v2", home.Of(announcement(1), []home.Voter{{Address: "v2", Zone: "b"}}))
-	require.Empty(t, home.Of(announcement(1), nil))
+	require.Equal(t, "v1", owner.Of(announcement(1), []owner.Voter{{Address: "v2", Zone: "b"}, {Address: "v1", Zone: "a"}}))
+	require.Equal(t, "v2", owner.Of(announcement(1), []owner.Voter{{Address: "v2", Zone: "b"}}))
+	require.Empty(t, owner.Of(announcement(1), nil))
 }
 
 // Guards against callers that wait for a replaced upstream: its successor at the same address
 // announces itself to another voter, so that the old one stays live until its announcements are
 // overdue.
 func TestUpstreamsOfOneAddressHaveOneVoter(t *testing.T) {
-	all := []home.Voter{{Address: "v1", Zone: "a"}, {Address: "v2", Zone: "a"}, {Address: "v3", Zone: "a"}, {Address: "v4", Zone: "b"}}
+	all := []owner.Voter{{Address: "v1", Zone: "a"}, {Address: "v2", Zone: "a"}, {Address: "v3", Zone: "a"}, {Address: "v4", Zone: "b"}}
 	assigned := map[string]int{}
 	for i := range uint64(300) {
 		before, after := announcement(2*i), announcement(2*i+1)
 		before.Address = netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}), 80)
 		after.Address = before.Address
-		assigned[home.Of(before, all)]++
-		require.Equal(t, home.Of(before, all), home.Of(after, all))
+		assigned[owner.Of(before, all)]++
+		require.Equal(t, owner.Of(before, all), owner.Of(after, all))
 	}
 	require.Len(t, assigned, 3)
 }
@@ -39,12 +39,12 @@
 // Guards against republishing all upstreams of a zone to all balancers when one of its three
 // voters fails, because all upstreams are reassigned.
 func TestOnlyTheUpstreamsOfAFailedVoterMove(t *testing.T) {
-	all := []home.Voter{{Address: "v1", Zone: "a"}, {Address: "v2", Zone: "a"}, {Address: "v3", Zone: "a"}}
+	all := []owner.Voter{{Address: "v1", Zone: "a"}, {Address: "v2", Zone: "a"}, {Address: "v3", Zone: "a"}}
 	assigned := map[string]int{}
 	for i := range uint64(300) {
-		before := home.Of(announcement(i), all)
+		before := owner.Of(announcement(i), all)
 		assigned[before]++
-		if after := home.Of(announcement(i), all[:2]); before != "v3" {
+		if after := owner.Of(announcement(i), all[:2]); before != "v3" {
 			require.Equal(t, before, after)
 		}
 	}
--- a/internal/upstream/registry/gossip.go
+++ b/internal/upstream/registry/gossip.go
@@ -41,9 +41,9 @@
 	return fixedSize + len(u.Service) + len(u.Zone) + len(u.Door)
 }
 
-// Load returns a gossip payload of at most budget bytes: changes, least often gossiped first,
+// Payload returns a gossip payload of at most budget bytes: changes, least often gossiped first,
 // then renewals, and an old announcement in rotation if there is no change and space is left.
-func (r *Registry) Load(_ time.Time, budget int) []byte {
+func (r *Registry) Payload(_ time.Time, budget int) []byte {
 	entries := r.sorted()
 	if len(entries) == 0 {
 		return nil
@@ -93,9 +93,9 @@
 	return renewals, budget
 }
 
-// Unload merges the gossip payload of another balancer. Its announcements need no service token,
+// HandlePayload merges the gossip payload of another balancer. Its announcements need no service token,
 // since the group token authenticates gossip.
-func (r *Registry) Unload(now time.Time, _ swim.Member, data []byte) {
+func (r *Registry) HandlePayload(now time.Time, _ swim.Member, data []byte) {
 	var update wireUpdate
 	if len(data) == 0 || cbor.Unmarshal(data, &update) != nil {
 		return
--- a/internal/upstream/registry/registry.go
+++ b/internal/upstream/registry/registry.go
@@ -93,11 +93,11 @@
 // Evacuations returns the evacuations in effect.
 func (r *Registry) Evacuations() evacuation.Evacuations { return r.evacuations }
 
-// SetReach sets the zones with a reachable balancer, and returns whether they changed. A zone
+// SetReachableZones sets the zones with a reachable balancer, and returns whether they changed. A zone
 // whose balancers have all become unreachable gets no new flows, even while its leases are
 // valid: the opening packet would be lost, and its retransmission may open the flow a second
 // time on the other side of a partition.
-func (r *Registry) SetReach(zones map[string]bool) bool {
+func (r *Registry) SetReachableZones(zones map[string]bool) bool {
 	if maps.Equal(zones, r.reachableZones) {
 		return false
 	}
@@ -221,11 +221,11 @@
 }
 
 // Pool returns the upstreams that get new flows of a service.
-func (r *Registry) Pool(now time.Time, service string) []router.Pooled {
+func (r *Registry) Pool(now time.Time, service string) []router.PoolMember {
 	es := r.serving(now, service)
-	pool := make([]router.Pooled, 0, len(es))
+	pool := make([]router.PoolMember, 0, len(es))
 	for _, e := range es {
-		pool = append(pool, router.Pooled{Identity: e.Identity, Zone: e.Zone, Share: r.share(now, e)})
+		pool = append(pool, router.PoolMember{Identity: e.Identity, Zone: e.Zone, Share: r.share(now, e)})
 	}
 	return pool
 }
@@ -303,8 +303,8 @@
 	return coldShare + (1-coldShare)*float64(age)/float64(duration)
 }
 
-// Holders returns the service of each announced address.
-func (r *Registry) Holders() map[netip.AddrPort]string {
+// ServicesByAddress returns the service of each announced address.
+func (r *Registry) ServicesByAddress() map[netip.AddrPort]string {
 	h := make(map[netip.AddrPort]string, len(r.entries))
 	for a, e := range r.entries {
 		h[a] = e.Service
--- a/internal/upstream/view/fleet_test.go
+++ b/internal/upstream/view/fleet_test.go
@@ -8,8 +8,8 @@
 
 	"wasabideal/internal/cookie/router"
 	"wasabideal/internal/model/upstream"
-	"wasabideal/internal/silence/doubts"
-	"wasabideal/internal/silence/word"
+	"wasabideal/internal/silence/evidence"
+	"wasabideal/internal/silence/suspicions"
 	"wasabideal/internal/upstream/directory"
 	"wasabideal/internal/upstream/view"
 )
@@ -47,7 +47,7 @@
 
 func (f *fleet) apply(now time.Time, voter int, notices ...directory.Notice) {
 	f.version++
-	f.view.Hear(now, view.News{Voter: fmt.Sprintf("v%d", voter), Life: 1, Version: f.version, Contact: now, Notices: notices})
+	f.view.Apply(now, view.Update{Voter: fmt.Sprintf("v%d", voter), Life: 1, Version: f.version, Contact: now, Notices: notices})
 }
 
 func (f *fleet) refresh(now time.Time) {
@@ -100,9 +100,9 @@
 	for _, n := range []int{150, 3000, 10000, 20000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			f := newFleet(n, 25)
-			all := map[word.Subject]doubts.Doubt{{Incarnation: 7}: {First: epoch}}
+			all := map[evidence.Subject]suspicions.Suspicion{{Incarnation: 7}: {First: epoch}}
 			for range b.N {
-				f.router.Doubt(epoch, all)
+				f.router.SetSuspicions(epoch, all)
 			}
 		})
 	}
--- a/internal/upstream/view/view.go
+++ b/internal/upstream/view/view.go
@@ -13,9 +13,9 @@
 type Settings struct {
 	// ContactLease is how long the liveness reports of a voter stay valid without contact.
 	ContactLease time.Duration
-	// InheritFor is how long an upstream stays live that a voter knows only from before its
+	// ProvisionalTTL is how long an upstream stays live that a voter knows only from before its
 	// restart, or has recalled.
-	InheritFor time.Duration
+	ProvisionalTTL time.Duration
 	// ForgetAfter is how long an upstream is kept without a valid notice.
 	ForgetAfter time.Duration
 }
@@ -30,8 +30,8 @@
 	Ended bool
 }
 
-// News is an update from one voter, received directly or through relaying balancers.
-type News struct {
+// Update is an update from one voter, received directly or through relaying balancers.
+type Update struct {
 	// Voter identifies the voter, Life its current run.
 	Voter string
 	Life  uint64
@@ -63,22 +63,22 @@
 	return &View{settings: s, sources: map[string]*source{}, records: map[uint64]*record{}, changed: map[uint64]bool{}, whole: true}
 }
 
-// Take applies notices that a voter sent just now. If the voter has restarted, its earlier
-// notices stay valid for Settings.InheritFor, since it has not yet received the announcements
+// ApplyNotices applies notices that a voter sent just now. If the voter has restarted, its earlier
+// notices stay valid for Settings.ProvisionalTTL, since it has not yet received the announcements
 // of all its upstreams.
-func (v *View) Take(now time.Time, name string, life uint64, notices []directory.Notice) {
-	v.Hear(now, News{Voter: name, Life: life, Contact: now, Notices: notices})
+func (v *View) ApplyNotices(now time.Time, name string, life uint64, notices []directory.Notice) {
+	v.Apply(now, Update{Voter: name, Life: life, Contact: now, Notices: notices})
 }
 
-// Hear applies an update that may have been relayed; see Take.
-func (v *View) Hear(now time.Time, news News) {
+// Apply applies an update that may have been relayed; see Take.
+func (v *View) Apply(now time.Time, news Update) {
 	s := v.sources[news.Voter]
 	if s == nil {
 		s = newSource(news.Life)
 		v.sources[news.Voter] = s
 	}
 	if s.life != news.Life {
-		s.restart(news.Life, now.Add(v.settings.InheritFor))
+		s.restart(news.Life, now.Add(v.settings.ProvisionalTTL))
 		v.markChanged(s)
 	}
 	if s.provisionalExpired(now) {
@@ -90,7 +90,7 @@
 	for _, n := range news.Notices {
 		t := voterNotice{Notice: n, receivedAt: now, life: news.Life, version: news.Version}
 		if n.Recalled {
-			t.expiresAt = s.addProvisional(now, now.Add(v.settings.InheritFor))
+			t.expiresAt = s.addProvisional(now, now.Add(v.settings.ProvisionalTTL))
 		}
 		v.store(s, t)
 	}
@@ -170,7 +170,7 @@
 	// Whole means that Targets holds all upstreams.
 	Whole   bool
 	Targets []Target
-	Gone    []uint64
+	Removed []uint64
 }
 
 // Changes returns the upstreams that may differ since the last call, and whether there are any.
@@ -189,7 +189,7 @@
 		if t, known := v.records[id].target(now, v.reachable > 0); known {
 			c.Targets = append(c.Targets, t)
 		} else {
-			c.Gone = append(c.Gone, id)
+			c.Removed = append(c.Removed, id)
 		}
 	}
 	clear(v.changed)
--- a/internal/upstream/view/view_test.go
+++ b/internal/upstream/view/view_test.go
@@ -20,7 +20,7 @@
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
 func newView() *view.View {
-	return view.New(view.Settings{ContactLease: 3 * time.Second, InheritFor: 4 * time.Second, ForgetAfter: time.Minute})
+	return view.New(view.Settings{ContactLease: 3 * time.Second, ProvisionalTTL: 4 * time.Second, ForgetAfter: time.Minute})
 }
 
 func notice(sequence uint64, s upstream.State) directory.Notice {
@@ -36,8 +36,8 @@
 	v := newView()
 	silent := notice(5, upstream.Ready)
 	silent.Silent = true
-	v.Take(epoch, "v1", 1, []directory.Notice{silent})
-	v.Take(epoch, "v2", 1, []directory.Notice{notice(7, upstream.Ready)})
+	v.ApplyNotices(epoch, "v1", 1, []directory.Notice{silent})
+	v.ApplyNotices(epoch, "v2", 1, []directory.Notice{notice(7, upstream.Ready)})
 	require.True(t, v.Targets(epoch)[0].Live)
 	require.Equal(t, uint64(7), v.Targets(epoch)[0].Sequence)
 }
@@ -46,11 +46,11 @@
 // an older notice of another voter, with a lower sequence, reaches the balancer later.
 func TestOlderNoticeDoesNotUndoADrain(t *testing.T) {
 	v := newView()
-	v.Take(epoch, "v1", 1, []directory.Notice{notice(9, upstream.Draining)})
-	v.Take(after(1), "v2", 1, []directory.Notice{notice(8, upstream.Ready)})
+	v.ApplyNotices(epoch, "v1", 1, []directory.Notice{notice(9, upstream.Draining)})
+	v.ApplyNotices(after(1), "v2", 1, []directory.Notice{notice(8, upstream.Ready)})
 	require.Equal(t, upstream.Draining, v.Targets(after(1))[0].State)
-	v.Take(after(2), "v2", 1, []directory.Notice{notice(8, upstream.Withdrawn)})
-	v.Take(after(3), "v1", 1, []directory.Notice{notice(12, upstream.Ready)})
+	v.ApplyNotices(after(2), "v2", 1, []directory.Notice{notice(8, upstream.Withdrawn)})
+	v.ApplyNotices(after(3), "v1", 1, []directory.Notice{notice(12, upstream.Ready)})
 	require.Equal(t, upstream.Withdrawn, v.Targets(after(3))[0].State)
 	require.False(t, v.Targets(after(3))[0].Live)
 }
@@ -62,7 +62,7 @@
 	version := uint64(0)
 	next := func(now time.Time) view.Target {
 		d.Tick(now)
-		v.Take(now, "v1", 1, d.Since(now, version))
+		v.ApplyNotices(now, "v1", 1, d.Since(now, version))
 		version = d.Version()
 		return v.Targets(now)[0]
 	}
@@ -81,20 +81,20 @@
 // restarted: its first answer is empty and must not replace the earlier notices.
 func TestRestartedVoterRemovesNothingAtOnce(t *testing.T) {
 	v := newView()
-	v.Take(epoch, "v1", 1, []directory.Notice{notice(1, upstream.Ready)})
-	v.Take(after(1), "v1", 2, nil)
+	v.ApplyNotices(epoch, "v1", 1, []directory.Notice{notice(1, upstream.Ready)})
+	v.ApplyNotices(after(1), "v1", 2, nil)
 	require.True(t, v.Targets(after(1))[0].Live)
-	v.Take(after(6), "v1", 2, nil)
+	v.ApplyNotices(after(6), "v1", 2, nil)
 	require.False(t, v.Targets(after(6))[0].Live, "no voter has received an announcement since")
-	v.Take(after(7), "v1", 2, []directory.Notice{notice(3, upstream.Ready)})
+	v.ApplyNotices(after(7), "v1", 2, []directory.Notice{notice(3, upstream.Ready)})
 	require.True(t, v.Targets(after(7))[0].Live)
 }
 
 func TestNoticesOfUnreachableVotersCountOnlyIfAllAreUnreachable(t *testing.T) {
 	v := newView()
-	v.Take(epoch, "far", 1, []directory.Notice{notice(1, upstream.Ready)})
-	v.Take(epoch, "near", 1, nil)
-	v.Take(after(5), "near", 1, nil)
+	v.ApplyNotices(epoch, "far", 1, []directory.Notice{notice(1, upstream.Ready)})
+	v.ApplyNotices(epoch, "near", 1, nil)
+	v.ApplyNotices(after(5), "near", 1, nil)
 	require.False(t, v.Targets(after(5))[0].Live)
 	require.True(t, v.Targets(after(20))[0].Live, "while no voter is reachable, the last notices stay valid")
 }
@@ -106,17 +106,17 @@
 	v := newView()
 	replaced := notice(1, upstream.Ready)
 	replaced.Replaced = true
-	v.Take(epoch, "v1", 1, []directory.Notice{replaced})
-	v.Take(epoch, "v2", 1, []directory.Notice{notice(2, upstream.Ready)})
+	v.ApplyNotices(epoch, "v1", 1, []directory.Notice{replaced})
+	v.ApplyNotices(epoch, "v2", 1, []directory.Notice{notice(2, upstream.Ready)})
 	require.False(t, v.Targets(epoch)[0].Ended, "the second voter reports it as live")
-	v.Take(epoch, "v2", 1, []directory.Notice{replaced})
+	v.ApplyNotices(epoch, "v2", 1, []directory.Notice{replaced})
 	require.False(t, v.Targets(epoch)[0].Ended, "its last announcement is recent")
 	require.False(t, v.Targets(epoch)[0].Live, "but it gets no new flows")
 	silent := replaced
 	silent.Silent = true
-	v.Take(after(3), "v1", 1, []directory.Notice{silent})
+	v.ApplyNotices(after(3), "v1", 1, []directory.Notice{silent})
 	require.False(t, v.Targets(after(3))[0].Ended, "the second voter received a recent announcement")
-	v.Take(after(4), "v2", 1, []directory.Notice{silent})
+	v.ApplyNotices(after(4), "v2", 1, []directory.Notice{silent})
 	require.True(t, v.Targets(after(4))[0].Ended)
 }
 
@@ -124,11 +124,11 @@
 	v := newView()
 	recalled := notice(1, upstream.Ready)
 	recalled.Recalled = true
-	v.Take(epoch, "v1", 1, []directory.Notice{recalled})
+	v.ApplyNotices(epoch, "v1", 1, []directory.Notice{recalled})
 	require.True(t, v.Targets(epoch)[0].Live)
-	v.Take(after(6), "v1", 1, nil)
+	v.ApplyNotices(after(6), "v1", 1, nil)
 	require.False(t, v.Targets(after(6))[0].Live, "no voter has received an announcement since")
-	v.Take(after(7), "v1", 1, []directory.Notice{notice(2, upstream.Ready)})
+	v.ApplyNotices(after(7), "v1", 1, []directory.Notice{notice(2, upstream.Ready)})
 	require.True(t, v.Targets(after(7))[0].Live)
 }
 
@@ -139,9 +139,9 @@
 	first, second := notice(1, upstream.Ready), notice(1, upstream.Ready)
 	first.Recalled, second.Recalled = true, true
 	second.Upstream.Incarnation++
-	v.Take(epoch, "v1", 1, []directory.Notice{first})
+	v.ApplyNotices(epoch, "v1", 1, []directory.Notice{first})
 	v.Changes(epoch)
-	v.Take(after(2), "v1", 1, []directory.Notice{second})
+	v.ApplyNotices(after(2), "v1", 1, []directory.Notice{second})
 	v.Changes(after(2))
 	c, changed := v.Changes(after(4))
 	require.True(t, changed)
@@ -162,20 +162,20 @@
 
 func TestViewChangesWithTime(t *testing.T) {
 	v := newView()
-	v.Take(epoch, "v1", 1, []directory.Notice{notice(1, upstream.Ready)})
-	v.Take(epoch, "v2", 1, nil)
+	v.ApplyNotices(epoch, "v1", 1, []directory.Notice{notice(1, upstream.Ready)})
+	v.ApplyNotices(epoch, "v2", 1, nil)
 	require.Equal(t, map[uint64]bool{1: true}, changedLiveness(v, epoch))
 	require.Empty(t, changedLiveness(v, after(2)))
-	v.Take(after(2), "v2", 1, nil)
+	v.ApplyNotices(after(2), "v2", 1, nil)
 	require.Equal(t, map[uint64]bool{1: false}, changedLiveness(v, after(4)), "v1 has not answered for longer than its lease")
 	require.Empty(t, changedLiveness(v, after(4)))
-	v.Take(after(4), "v1", 2, nil)
+	v.ApplyNotices(after(4), "v1", 2, nil)
 	require.Equal(t, map[uint64]bool{1: true}, changedLiveness(v, after(4)))
-	v.Take(after(7), "v1", 2, nil)
-	v.Take(after(7), "v2", 1, nil)
+	v.ApplyNotices(after(7), "v1", 2, nil)
+	v.ApplyNotices(after(7), "v2", 1, nil)
 	require.Empty(t, changedLiveness(v, after(7)))
-	v.Take(after(9), "v1", 2, nil)
-	v.Take(after(9), "v2", 1, nil)
+	v.ApplyNotices(after(9), "v1", 2, nil)
+	v.ApplyNotices(after(9), "v2", 1, nil)
 	require.Equal(t, map[uint64]bool{1: false}, changedLiveness(v, after(9)), "the notices from before v1's restart have expired")
 }
 
@@ -186,20 +186,20 @@
 	const voters = 25
 	for voter := range voters {
 		name := fmt.Sprint("v", voter)
-		v.Take(epoch, name, 1, []directory.Notice{numbered(uint64(voter)+1, 1)})
+		v.ApplyNotices(epoch, name, 1, []directory.Notice{numbered(uint64(voter)+1, 1)})
 	}
 	v.Changes(epoch)
 	for voter := 1; voter < voters; voter++ {
-		v.Take(after(4), fmt.Sprint("v", voter), 1, nil)
+		v.ApplyNotices(after(4), fmt.Sprint("v", voter), 1, nil)
 	}
 	require.Equal(t, map[uint64]bool{1: false}, changedLiveness(v, after(4)))
-	v.Take(after(5), "v0", 1, nil)
+	v.ApplyNotices(after(5), "v0", 1, nil)
 	require.Equal(t, map[uint64]bool{1: true}, changedLiveness(v, after(5)))
-	v.Take(after(5), "v0", 2, nil)
+	v.ApplyNotices(after(5), "v0", 2, nil)
 	require.Equal(t, map[uint64]bool{1: true}, changedLiveness(v, after(5)), "a restart")
-	v.Take(after(10), "v0", 2, nil)
+	v.ApplyNotices(after(10), "v0", 2, nil)
 	for voter := 1; voter < voters; voter++ {
-		v.Take(after(10), fmt.Sprint("v", voter), 1, nil)
+		v.ApplyNotices(after(10), fmt.Sprint("v", voter), 1, nil)
 	}
 	c, _ := v.Changes(after(10))
 	require.False(t, c.Whole)
@@ -211,12 +211,12 @@
 // their notices are minutes old, and were forgotten at once because of their age.
 func TestOldNoticeIsKeptAfterARestart(t *testing.T) {
 	v := newView()
-	v.Take(epoch, "v1", 1, []directory.Notice{notice(1, upstream.Ready)})
-	v.Take(after(600), "v1", 1, nil)
-	v.Take(after(601), "v1", 2, nil)
+	v.ApplyNotices(epoch, "v1", 1, []directory.Notice{notice(1, upstream.Ready)})
+	v.ApplyNotices(after(600), "v1", 1, nil)
+	v.ApplyNotices(after(601), "v1", 2, nil)
 	require.Len(t, v.Targets(after(602)), 1)
 	require.True(t, v.Targets(after(602))[0].Live)
-	v.Take(after(800), "v1", 2, nil)
+	v.ApplyNotices(after(800), "v1", 2, nil)
 	require.Empty(t, v.Targets(after(800)))
 }
 
@@ -227,7 +227,7 @@
 	if c.Whole {
 		clear(r)
 	}
-	for _, id := range c.Gone {
+	for _, id := range c.Removed {
 		delete(r, id)
 	}
 	for _, t := range c.Targets {
@@ -269,7 +269,7 @@
 				n.Recalled = rapid.IntRange(0, 4).Draw(t, "recalled") == 0
 				notices = append(notices, n)
 			}
-			v.Take(now, name, runs[name], notices)
+			v.ApplyNotices(now, name, runs[name], notices)
 			if rapid.IntRange(0, 2).Draw(t, "late") == 0 {
 				continue
 			}
@@ -297,8 +297,8 @@
 	again.Upstream.Born = 200
 	for _, order := range [][]directory.Notice{{before, again}, {again, before}} {
 		v := newView()
-		v.Take(epoch, "v1", 1, order[:1])
-		v.Take(after(1), "v2", 1, order[1:])
+		v.ApplyNotices(epoch, "v1", 1, order[:1])
+		v.ApplyNotices(after(1), "v2", 1, order[1:])
 		targets := v.Targets(after(1))
 		require.Len(t, targets, 1)
 		require.Equal(t, uint64(200), targets[0].Born)
@@ -315,11 +315,11 @@
 	before.Upstream.Born = 100
 	again := notice(1, upstream.Ready)
 	again.Upstream.Born = 200
-	v.Take(epoch, "v1", 1, []directory.Notice{again})
-	v.Take(epoch, "v2", 1, []directory.Notice{before})
-	v.Take(after(1), "v1", 2, nil)
-	v.Take(after(10), "v2", 1, nil)
-	v.Take(after(10), "v1", 2, nil)
+	v.ApplyNotices(epoch, "v1", 1, []directory.Notice{again})
+	v.ApplyNotices(epoch, "v2", 1, []directory.Notice{before})
+	v.ApplyNotices(after(1), "v1", 2, nil)
+	v.ApplyNotices(after(10), "v2", 1, nil)
+	v.ApplyNotices(after(10), "v1", 2, nil)
 	for _, x := range v.Targets(after(10)) {
 		require.Equal(t, uint64(200), x.Born)
 		require.False(t, x.Live)
@@ -342,7 +342,7 @@
 }
 
 func apply(v *view.View, at time.Time, life, version uint64, notices ...directory.Notice) {
-	v.Hear(at, view.News{Voter: "v1", Life: life, Version: version, Contact: at, Notices: notices})
+	v.Apply(at, view.Update{Voter: "v1", Life: life, Version: version, Contact: at, Notices: notices})
 }
 
 func TestSinceReturnsLaterNotices(t *testing.T) {
@@ -393,7 +393,7 @@
 	}
 	c, changed := v.Changes(after(10_000))
 	require.True(t, changed)
-	require.LessOrEqual(t, len(c.Targets)+len(c.Gone), 2)
+	require.LessOrEqual(t, len(c.Targets)+len(c.Removed), 2)
 }
 
 // A follower that missed more changes than are kept receives all notices.
@@ -410,11 +410,11 @@
 // of a voter there, which must not count as contact with that voter.
 func TestRelayedUpdatesAreNoContact(t *testing.T) {
 	v := newView()
-	v.Hear(epoch, view.News{Voter: "v2", Life: 1, Version: 1, Contact: epoch})
+	v.Apply(epoch, view.Update{Voter: "v2", Life: 1, Version: 1, Contact: epoch})
 	apply(v, epoch, 1, 5, numbered(1, 1))
 	for s := range 6 {
-		v.Hear(after(s), view.News{Voter: "v1", Life: 1, Version: 5, Contact: epoch})
-		v.Hear(after(s), view.News{Voter: "v2", Life: 1, Version: 1, Contact: after(s)})
+		v.Apply(after(s), view.Update{Voter: "v1", Life: 1, Version: 5, Contact: epoch})
+		v.Apply(after(s), view.Update{Voter: "v2", Life: 1, Version: 1, Contact: after(s)})
 	}
 	require.False(t, v.Targets(after(5))[0].Live)
 }
--- a/internal/wire/datagram/datagram.go
+++ b/internal/wire/datagram/datagram.go
@@ -10,8 +10,8 @@
 
 const (
 	batchSize = 64
-	// Size is the receive buffer size of a datagram in bytes; longer ones are truncated.
-	Size         = 2048
+	// BufferSize is the receive buffer size of a datagram in bytes; longer ones are truncated.
+	BufferSize   = 2048
 	socketBuffer = 4 << 20
 	// maxCachedAddresses bounds the cache of destination addresses.
 	maxCachedAddresses = 4096
@@ -42,7 +42,7 @@
 	s := &Socket{conn: c, batch: ipv4.NewPacketConn(c), addresses: map[netip.AddrPort]*net.UDPAddr{}}
 	s.in = make([]ipv4.Message, batchSize)
 	for i := range s.in {
-		s.in[i].Buffers = [][]byte{make([]byte, Size)}
+		s.in[i].Buffers = [][]byte{make([]byte, BufferSize)}
 		s.in[i].OOB = make([]byte, controlSize)
 	}
 	return s, enableTimestamps(c)
@@ -64,10 +64,10 @@
 	return netip.AddrPortFrom(from.Addr().Unmap(), from.Port()), m.Buffers[0][:m.N]
 }
 
-// Waited returns how long the i-th datagram waited in the socket's receive queue, or zero if
+// QueueDelay returns how long the i-th datagram waited in the socket's receive queue, or zero if
 // the kernel reports no timestamp. Kernel timestamps use the wall clock, so the result may be
 // too long after a clock step.
-func (s *Socket) Waited(now time.Time, i int) time.Duration {
+func (s *Socket) QueueDelay(now time.Time, i int) time.Duration {
 	m := &s.in[i]
 	arrival, ok := parseTimestamp(m.OOB[:m.NN])
 	if !ok {
--- a/internal/wire/datagram/datagram_test.go
+++ b/internal/wire/datagram/datagram_test.go
@@ -26,6 +26,6 @@
 	require.NoError(t, err)
 	require.Equal(t, 1, n)
 	now := time.Now()
-	require.GreaterOrEqual(t, s.Waited(now, 0), 100*time.Millisecond)
-	require.LessOrEqual(t, s.Waited(now, 0), now.Sub(begun))
+	require.GreaterOrEqual(t, s.QueueDelay(now, 0), 100*time.Millisecond)
+	require.LessOrEqual(t, s.QueueDelay(now, 0), now.Sub(begun))
 }
--- a/internal/wire/ipv4/ipv4.go
+++ b/internal/wire/ipv4/ipv4.go
@@ -29,9 +29,9 @@
 	Key key.Key
 	// Opening is set for a TCP SYN without ACK.
 	Opening bool
-	// Confirming is set for a TCP segment with ACK but without SYN or RST: its sender has received
+	// Acknowledges is set for a TCP segment with ACK but without SYN or RST: its sender has received
 	// the SYN-ACK.
-	Confirming bool
+	Acknowledges bool
 	// Closing is set for FIN or RST.
 	Closing bool
 	// Datagram is set for UDP, where any packet may be the first of a flow.
@@ -72,7 +72,7 @@
 	p.Key.SourcePort, p.Key.DestinationPort = uint16(p.tcp.SrcPort), uint16(p.tcp.DstPort)
 	p.Opening = p.tcp.SYN && !p.tcp.ACK
 	p.Closing = p.tcp.FIN || p.tcp.RST
-	p.Confirming = p.tcp.ACK && !p.tcp.SYN && !p.tcp.RST
+	p.Acknowledges = p.tcp.ACK && !p.tcp.SYN && !p.tcp.RST
 	p.Datagram = false
 	return nil
 }
@@ -82,7 +82,7 @@
 		return errTransport
 	}
 	p.Key.SourcePort, p.Key.DestinationPort = uint16(p.udp.SrcPort), uint16(p.udp.DstPort)
-	p.Opening, p.Closing, p.Confirming = false, false, false
+	p.Opening, p.Closing, p.Acknowledges = false, false, false
 	p.Datagram = true
 	return nil
 }
--- a/internal/wire/relay/relay.go
+++ b/internal/wire/relay/relay.go
@@ -17,15 +17,15 @@
 
 // Flags of a relayed packet.
 const (
-	// HasEntry marks a packet whose Target is the flow's upstream.
-	HasEntry = 1 << iota
-	// Missed marks a packet whose flow no visited member has.
-	Missed
-	// Asking marks a packet that looks up the flow's entry on behalf of Origin.
-	Asking
-	// Doubted marks a packet with a holder of a possibly outdated entry appended to its path:
+	// FlagHasEntry marks a packet whose Target is the flow's upstream.
+	FlagHasEntry = 1 << iota
+	// FlagNotFound marks a packet whose flow no visited member has.
+	FlagNotFound
+	// FlagLookup marks a packet that looks up the flow's entry on behalf of Origin.
+	FlagLookup
+	// FlagStale marks a packet with a holder of a possibly outdated entry appended to its path:
 	// its entry is used if no other member has one.
-	Doubted
+	FlagStale
 )
 
 // MalformedError reports why a datagram is not a valid relayed packet.
@@ -70,8 +70,8 @@
 	}
 }
 
-// AtEnd reports whether the path is empty.
-func (h *Header) AtEnd() bool { return h.pathLength == 0 }
+// PathEmpty reports whether the path is empty.
+func (h *Header) PathEmpty() bool { return h.pathLength == 0 }
 
 // NextHop removes the first member from the path and returns it.
 func (h *Header) NextHop() (netip.AddrPort, bool) {
@@ -84,8 +84,8 @@
 	return next, true
 }
 
-// Has reports whether a flag is set.
-func (h *Header) Has(flag uint8) bool { return h.Flags&flag != 0 }
+// HasFlag reports whether a flag is set.
+func (h *Header) HasFlag(flag uint8) bool { return h.Flags&flag != 0 }
 
 // Append appends the encoded header to b; the packet follows it.
 func (h *Header) Append(b []byte) []byte {
--- a/internal/wire/relay/relay_test.go
+++ b/internal/wire/relay/relay_test.go
@@ -11,7 +11,7 @@
 
 func TestHeaderRoundTrip(t *testing.T) {
 	h := relay.Header{
-		Flags: relay.HasEntry, State: 2, Hops: 1, Origin: netip.MustParseAddrPort("127.0.0.1:7400"),
+		Flags: relay.FlagHasEntry, State: 2, Hops: 1, Origin: netip.MustParseAddrPort("127.0.0.1:7400"),
 		Target: relay.Target{Incarnation: 1 << 60, Service: 7, Address: [4]byte{10, 0, 0, 1}, Port: 6080},
 	}
 	h.AddHop(netip.MustParseAddrPort("127.0.0.2:7400"))
@@ -28,7 +28,7 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	h := relay.Header{Flags: relay.Asking}
+	h := relay.Header{Flags: relay.FlagLookup}
 	h.AddHop(netip.MustParseAddrPort("127.0.0.2:7400"))
 	f.Add(h.Append(nil))
 	f.Fuzz(func(t *testing.T, b []byte) {
--- a/internal/wire/rpc/rpc_test.go
+++ b/internal/wire/rpc/rpc_test.go
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/require"
 	"golang.org/x/sys/unix"
 
-	"wasabideal/internal/standin/server"
+	"wasabideal/internal/standin/rpctest"
 	"wasabideal/internal/wire/rpc"
 )
 
@@ -30,7 +30,7 @@
 		}
 		return in, nil
 	})
-	server.Server{Listener: l}.Serve(t, s)
+	rpctest.Server{Listener: l}.Serve(t, s)
 }
 
 func listen(t *testing.T) net.Listener {
@@ -137,7 +137,7 @@
 // after a second, although voters had it after a third of a second. A balancer that starts
 // before a voter's VM loses its SYN, and the kernel retransmits it only after a second; the
 // call used to wait for the connection until its own deadline.
-func TestConnectionsThatHangAreGivenUpEarly(t *testing.T) {
+func TestHangingConnectionAttemptTimesOut(t *testing.T) {
 	c := rpc.NewClient(unresponsiveAddress(t), "token")
 	defer c.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
