--- a/internal/control/agreement/agreement.go
+++ b/internal/control/agreement/agreement.go
@@ -55,9 +55,9 @@
 
 func (e *NotLeaderError) Error() string {
 	if e.Leader.Id == "" {
-		return "this voter is not the leader and knows no leader; it may be partitioned, try another voter"
+		return "this voter is not the leader and knows of none; it may be cut off, try another"
 	}
-	return fmt.Sprintf("this voter is not the leader; send the request to %s at %s", e.Leader.Name, e.Leader.Address)
+	return fmt.Sprintf("the leader is %s at %s; ask there", e.Leader.Name, e.Leader.Address)
 }
 
 // BrokenPromiseError reports a violated invariant; the voter must stop.
--- a/internal/control/ledger/ledger.go
+++ b/internal/control/ledger/ledger.go
@@ -64,17 +64,17 @@
 
 func (e *ConflictError) Error() string {
 	if e.Answer.WinnerKey == "" {
-		return fmt.Sprintf("the current revision is %d and no change was made yet; retry with --expect-revision %d and a new change key",
+		return fmt.Sprintf("nothing was changed before, the revision is %d; send your change with --expect-revision %d and a new change key",
 			e.Answer.Revision, e.Answer.Revision)
 	}
-	return fmt.Sprintf("the current revision is %d, set by %s (change key %s); review it and retry with --expect-revision %d and a new change key",
+	return fmt.Sprintf("revision is %d by now, set by %s (change key %s); look at it and send your change with --expect-revision %d and a new change key",
 		e.Answer.Revision, e.Answer.WinnerWho, e.Answer.WinnerKey, e.Answer.Revision)
 }
 
 // InvalidError reports why a change is invalid.
 type InvalidError struct{ Answer Answer }
 
-func (e *InvalidError) Error() string { return "invalid change: " + e.Answer.Reason }
+func (e *InvalidError) Error() string { return "change refused: " + e.Answer.Reason }
 
 // Err returns the answer as an error, nil if the change was accepted.
 func (a Answer) Err() error {
@@ -206,7 +206,7 @@
 func (l *Ledger) Apply(data []byte) (Change, Answer, *Record) {
 	var x command
 	if err := cbor.Unmarshal(data, &x); err != nil {
-		return Change{}, Answer{Verdict: Invalid, Reason: "decode change: " + err.Error()}, nil
+		return Change{}, Answer{Verdict: Invalid, Reason: "change cannot be read: " + err.Error()}, nil
 	}
 	if x.Roster != nil {
 		l.applyRoster(*x.Roster)
--- a/internal/control/upstreams/upstreams.go
+++ b/internal/control/upstreams/upstreams.go
@@ -39,7 +39,7 @@
 type UnsharedError struct{ Holders, Needed int }
 
 func (e *UnsharedError) Error() string {
-	return fmt.Sprintf("departure is stored by %d voters, %d are required; retry here or at another voter", e.Holders, e.Needed)
+	return fmt.Sprintf("departure is held by %d voters where %d are needed; announce it again or elsewhere", e.Holders, e.Needed)
 }
 
 // UnlistedError reports that this voter has no list of voters to determine a
@@ -47,7 +47,7 @@
 type UnlistedError struct{}
 
 func (*UnlistedError) Error() string {
-	return "this voter has no list of voters yet and cannot determine a majority; retry the departure here or at another voter"
+	return "this voter holds no list of voters yet and cannot count a majority; announce the departure again or elsewhere"
 }
 
 // UnknownServiceError reports that the configuration has no such service. An announcement
@@ -55,7 +55,7 @@
 type UnknownServiceError struct{ Service string }
 
 func (e *UnknownServiceError) Error() string {
-	return fmt.Sprintf("the configuration has no service %q; announce the upstream again once the service is configured", e.Service)
+	return fmt.Sprintf("no configuration names the service %q; announce the upstream again once one does", e.Service)
 }
 
 // Settings configures the handling of announcements at one voter.
--- a/internal/control/voter/evacuate.go
+++ b/internal/control/voter/evacuate.go
@@ -19,7 +19,7 @@
 type AbandonedError struct{ Zone string }
 
 func (e *AbandonedError) Error() string {
-	return "the caller disconnected before its evacuation order was proposed for availability zone " + e.Zone + "; nothing was changed"
+	return "the caller did not wait for its order on availability zone " + e.Zone + "; nothing was changed"
 }
 
 // Evacuate commits an evacuation order for an availability zone, on this voter or through the
--- a/internal/control/voter/voter.go
+++ b/internal/control/voter/voter.go
@@ -64,7 +64,7 @@
 type UnknownError struct{ ChangeKey string }
 
 func (e *UnknownError) Error() string {
-	return fmt.Sprintf("no majority answered in time; send the change again with the same change key %s to get its outcome", e.ChangeKey)
+	return fmt.Sprintf("no majority answered in time; send the change again with the same change key %s to learn its fate", e.ChangeKey)
 }
 
 // MissingKeyError reports a change without a change key.
--- a/internal/daemon/balancer/admin.go
+++ b/internal/daemon/balancer/admin.go
@@ -84,7 +84,7 @@
 	d := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxAnnouncementBytes))
 	d.DisallowUnknownFields()
 	if err := d.Decode(&a); err != nil {
-		http.Error(w, "failed to decode announcement: "+err.Error(), http.StatusBadRequest)
+		http.Error(w, "announcement cannot be read: "+err.Error(), http.StatusBadRequest)
 		return
 	}
 	u, err := a.upstream()
--- a/internal/daemon/cookie/announcements.go
+++ b/internal/daemon/cookie/announcements.go
@@ -12,12 +12,12 @@
 // accept departures.
 type DepartureError struct{}
 
-func (*DepartureError) Error() string { return "balancers accept no departures; send them to a voter" }
+func (*DepartureError) Error() string { return "balancers take no departures; announce it to a voter" }
 
 // StoppingError reports that the balancer is stopping and accepts no announcements.
 type StoppingError struct{}
 
-func (*StoppingError) Error() string { return "balancer is stopping; announce the upstream elsewhere" }
+func (*StoppingError) Error() string { return "this balancer stops; announce the upstream elsewhere" }
 
 // Announce accepts an upstream's announcement and returns once a voter has stored it.
 func (b *Balancer) Announce(ctx context.Context, u upstream.Upstream, cold time.Duration) error {
--- a/internal/request/claimer/claimer.go
+++ b/internal/request/claimer/claimer.go
@@ -65,7 +65,7 @@
 func (c *Claimer) Claim(ctx context.Context, r keys.Record) Result {
 	v := c.view()
 	if len(v.Roster.Members) == 0 {
-		return Result{Outcome: Refused, Reason: "no roster of balancers has been committed yet"}
+		return Result{Outcome: Refused, Reason: "no roster of balancers is agreed yet"}
 	}
 	sets := v.QuorumSets(roster.Slot(r.Service, r.Key))
 	votes := c.collectVotes(ctx, v.Roster.Epoch, sets, r)
@@ -87,7 +87,7 @@
 // refusal returns the record with the most advanced state among the votes, or the
 // reason why there was no majority.
 func refusal(votes map[string]vote, r keys.Record) Result {
-	result := Result{Outcome: Refused, Reason: "no majority of the balancers that store the key responded"}
+	result := Result{Outcome: Refused, Reason: "no majority of the balancers that remember the key answered"}
 	for _, x := range votes {
 		if x.err != nil {
 			result.Reason = fmt.Sprintf("no majority for the key: %v", x.err)
--- a/internal/request/dispatch/dispatch.go
+++ b/internal/request/dispatch/dispatch.go
@@ -53,10 +53,10 @@
 
 // The reasons for rejecting a request.
 const (
-	ReasonNoUpstream = "no upstream is available"
+	ReasonNoUpstream = "no upstream takes requests"
 	ReasonQueueFull  = "queue is full"
-	ReasonDeadline   = "deadline expires before a slot is available"
-	ReasonDisplaced  = "displaced from the queue by a request of higher priority"
+	ReasonDeadline   = "deadline comes before a slot can be free"
+	ReasonDisplaced  = "requests of higher priority fill the queue"
 )
 
 // Decision assigns a request to a target, or rejects it if Err is set.
--- a/internal/request/door/door.go
+++ b/internal/request/door/door.go
@@ -166,7 +166,7 @@
 			return
 		}
 		if !retry || try >= maxAttempts {
-			d.reject(x, "all attempted upstreams rejected the request", defaultRetryAfter)
+			d.reject(x, "every upstream tried refused it", defaultRetryAfter)
 			return
 		}
 		ds = d.retry(x)
--- a/internal/request/door/exchange.go
+++ b/internal/request/door/exchange.go
@@ -50,7 +50,7 @@
 	}
 	x.body, err = io.ReadAll(io.LimitReader(r.Body, replayLimit+1))
 	if err != nil {
-		return nil, &BadRequestError{Reason: "reading the request body failed: " + err.Error()}
+		return nil, &BadRequestError{Reason: "body cannot be read: " + err.Error()}
 	}
 	x.replayable = len(x.body) <= replayLimit
 	x.unreadBody = r.Body
@@ -84,7 +84,7 @@
 		}
 		seconds, err := strconv.ParseFloat(value, 64)
 		if err != nil || seconds <= 0 {
-			return 0, &BadRequestError{Reason: "Prefer: wait must be a number of seconds greater than 0"}
+			return 0, &BadRequestError{Reason: "Prefer: wait must be seconds above 0"}
 		}
 		return min(time.Duration(seconds*float64(time.Second)), maxTimeout), nil
 	}
@@ -113,7 +113,7 @@
 	h.Set(RepeatHeader, "true")
 	switch {
 	case r.Fingerprint != x.record.Fingerprint:
-		http.Error(x.writer, "the idempotency key was already used for a different request", http.StatusUnprocessableEntity)
+		http.Error(x.writer, "the key was used for another request", http.StatusUnprocessableEntity)
 	case r.State == keys.Answered && r.Answer != nil && r.Answer.Whole:
 		h.Set(OutcomeHeader, OutcomeAnswered)
 		h.Set("Content-Type", r.Answer.ContentType)
@@ -121,11 +121,11 @@
 		_, _ = x.writer.Write(r.Answer.Body)
 	case r.State == keys.Answered:
 		h.Set(OutcomeHeader, OutcomeAnswered)
-		http.Error(x.writer, "the request ran, but its response was too large to store", http.StatusConflict)
+		http.Error(x.writer, "the request ran; its answer was too long to keep", http.StatusConflict)
 	default:
 		h.Set(OutcomeHeader, OutcomeUnknown)
 		h.Set("Retry-After", "1")
-		http.Error(x.writer, "a request with this idempotency key is in progress or its outcome is unknown", http.StatusConflict)
+		http.Error(x.writer, "a request with this key is under way or its fate is unknown", http.StatusConflict)
 	}
 }
 
@@ -140,7 +140,7 @@
 func (d *Proxy) respondUnknown(x *exchange, err error) {
 	d.Counters.Unknown.Add(1)
 	x.writer.Header().Set(OutcomeHeader, OutcomeUnknown)
-	http.Error(x.writer, "unknown: the request was sent, but no response was received: "+err.Error(), http.StatusGatewayTimeout)
+	http.Error(x.writer, "unknown: the request was sent and its answer was lost: "+err.Error(), http.StatusGatewayTimeout)
 }
 
-func (e *NoAddressError) Error() string { return "upstream " + e.Target + " has no HTTP address" }
+func (e *NoAddressError) Error() string { return "upstream " + e.Target + " has no door any more" }
--- a/internal/request/keys/keys.go
+++ b/internal/request/keys/keys.go
@@ -44,14 +44,14 @@
 type FullError struct{ Limit int }
 
 func (e *FullError) Error() string {
-	return fmt.Sprintf("limit of %d request keys reached; raise MaxKeys or reduce the request rate", e.Limit)
+	return fmt.Sprintf("%d request keys are in use within the window; raise MaxKeys or send less", e.Limit)
 }
 
 // EpochError reports a claim whose roster epoch differs from this balancer's.
 type EpochError struct{ Claim, Here uint64 }
 
 func (e *EpochError) Error() string {
-	return fmt.Sprintf("claim has roster epoch %d, but this balancer is at epoch %d", e.Claim, e.Here)
+	return fmt.Sprintf("claim under epoch %d, this balancer is at %d", e.Claim, e.Here)
 }
 
 // Store holds records for a window of time. It is not safe for concurrent use.
--- a/internal/request/memory/memory.go
+++ b/internal/request/memory/memory.go
@@ -46,7 +46,7 @@
 type OtherLifeError struct{ Asked, Here uint64 }
 
 func (e *OtherLifeError) Error() string {
-	return fmt.Sprintf("this balancer was started at %d, but the call is for the process started at %d", e.Here, e.Asked)
+	return fmt.Sprintf("this balancer started at %d, asked was its life of %d", e.Here, e.Asked)
 }
 
 // Settings configures a Memory.
--- a/internal/wire/rpc/client.go
+++ b/internal/wire/rpc/client.go
@@ -22,7 +22,7 @@
 	Cause   error
 }
 
-func (e *LostError) Error() string { return fmt.Sprintf("no response from %s: %v", e.Address, e.Cause) }
+func (e *LostError) Error() string { return fmt.Sprintf("no answer from %s: %v", e.Address, e.Cause) }
 
 // Unwrap returns the underlying error.
 func (e *LostError) Unwrap() error { return e.Cause }
@@ -113,10 +113,10 @@
 		return out, &RemoteError{Kind: r.Kind, Text: r.Error}
 	}
 	if body, err = r.body(); err != nil {
-		return out, fmt.Errorf("decode response of %s: %w", name, err)
+		return out, fmt.Errorf("decode answer of %s: %w", name, err)
 	}
 	if err := cbor.Unmarshal(body, &out); err != nil {
-		return out, fmt.Errorf("decode response of %s: %w", name, err)
+		return out, fmt.Errorf("decode answer of %s: %w", name, err)
 	}
 	return out, nil
 }
--- a/internal/wire/rpc/server.go
+++ b/internal/wire/rpc/server.go
@@ -95,7 +95,7 @@
 type OversizeError struct{ Size int }
 
 func (e *OversizeError) Error() string {
-	return fmt.Sprintf("compressed body of %d bytes exceeds the limit or is invalid; allowed: %d", e.Size, maxBodySize)
+	return fmt.Sprintf("compressed answer of %d bytes; allowed: %d", e.Size, maxBodySize)
 }
 
 type encoding struct{}
@@ -115,7 +115,7 @@
 type UnknownMethodError struct{ Method string }
 
 func (e *UnknownMethodError) Error() string {
-	return e.Method + " is not implemented by this server; check the address and the version"
+	return e.Method + " is not served here; check the address and the version"
 }
 
 type method struct {
@@ -163,7 +163,7 @@
 	}
 	body, err := cbor.Marshal(out)
 	if err != nil {
-		return fmt.Errorf("encode response of %s: %w", name, err)
+		return fmt.Errorf("encode answer of %s: %w", name, err)
 	}
 	return stream.MsgSend(newResponse(body, in.Compressed), encoding{})
 }
