--- a/internal/balancer/reducer/reducer.go
+++ b/internal/balancer/reducer/reducer.go
@@ -68,7 +68,7 @@
 	r.follower = follower.New(s.Source)
 	r.swim = swim.New(s.Swim, r.follower, r.repairs, r.registry)
 	if r.joining {
-		r.router.SetJoining(router.Discovering)
+		r.router.SetJoinStage(router.Discovering)
 	}
 	r.router.SetIsolated(r.swim.Isolated())
 	return r
@@ -247,9 +247,9 @@
 	case !r.joining:
 	case age >= aloneAfter:
 		r.joining = false
-		r.router.SetJoining(router.Joined)
+		r.router.SetJoinStage(router.Joined)
 	case age >= joinAfter && r.swim.Self().Passive && r.leavingSince.IsZero():
-		r.router.SetJoining(router.Provisional)
+		r.router.SetJoinStage(router.Provisional)
 		r.swim.SetPassive(false)
 	}
 }
--- a/internal/capacity/measure/cookie.go
+++ b/internal/capacity/measure/cookie.go
@@ -28,8 +28,8 @@
 		{Name: CookieOpeningNanos, Per: "upstream of a service", Unit: "ns an opening", Sizes: pool, Measure: cookieOpeningNanos},
 		{Name: ViewMicros, Per: "upstream of the service", Unit: "us to take over one upstream's news", Sizes: known, Measure: viewMicros},
 		{Name: ViewBytes, Per: "upstream known", Unit: "bytes held", Sizes: known, Measure: viewBytes},
-		{Name: NewsBytes, Per: "upstream known", Unit: "bytes of a voter's first answer", Sizes: known, Measure: newsBytes},
-		{Name: QuestionMicros, Per: "upstream known", Unit: "us a question without news, both ends", Sizes: known, Measure: questionMicros},
+		{Name: NewsBytes, Per: "upstream known", Unit: "bytes of a voter's first answer", Sizes: known, Measure: firstResponseBytes},
+		{Name: QuestionMicros, Per: "upstream known", Unit: "us a question without news, both ends", Sizes: known, Measure: pollMicros},
 	}
 }
 
@@ -152,12 +152,12 @@
 	return held, err
 }
 
-func newsBytes(size float64) (float64, error) {
+func firstResponseBytes(size float64) (float64, error) {
 	f := feed.New(1, cookieDirectory(int(size)), func() time.Time { return cookieEpoch })
 	return encodedBytes(f.Since(context.Background(), feed.Request{}))
 }
 
-func questionMicros(size float64) (float64, error) {
+func pollMicros(size float64) (float64, error) {
 	d := cookieDirectory(int(size))
 	f := feed.New(1, d, func() time.Time { return cookieEpoch })
 	q := feed.Request{Life: 1, Version: d.Version()}
--- a/internal/capacity/measure/fanout.go
+++ b/internal/capacity/measure/fanout.go
@@ -86,12 +86,12 @@
 	o := knownOrigins(int(size))
 	known := o.Known(cookieEpoch)
 	all, _ := o.UpdatesSince(cookieEpoch, known)
-	question, err := encodedBytes(relay.Request{From: "10.1.0.10:7720", Known: known})
+	request, err := encodedBytes(relay.Request{From: "10.1.0.10:7720", Known: known})
 	if err != nil {
 		return 0, err
 	}
 	answer, err := encodedBytes(relay.Response{Origins: all})
-	return question + answer, err
+	return request + answer, err
 }
 
 func handoverMicros(size float64) (float64, error) {
--- a/internal/capacity/page/cookie.go
+++ b/internal/capacity/page/cookie.go
@@ -8,13 +8,13 @@
 
 // The constants of cookie routing, with the values that the product uses.
 const (
-	// questionSeconds is the duration of a long poll at a voter, followSeconds at a balancer.
-	questionSeconds = 0.8
-	followSeconds   = 0.6
+	// pollSeconds is the duration of a long poll at a voter, followSeconds at a balancer.
+	pollSeconds   = 0.8
+	followSeconds = 0.6
 	// callBytes is the overhead of an RPC beyond its payload, such as packets of the connection.
 	callBytes = 250.0
-	// questionBytes is a poll of a voter with its empty response, overhead included.
-	questionBytes = 420.0
+	// pollBytes is a poll of a voter with its empty response, overhead included.
+	pollBytes = 420.0
 	// flowSeconds is how long an idle flow is kept.
 	flowSeconds = 15.0
 	// packetsPerOpening is the number of packets that a caller sends on a flow after the opening.
@@ -30,9 +30,9 @@
 	maxFollowers = 10.0
 	// smallZone is the maximum size of a zone in which all balancers follow the voters.
 	smallZone = 8.0
-	// attendSeconds is the interval of the reports of followers, entryBytes the size of a follower
+	// reportSeconds is the interval of the reports of followers, entryBytes the size of a follower
 	// in a report in addition to its entry in the list.
-	attendSeconds = 5.0
+	reportSeconds = 5.0
 	entryBytes    = 6.0
 	// voterDescriptors is the limit of open file descriptors of a voter.
 	voterDescriptors = 4096.0
@@ -87,9 +87,9 @@
 	follow := (p.at(measure.FollowBytes, s.voters) + callBytes) / followSeconds
 	changeBytes := noticeRate*perUpstream + delta*s.changeRate()
 	forwarded := s.targets / s.zones / rootsPerZone / announceSeconds * math.Min(followerCount, 1)
-	bytes := s.voters*questionBytes/questionSeconds + (1+followerCount)*changeBytes + followerCount*follow +
-		(s.voters+1)*descendants*(p.slopes[measure.FleetBytes].Gradient+entryBytes)/attendSeconds + 2*forwarded*announcementBytes
-	core := s.voters/questionSeconds*p.at(measure.QuestionMicros, s.targets)/2e6 + followerCount/followSeconds*p.at(measure.FollowMicros, s.targets)/2e6 +
+	bytes := s.voters*pollBytes/pollSeconds + (1+followerCount)*changeBytes + followerCount*follow +
+		(s.voters+1)*descendants*(p.slopes[measure.FleetBytes].Gradient+entryBytes)/reportSeconds + 2*forwarded*announcementBytes
+	core := s.voters/pollSeconds*p.at(measure.QuestionMicros, s.targets)/2e6 + followerCount/followSeconds*p.at(measure.FollowMicros, s.targets)/2e6 +
 		noticeRate*(p.at(measure.ViewMicros, s.targets/2)+followerCount*p.at(measure.FollowMicros, s.targets))/1e6 +
 		s.changeRate()*p.at(measure.DeltaMicros, s.addresses)/1e6 + forwarded*p.at(measure.HandoverMicros, s.targets)/1e6
 	return append([]line{
@@ -110,12 +110,12 @@
 	followers := s.roots()
 	noticeRate := s.targets * s.upstreamChanges / secondsPerDay
 	announcementRate := s.targets / s.voters / announceSeconds
-	calls := followers / questionSeconds
+	calls := followers / pollSeconds
 	handovers := followers / s.voters * handoversPerSecond
-	reports := s.daemons * (p.slopes[measure.FleetBytes].Gradient + entryBytes) / attendSeconds
+	reports := s.daemons * (p.slopes[measure.FleetBytes].Gradient + entryBytes) / reportSeconds
 	core := calls*p.at(measure.QuestionMicros, s.targets)/2e6 + announcementRate*p.at(measure.HandoverMicros, s.targets)/2e6 +
 		noticeRate*followers*p.at(measure.QuestionMicros, s.targets)/2e6
-	bytes := calls*questionBytes + announcementRate*announcementBytes + handovers*callBytes + reports +
+	bytes := calls*pollBytes + announcementRate*announcementBytes + handovers*callBytes + reports +
 		noticeRate*followers*p.slopes[measure.NewsBytes].Gradient
 	return []line{
 		{role, "followers", "4 per zone, 8 in a small one", "the tree; after a partition regions keep the voters on their side", followers, 0},
--- a/internal/configuration/history/history.go
+++ b/internal/configuration/history/history.go
@@ -101,7 +101,7 @@
 	return a
 }
 
-// Apply applies an answer to a follower's configuration.
+// Apply applies a response to a follower's configuration.
 func Apply(held configuration.Configuration, a Response) (configuration.Configuration, error) {
 	if a.Whole != nil {
 		return *a.Whole, nil
--- a/internal/control/agreement/durable.go
+++ b/internal/control/agreement/durable.go
@@ -67,16 +67,16 @@
 }
 
 // Put adds an entry and drops all entries from its index on.
-func (d *PersistentState) Put(e Entry) error {
-	next := d.Snapshot.Index + uint64(len(d.Entries)) + 1
+func (p *PersistentState) Put(e Entry) error {
+	next := p.Snapshot.Index + uint64(len(p.Entries)) + 1
 	if e.Index > next {
 		return &OrderError{Index: e.Index, Expected: next}
 	}
-	d.Entries = append(d.Entries[:e.Index-d.Snapshot.Index-1], e)
+	p.Entries = append(p.Entries[:e.Index-p.Snapshot.Index-1], e)
 	return nil
 }
 
-// Persist is data that must be synced to disk before Then is sent.
+// Persist is data that must be synced to disk before SendAfterSync is sent.
 type Persist struct {
 	Vote    *Vote
 	Entries []Entry
--- a/internal/control/agreement/message.go
+++ b/internal/control/agreement/message.go
@@ -50,7 +50,7 @@
 type Effect struct {
 	// Send is sent at once.
 	Send *Message
-	// Persist is synced to disk, in order, before its Then messages are sent.
+	// Persist is synced to disk, in order, before its SendAfterSync messages are sent.
 	Persist *Persist
 	// Apply is the next committed entry.
 	Apply *Entry
--- a/internal/control/feed/cache.go
+++ b/internal/control/feed/cache.go
@@ -6,20 +6,20 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// encodedTTL is how long an encoded answer is reused. After a power loss of all machines, all
+// encodedTTL is how long an encoded response is reused. After a power loss of all machines, all
 // balancers request the same data within milliseconds: 81 of them waited 90 ms for a voter on
-// half a core that encoded 220 upstreams and 70 routes for each. Ages in a reused answer are
+// half a core that encoded 220 upstreams and 70 routes for each. Ages in a reused response are
 // too low by up to this time.
 const encodedTTL = 20 * time.Millisecond
 
-// encoded caches one encoded answer together with the key that it depends on.
+// encoded caches one encoded response together with the key that it depends on.
 type encoded[K comparable] struct {
 	key  K
 	at   time.Time
 	body cbor.RawMessage
 }
 
-// get returns the cached answer, or builds and encodes it if the key differs or the cache has expired.
+// get returns the cached response, or builds and encodes it if the key differs or the cache has expired.
 func (e *encoded[K]) get(now time.Time, key K, build func() any) (cbor.RawMessage, error) {
 	if e.body != nil && e.key == key && now.Sub(e.at) < encodedTTL {
 		return e.body, nil
--- a/internal/control/feed/feed.go
+++ b/internal/control/feed/feed.go
@@ -31,15 +31,15 @@
 	ConfigurationMethod = "Feed.Configuration"
 )
 
-// minWakeInterval is the least time between two answers with changes of upstreams. While
-// thousands of upstreams are replaced in turn, one answer per change and balancer would take
+// minWakeInterval is the least time between two responses with changes of upstreams. While
+// thousands of upstreams are replaced in turn, one response per change and balancer would take
 // most of a voter's CPU time; a delay of 100 ms does not affect callers.
 const minWakeInterval = 100 * time.Millisecond
 
-// maxAnswersPerSecond bounds the answers with changes of upstreams; with more balancers, changes
-// are batched for longer. At 200, the answers to the 20 balancers that poll a voter in a fleet of
+// maxResponsesPerSecond bounds the responses with changes of upstreams; with more balancers, changes
+// are batched for longer. At 200, the responses to the 20 balancers that poll a voter in a fleet of
 // 300 took a quarter of its CPU time while upstreams changed.
-const maxAnswersPerSecond = 100
+const maxResponsesPerSecond = 100
 
 // maxInlineConfiguration is the encoded size in bytes, that of about 600 routes, up to which a
 // configuration is sent with other updates. By calculation, compression halves it and it takes
@@ -62,11 +62,11 @@
 	// since it restarted. A starting balancer needs them from one voter only; from each,
 	// they would saturate the links of a fleet of hundreds.
 	Recalled bool
-	// Hold is how long the answer may wait for updates.
+	// Hold is how long the response may wait for updates.
 	Hold time.Duration
-	// Encoded allows Answer.Encoded in place of Answer.Notices.
+	// Encoded allows Response.Encoded in place of Response.Notices.
 	Encoded bool
-	// Unconfigured requests the configuration in the same answer. A starting balancer cannot
+	// Unconfigured requests the configuration in the same response. A starting balancer cannot
 	// place flows without it, and a second call takes 40 ms where many start at once.
 	Unconfigured bool
 	// From is the name of the polling balancer, empty for voters.
@@ -84,7 +84,7 @@
 	Evacuations uint64
 }
 
-// Response holds the updates after the state given in a Question.
+// Response holds the updates after the state given in a Request.
 type Response struct {
 	// Revision is the revision of the newest configuration.
 	Revision uint64
@@ -139,15 +139,15 @@
 	// confirmation holds the results of probes of those upstreams' hosts.
 	confirmation *confirmation.Confirmer
 	prober       Prober
-	// doubtsPacing limits the rate of answers with doubts.
-	doubtsPacing pacing.Pacer
+	// suspicionsPacer limits the rate of responses with suspicions.
+	suspicionsPacer pacing.Pacer
 	// lastPoll holds the last poll of each active balancer, by name.
 	lastPoll        map[string]lastPoll
 	remoteUpstreams remoteUpstreams
 	// zone is the voter's own; fleet holds the balancers that poll it and their followers.
 	zone  string
 	fleet *members.Members
-	// notices and configuration cache answers that many starting balancers request.
+	// notices and configuration cache responses that many starting balancers request.
 	notices       encoded[noticesKey]
 	configuration encoded[configurationKey]
 }
@@ -161,7 +161,7 @@
 // noticesKey identifies an encoding of all notices.
 type noticesKey struct {
 	version  uint64
-	recalled bool
+	restored bool
 }
 
 // configurationKey identifies an encoding of the changes between two revisions.
@@ -222,12 +222,12 @@
 
 // Announce records an upstream's announcement. It reports whether that changes the directory and
 // whether it clears a suspicion.
-func (f *Feed) Announce(now time.Time, u upstream.Upstream, cold time.Duration) (hasUpdates, clearsDoubt bool) {
+func (f *Feed) Announce(now time.Time, u upstream.Upstream, cold time.Duration) (hasUpdates, clearsSuspicion bool) {
 	return f.AnnounceRelayed(now, handover.Announcement{Upstream: u, Cold: cold})
 }
 
 // AnnounceRelayed records an announcement that a balancer received some time ago.
-func (f *Feed) AnnounceRelayed(now time.Time, a handover.Announcement) (hasUpdates, clearsDoubt bool) {
+func (f *Feed) AnnounceRelayed(now time.Time, a handover.Announcement) (hasUpdates, clearsSuspicion bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	hasUpdates, newer := f.directory.Announce(now.Add(-a.Age), a.Upstream, a.Cold)
@@ -235,7 +235,7 @@
 		f.pending = true
 		f.wakeIfDue(now)
 	}
-	return hasUpdates, newer && a.Upstream.State != upstream.Withdrawn && f.clearDoubt(now, a)
+	return hasUpdates, newer && a.Upstream.State != upstream.Withdrawn && f.clearSuspicion(now, a)
 }
 
 // Restore restores an upstream from the state of another voter after a restart of this one.
@@ -248,7 +248,7 @@
 // wakeIfDue completes polls for pending changes of upstreams if the interval since the last time
 // has passed; otherwise a later Tick does.
 func (f *Feed) wakeIfDue(now time.Time) {
-	if f.pending && now.Sub(f.lastWake) >= max(minWakeInterval, time.Duration(len(f.lastPoll))*time.Second/maxAnswersPerSecond) {
+	if f.pending && now.Sub(f.lastWake) >= max(minWakeInterval, time.Duration(len(f.lastPoll))*time.Second/maxResponsesPerSecond) {
 		f.lastWake, f.pending = now, false
 		f.wake()
 	}
--- a/internal/control/feed/feed_test.go
+++ b/internal/control/feed/feed_test.go
@@ -38,25 +38,25 @@
 // answer to each balancer.
 func TestUpstreamChangesAreBatched(t *testing.T) {
 	f := newFeed()
-	answers := make(chan feed.Response)
-	go func() { answers <- f.Since(context.Background(), feed.Request{Life: 1, Hold: time.Hour}) }()
+	responses := make(chan feed.Response)
+	go func() { responses <- f.Since(context.Background(), feed.Request{Life: 1, Hold: time.Hour}) }()
 	f.Announce(epoch, announced(1), 0)
-	first := <-answers
+	first := <-responses
 	require.Len(t, first.Notices, 1, "the first change is sent at once")
 	go func() {
-		answers <- f.Since(context.Background(), feed.Request{Life: 1, Version: first.Version, Hold: time.Hour})
+		responses <- f.Since(context.Background(), feed.Request{Life: 1, Version: first.Version, Hold: time.Hour})
 	}()
 	for n := range uint64(20) {
 		f.Announce(epoch.Add(time.Millisecond), announced(10+n), 0)
 	}
 	f.Tick(epoch.Add(50 * time.Millisecond))
 	select {
-	case <-answers:
+	case <-responses:
 		t.Fatal("answered too early")
 	case <-time.After(20 * time.Millisecond):
 	}
 	f.Tick(epoch.Add(100 * time.Millisecond))
-	require.Len(t, (<-answers).Notices, 20)
+	require.Len(t, (<-responses).Notices, 20)
 }
 
 func TestConfigurationsAreSentAtOnce(t *testing.T) {
@@ -74,7 +74,7 @@
 // Guards against saturated links of voters after a power loss of all machines. Each voter restored
 // the upstreams of all voters and sent them to every balancer, so that balancers got them once per
 // voter and announcements were answered late.
-func TestRecalledUpstreamsAreSentOnRequestOnly(t *testing.T) {
+func TestRestoredUpstreamsAreSentOnRequestOnly(t *testing.T) {
 	f := newFeed()
 	f.Announce(epoch, announced(1), 0)
 	f.Restore(epoch, announced(2), 0)
@@ -88,33 +88,33 @@
 	f := newFeed()
 	f.SetProber(fixedProber(probe.Unanswered))
 	f.Announce(epoch.Add(-time.Second), announced(1), 0)
-	answers := make(chan feed.Response)
+	responses := make(chan feed.Response)
 	ask := func(version uint64) {
 		a := f.Since(context.Background(), feed.Request{Life: 1, From: "b3", Version: f.Version(), Doubts: version, Hold: time.Hour})
-		answers <- a
+		responses <- a
 	}
 	go ask(0)
 	u := announced(1)
 	u.Sequence++
 	missed := evidence.Event{Incarnation: 1, Age: 200 * time.Millisecond, Weight: 5}
 	f.Report(epoch, evidence.Report{From: "b1", Events: []evidence.Event{missed, missed}})
-	first := <-answers
+	first := <-responses
 	require.Equal(t, evidence.Subject{Incarnation: 1}, first.Doubts[0].Subject)
 	require.False(t, first.Doubts[0].Unresponsive)
 	go ask(first.DoubtsVersion)
 	f.Report(epoch, evidence.Report{From: "b2", Events: []evidence.Event{missed}})
 	f.Tick(epoch.Add(100 * time.Millisecond))
-	second := <-answers
+	second := <-responses
 	if !second.Doubts[0].Unresponsive {
 		// The evidence sufficed before the probe finished.
 		go ask(second.DoubtsVersion)
-		second = <-answers
+		second = <-responses
 	}
 	require.True(t, second.Doubts[0].Unresponsive)
 	go ask(second.DoubtsVersion)
 	_, answered := f.Announce(epoch.Add(200*time.Millisecond), u, 0)
 	require.True(t, answered, "an announcement is a sign of life that other voters do not receive")
-	require.Empty(t, (<-answers).Doubts)
+	require.Empty(t, (<-responses).Doubts)
 }
 
 // fixedProber is a prober that always returns the same outcome.
@@ -145,7 +145,7 @@
 	}
 }
 
-// Guards against an answer to each of many balancers for every new suspicion while hundreds of
+// Guards against a response to each of many balancers for every new suspicion while hundreds of
 // upstreams fail together.
 func TestSuspicionsAreBatchedForManyBalancers(t *testing.T) {
 	f := newFeed()
@@ -192,19 +192,19 @@
 		f.Since(t.Context(), feed.Request{From: fmt.Sprint("b", n)})
 	}
 	f.Announce(epoch, announced(1), 0)
-	answers := make(chan feed.Response)
+	responses := make(chan feed.Response)
 	go func() {
-		answers <- f.Since(context.Background(), feed.Request{From: "b1", Life: 1, Version: 1, Hold: time.Hour})
+		responses <- f.Since(context.Background(), feed.Request{From: "b1", Life: 1, Version: 1, Hold: time.Hour})
 	}()
 	f.Announce(epoch.Add(time.Millisecond), announced(2), 0)
 	f.Tick(epoch.Add(200 * time.Millisecond))
 	select {
-	case <-answers:
+	case <-responses:
 		t.Fatal("answered too early")
 	case <-time.After(20 * time.Millisecond):
 	}
 	f.Tick(epoch.Add(300 * time.Millisecond))
-	require.Len(t, (<-answers).Notices, 1)
+	require.Len(t, (<-responses).Notices, 1)
 }
 
 // remoteSource provides upstreams of another voter, every other one in zone b.
@@ -228,7 +228,7 @@
 	return netip.AddrPort{}, false
 }
 
-func startingQuestion(zone string) feed.Request {
+func startingRequest(zone string) feed.Request {
 	return feed.Request{Recalled: true, Encoded: true, Self: self("b1", zone)}
 }
 
@@ -244,7 +244,7 @@
 	f := newFeed()
 	f.SetRemoteSource(remoteSource{upstreams: 10, calls: new(int)})
 	f.Announce(epoch, announced(1), 0)
-	require.Equal(t, 11, noticeCount(t, f, startingQuestion("a")))
+	require.Equal(t, 11, noticeCount(t, f, startingRequest("a")))
 	require.Equal(t, 1, noticeCount(t, f, feed.Request{Encoded: true, Self: self("b1", "a")}), "other balancers get them from those voters")
 }
 
@@ -255,8 +255,8 @@
 	f.SetRemoteSource(remoteSource{upstreams: 3000, calls: &calls})
 	f.Announce(epoch, announced(1), 0)
 	for range 50 {
-		require.Equal(t, 1501, noticeCount(t, f, startingQuestion("a")), "upstreams of its own zone")
-		require.Equal(t, 1501, noticeCount(t, f, startingQuestion("b")))
+		require.Equal(t, 1501, noticeCount(t, f, startingRequest("a")), "upstreams of its own zone")
+		require.Equal(t, 1501, noticeCount(t, f, startingRequest("b")))
 	}
 	require.Equal(t, 1, calls)
 }
@@ -266,7 +266,7 @@
 	f := newFeed()
 	f.SetRemoteSource(remoteSource{upstreams: 1, calls: new(int)})
 	f.Announce(epoch, announced(100), 0)
-	a, err := f.Since(t.Context(), startingQuestion("a")).Decoded()
+	a, err := f.Since(t.Context(), startingRequest("a")).Decoded()
 	require.NoError(t, err)
 	require.False(t, a.Notices[len(a.Notices)-1].Recalled)
 }
--- a/internal/control/feed/fleet.go
+++ b/internal/control/feed/fleet.go
@@ -9,11 +9,11 @@
 	"wasabideal/internal/wire/rpc"
 )
 
-// AttendMethod is the RPC by which a balancer reports its followers to the processes that it follows.
-const AttendMethod = "Feed.Attend"
+// RecordFollowersMethod is the RPC by which a balancer reports its followers to the processes that it follows.
+const RecordFollowersMethod = "Feed.Attend"
 
 func (f *Feed) serveFleet(r *rpc.Server, token string) {
-	rpc.Handle(r, AttendMethod, token, func(_ context.Context, all []members.Heartbeat) (empty, error) {
+	rpc.Handle(r, RecordFollowersMethod, token, func(_ context.Context, all []members.Heartbeat) (empty, error) {
 		f.RecordFollowers(f.clock(), all)
 		return empty{}, nil
 	})
@@ -42,7 +42,7 @@
 	return f.fleet.Zone(zone)
 }
 
-// attachFleet records the polling balancer and adds the balancers of its zone to the answer, if
+// attachFleet records the polling balancer and adds the balancers of its zone to the response, if
 // their list has changed. Such a change does not complete a poll: a position in the tree that is
 // one second out of date does no harm.
 func (f *Feed) attachFleet(now time.Time, q Request, a *Response) {
--- a/internal/control/feed/probe.go
+++ b/internal/control/feed/probe.go
@@ -35,13 +35,13 @@
 	})
 }
 
-// confirmedDoubts returns the doubts to report to balancers.
-func (f *Feed) confirmedDoubts(now time.Time) []evidence.Suspicion {
+// confirmedSuspicions returns the suspicions to report to balancers.
+func (f *Feed) confirmedSuspicions(now time.Time) []evidence.Suspicion {
 	return f.confirmation.Confirm(now, f.suspicions(now))
 }
 
-// doubtsVersion rises whenever the doubts may have changed.
-func (f *Feed) doubtsVersion() uint64 { return f.silence.Version() + f.confirmation.Version() }
+// suspicionsVersion rises whenever the suspicions may have changed.
+func (f *Feed) suspicionsVersion() uint64 { return f.silence.Version() + f.confirmation.Version() }
 
 // startProbes starts the probes that are due.
 func (f *Feed) startProbes(now time.Time) {
@@ -70,10 +70,10 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.clock()
-	before := f.doubtsVersion()
+	before := f.suspicionsVersion()
 	f.confirmation.RecordOutcome(now, start, u, o)
-	if f.doubtsVersion() != before {
-		f.wakeForDoubts(now)
+	if f.suspicionsVersion() != before {
+		f.wakeForSuspicions(now)
 	}
 }
 
--- a/internal/control/feed/answer.go
+++ b/internal/control/feed/response.go
@@ -73,21 +73,21 @@
 
 // noticesSince returns the notices that changed after a version. Recalled ones are included
 // only on request.
-func (f *Feed) noticesSince(now time.Time, version uint64, recalled bool) []directory.Notice {
+func (f *Feed) noticesSince(now time.Time, version uint64, restored bool) []directory.Notice {
 	notices := f.directory.Since(now, version)
-	if recalled {
+	if restored {
 		return notices
 	}
 	return lo.Reject(notices, func(n directory.Notice, _ int) bool { return n.Recalled })
 }
 
-// attachEncodedNotices adds all notices to an answer in encoded form, cached across balancers. It
+// attachEncodedNotices adds all notices to a response in encoded form, cached across balancers. It
 // reports false if the balancer asks for changes only or does not accept that form.
 func (f *Feed) attachEncodedNotices(now time.Time, q Request, version uint64, a *Response) bool {
 	if version != 0 || !q.Encoded {
 		return false
 	}
-	key := noticesKey{version: f.directory.Version(), recalled: q.Recalled}
+	key := noticesKey{version: f.directory.Version(), restored: q.Recalled}
 	body, err := f.notices.get(now, key, func() any { return f.noticesSince(now, 0, q.Recalled) })
 	if err != nil {
 		return false
@@ -100,23 +100,23 @@
 	return true
 }
 
-// Decoded returns the answer with all notices decoded into Notices. Those that the voter received
+// Decoded returns the response with all notices decoded into Notices. Those that the voter received
 // itself come last, so that they override those of other voters.
-func (a Response) Decoded() (Response, error) {
+func (r Response) Decoded() (Response, error) {
 	var remoteUpstreams, own []directory.Notice
-	if len(a.Elsewhere) > 0 {
-		if err := cbor.Unmarshal(a.Elsewhere, &remoteUpstreams); err != nil {
-			return a, err
+	if len(r.Elsewhere) > 0 {
+		if err := cbor.Unmarshal(r.Elsewhere, &remoteUpstreams); err != nil {
+			return r, err
 		}
 	}
-	if len(a.Encoded) > 0 {
-		if err := cbor.Unmarshal(a.Encoded, &own); err != nil {
-			return a, err
+	if len(r.Encoded) > 0 {
+		if err := cbor.Unmarshal(r.Encoded, &own); err != nil {
+			return r, err
 		}
 	}
-	a.Notices = slices.Concat(remoteUpstreams, own, a.Notices)
-	a.Elsewhere, a.Encoded = nil, nil
-	return a, nil
+	r.Notices = slices.Concat(remoteUpstreams, own, r.Notices)
+	r.Elsewhere, r.Encoded = nil, nil
+	return r, nil
 }
 
 func (f *Feed) answer(q Request) (Response, bool, chan struct{}) {
@@ -129,10 +129,10 @@
 	now := f.clock()
 	a := Response{
 		Revision: f.history.Current().Revision, Life: f.life, Version: f.directory.Version(), Members: f.members,
-		DoubtsVersion: f.doubtsVersion(), Zone: f.zone,
+		DoubtsVersion: f.suspicionsVersion(), Zone: f.zone,
 	}
 	if q.Life != f.life || q.Doubts != a.DoubtsVersion {
-		a.Doubts = f.confirmedDoubts(now)
+		a.Doubts = f.confirmedSuspicions(now)
 	}
 	f.attachFleet(now, q, &a)
 	if q.From != "" {
@@ -150,6 +150,6 @@
 	}
 	// Batched changes of upstreams do not complete the poll yet, but are sent with other updates.
 	hasUpdates := q.Life != f.life || a.Revision > q.Revision || a.Evacuations != nil || a.Version > version && !f.pending ||
-		a.DoubtsVersion != q.Doubts && !f.doubtsPacing.Pending()
+		a.DoubtsVersion != q.Doubts && !f.suspicionsPacer.Pending()
 	return a, hasUpdates, f.changed
 }
--- a/internal/control/feed/silence.go
+++ b/internal/control/feed/silence.go
@@ -17,9 +17,9 @@
 // ReportsMethod is the same for the reports of several balancers, relayed by one.
 const ReportsMethod = "Feed.Reports"
 
-// doubtsIntervalPerBalancer is the least time between two answers with doubts, per polling
-// balancer: 44 balancers get at most 500 answers a second together.
-const doubtsIntervalPerBalancer = 2 * time.Millisecond
+// suspicionsIntervalPerBalancer is the least time between two responses with suspicions, per polling
+// balancer: 44 balancers get at most 500 responses a second together.
+const suspicionsIntervalPerBalancer = 2 * time.Millisecond
 
 // pollExpiry is how long after its last poll a balancer counts as active. It exceeds the hold time
 // of a poll.
@@ -51,8 +51,8 @@
 	f.evaluate(now)
 }
 
-// clearDoubt records an announcement as a sign of life and reports whether the upstream was doubted.
-func (f *Feed) clearDoubt(now time.Time, a handover.Announcement) bool {
+// clearSuspicion records an announcement as a sign of life and reports whether the upstream was suspected.
+func (f *Feed) clearSuspicion(now time.Time, a handover.Announcement) bool {
 	e := LivenessEvent(a.Upstream)
 	e.Age = a.Age
 	if !f.silence.Refutes(e) {
@@ -72,10 +72,10 @@
 // applies. Each delay of 100 ms costs further requests that are sent on flows of an unresponsive
 // upstream.
 func (f *Feed) evaluate(now time.Time) {
-	before := f.doubtsVersion()
+	before := f.suspicionsVersion()
 	next := f.silence.Evaluate(now, f.activeBalancers(now), f.relayHops())
-	if f.doubtsVersion() != before {
-		f.wakeForDoubts(now)
+	if f.suspicionsVersion() != before {
+		f.wakeForSuspicions(now)
 	}
 	f.startProbes(now)
 	if next.IsZero() || f.evaluationScheduled {
@@ -90,23 +90,23 @@
 	})
 }
 
-// wakeForDoubts completes polls because doubts changed. Where balancers relay the doubts, it
+// wakeForSuspicions completes polls because suspicions changed. Where balancers relay the suspicions, it
 // limits its rate, so that hundreds of upstreams that fail together are reported together.
-func (f *Feed) wakeForDoubts(now time.Time) {
+func (f *Feed) wakeForSuspicions(now time.Time) {
 	pause := time.Duration(0)
 	if f.relayHops() > 0 {
-		pause = time.Duration(len(f.lastPoll)) * doubtsIntervalPerBalancer
+		pause = time.Duration(len(f.lastPoll)) * suspicionsIntervalPerBalancer
 	}
-	at, schedule := f.doubtsPacing.Schedule(now, pause)
+	at, schedule := f.suspicionsPacer.Schedule(now, pause)
 	switch {
 	case !at.After(now):
-		f.doubtsPacing.Sent(now)
+		f.suspicionsPacer.Sent(now)
 		f.wake()
 	case schedule:
 		time.AfterFunc(at.Sub(now), func() {
 			f.mu.Lock()
 			defer f.mu.Unlock()
-			f.doubtsPacing.Sent(f.clock())
+			f.suspicionsPacer.Sent(f.clock())
 			f.wake()
 		})
 	}
--- a/internal/control/rostermanager/doc.go
+++ b/internal/control/rostermanager/doc.go
@@ -1,3 +1,3 @@
-// Package keeper decides, at the leading voter, which balancers store idempotency
+// Package rostermanager decides, at the leading voter, which balancers store idempotency
 // keys.
 package rostermanager
--- a/internal/control/rostermanager/rostermanager.go
+++ b/internal/control/rostermanager/rostermanager.go
@@ -10,7 +10,7 @@
 	"wasabideal/internal/model/roster"
 )
 
-// Settings configures a Keeper.
+// Settings configures a Manager.
 type Settings struct {
 	// ChangeInterval is the minimum time between two changes of the list, so that balancers
 	// that start together are added in one change.
@@ -21,7 +21,7 @@
 	KeyRetention time.Duration
 }
 
-// Record is the periodic report of a balancer to the leading voter.
+// Report is the periodic report of a balancer to the leading voter.
 type Report struct {
 	Member  roster.Member
 	Leaving bool
@@ -41,11 +41,11 @@
 	leaderSince time.Time
 	lastChange  time.Time
 	reports     map[string]report
-	// endedAt is when the keeper learned that a listed balancer process had ended.
+	// endedAt is when the manager learned that a listed balancer process had ended.
 	endedAt map[string]time.Time
 }
 
-// New returns a keeper for a voter that becomes the leader now.
+// New returns a manager for a voter that becomes the leader now.
 func New(s Settings, now time.Time) *Manager {
 	return &Manager{settings: s, leaderSince: now, lastChange: now, reports: map[string]report{}, endedAt: map[string]time.Time{}}
 }
--- a/internal/control/upstreams/upstreams.go
+++ b/internal/control/upstreams/upstreams.go
@@ -65,8 +65,8 @@
 	// Self is this voter's RPC address.
 	Self string
 	// Known returns the RPC addresses of all voters that receive announcements, and
-	// Voting those whose majority must hold a departure. Both may include this voter.
-	// Voting is empty while there is no list of voters.
+	// VotingPeers those whose majority must hold a departure. Both may include this voter.
+	// VotingPeers is empty while there is no list of voters.
 	Known, VotingPeers func() []string
 	// Shape is the shape of the balancer trees to which upstreams are referred.
 	Shape tree.Shape
@@ -98,7 +98,7 @@
 	voterHandovers map[string]*handover.Batcher
 }
 
-// New returns an Upstreams that records announcements in a feed.
+// New returns a Receiver that records announcements in a feed.
 func New(s Settings, f *feed.Feed, log hclog.Logger) *Receiver {
 	return &Receiver{
 		settings: s, feed: f, log: log, clients: map[string]*rpc.Client{}, referral: referral.New(s.Shape), pace: ratelimit.New(rejectedLogsPerSecond),
@@ -153,10 +153,10 @@
 	return u.referral.Choose(u.settings.Clock(), a, zone)
 }
 
-// forwardToHome forwards an announcement to the upstream's home voter and reports whether
+// forwardToOwner forwards an announcement to the voter that owns the upstream and reports whether
 // that voter accepted it. Such an announcement arrives here after the upstream's balancer
 // ended. In zones whose upstreams announce to voters only, it stays at the receiving voter.
-func (u *Receiver) forwardToHome(ctx context.Context, a handover.Announcement) bool {
+func (u *Receiver) forwardToOwner(ctx context.Context, a handover.Announcement) bool {
 	zone := lo.Map(u.feed.Fleet(a.Upstream.Zone), func(m member.Member, _ int) string { return m.Address })
 	if !u.settings.Shape.MultiLevel(zone) {
 		return false
@@ -212,7 +212,7 @@
 		return &UnknownServiceError{Service: a.Service}
 	}
 	x := handover.Announcement{Upstream: a, Cold: cold}
-	if a.State == upstream.Ready && u.forwardToHome(ctx, x) {
+	if a.State == upstream.Ready && u.forwardToOwner(ctx, x) {
 		return nil
 	}
 	u.record(u.settings.Clock(), x)
--- a/internal/control/voter/roster.go
+++ b/internal/control/voter/roster.go
@@ -9,33 +9,33 @@
 	"wasabideal/internal/control/rostermanager"
 )
 
-// leaderKeeper returns the roster keeper while this voter leads with a valid lease. The caller holds the lock.
-func (v *Voter) leaderKeeper(now time.Time) (*rostermanager.Manager, error) {
+// leaderRosterManager returns the roster manager while this voter leads with a valid lease. The caller holds the lock.
+func (v *Voter) leaderRosterManager(now time.Time) (*rostermanager.Manager, error) {
 	s := v.agreement.Status(now)
 	if !s.Current {
-		v.keeper = nil
+		v.rosterManager = nil
 		return nil, &agreement.NotLeaderError{Leader: s.Leader}
 	}
-	if v.keeper == nil {
-		v.keeper = rostermanager.New(v.settings.RosterManager, now)
+	if v.rosterManager == nil {
+		v.rosterManager = rostermanager.New(v.settings.RosterManager, now)
 	}
-	return v.keeper, nil
+	return v.rosterManager, nil
 }
 
-func (v *Voter) hello(_ context.Context, h rostermanager.Report) (empty, error) {
-	return empty{}, v.withKeeper(func(now time.Time, k *rostermanager.Manager) { k.Record(now, h) })
+func (v *Voter) recordReport(_ context.Context, h rostermanager.Report) (empty, error) {
+	return empty{}, v.withRosterManager(func(now time.Time, k *rostermanager.Manager) { k.Record(now, h) })
 }
 
 func (v *Voter) forget(_ context.Context, name string) (empty, error) {
-	return empty{}, v.withKeeper(func(now time.Time, k *rostermanager.Manager) { k.Forget(now, name) })
+	return empty{}, v.withRosterManager(func(now time.Time, k *rostermanager.Manager) { k.Forget(now, name) })
 }
 
-// withKeeper calls a function with the keeper, or returns an error that names the leader.
-func (v *Voter) withKeeper(update func(time.Time, *rostermanager.Manager)) error {
+// withRosterManager calls a function with the roster manager, or returns an error that names the leader.
+func (v *Voter) withRosterManager(update func(time.Time, *rostermanager.Manager)) error {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	now := v.settings.Clock()
-	k, err := v.leaderKeeper(now)
+	k, err := v.leaderRosterManager(now)
 	if err != nil {
 		return err
 	}
@@ -43,12 +43,12 @@
 	return nil
 }
 
-// updateRoster proposes the roster change that the keeper decides on, if any.
+// updateRoster proposes the roster change that the roster manager decides on, if any.
 func (v *Voter) updateRoster() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	now := v.settings.Clock()
-	k, err := v.leaderKeeper(now)
+	k, err := v.leaderRosterManager(now)
 	if err != nil {
 		return
 	}
--- a/internal/control/voter/voter.go
+++ b/internal/control/voter/voter.go
@@ -31,7 +31,7 @@
 	RemoveMethod  = "Operator.RemoveVoter"
 	AuditMethod   = "Operator.Audit"
 	ForgetMethod  = "Operator.ForgetBalancer"
-	HelloMethod   = "Roster.Hello"
+	ReportMethod  = "Roster.Hello"
 	PublishMethod = "Voter.Publish"
 	ReadMethod    = "Voter.Read"
 	ZonesMethod   = "Operator.Zones"
@@ -76,17 +76,17 @@
 
 // Voter is a control process that takes part in consensus.
 type Voter struct {
-	settings  Settings
-	log       hclog.Logger
-	mu        sync.Mutex
-	agreement *agreement.Node
-	wal       *wal.Log
-	ledger    *ledger.Ledger
-	source    *source.Source
-	trail     *audit.Trail
-	waiters   map[uint64]waiter
-	keeper    *rostermanager.Manager
-	outboxes  map[string]*outbox
+	settings      Settings
+	log           hclog.Logger
+	mu            sync.Mutex
+	agreement     *agreement.Node
+	wal           *wal.Log
+	ledger        *ledger.Ledger
+	source        *source.Source
+	trail         *audit.Trail
+	waiters       map[uint64]waiter
+	rosterManager *rostermanager.Manager
+	outboxes      map[string]*outbox
 	// senderAddresses holds the listen address of each voter that sent a message, by id.
 	senderAddresses map[string]string
 	events          []agreement.Event
@@ -190,7 +190,7 @@
 	rpc.Handle(r, RemoveMethod, operator, v.remove)
 	rpc.Handle(r, AuditMethod, operator, v.audit)
 	rpc.Handle(r, ForgetMethod, operator, v.forget)
-	rpc.Handle(r, HelloMethod, group, v.hello)
+	rpc.Handle(r, ReportMethod, group, v.recordReport)
 	rpc.Handle(r, PublishMethod, group, v.publishLocal)
 	rpc.Handle(r, ReadMethod, group, v.readLocal)
 	rpc.Handle(r, ZonesMethod, operator, v.evacuations)
--- a/internal/cookie/follower/doc.go
+++ b/internal/cookie/follower/doc.go
@@ -1,3 +1,3 @@
 // Package follower keeps a long poll open to every known voter, or to a parent balancer, and passes
-// the answers to a listener.
+// the responses to a listener.
 package follower
--- a/internal/cookie/follower/follower.go
+++ b/internal/cookie/follower/follower.go
@@ -43,10 +43,10 @@
 )
 
 // ContactLease is how long a voter's report of which upstreams are alive remains valid: the time of
-// two polls without an answer.
+// two polls without a response.
 const ContactLease = 2 * (voterHold + voterGrace)
 
-// Listener receives the answers of the sources. Its methods are called one at a time, except those
+// Listener receives the responses of the sources. Its methods are called one at a time, except those
 // for configurations, which several goroutines call.
 type Listener interface {
 	// Configuration returns the configuration in force.
@@ -57,8 +57,8 @@
 	OnConfiguration(address string, c configuration.Configuration)
 	// OnVoterState receives the state that a voter sent.
 	OnVoterState(now time.Time, x origins.Update)
-	// Evacuations returns the evacuation orders in force, and Evacuated receives those of the voter
-	// or balancer at an address. Evacuated is called before the rest of the same answer is applied,
+	// Evacuations returns the evacuation orders in force, and OnEvacuations receives those of the voter
+	// or balancer at an address. OnEvacuations is called before the rest of the same response is applied,
 	// so that no flow is placed by that answer without them.
 	Evacuations() evacuation.Evacuations
 	OnEvacuations(address string, e evacuation.Evacuations)
@@ -84,7 +84,7 @@
 	settings Settings
 	log      hclog.Logger
 	listener Listener
-	// applying serializes the answers of several sources.
+	// applying serializes the responses of several sources.
 	applying sync.Mutex
 	mu       sync.Mutex
 	ctx      context.Context
@@ -98,8 +98,8 @@
 	// bootstrap decides which voter is polled first after the start.
 	bootstrap bootstrap.Sequencer
 	// selection is nil if only voters are followed.
-	selection *selection.Selection
-	census    *membership.Membership
+	selection  *selection.Selection
+	membership *membership.Membership
 	// followers are the direct and indirect followers of this balancer.
 	followers *members.Members
 	fetcher   *fetcher
@@ -123,7 +123,7 @@
 func New(s Settings, l Listener, log hclog.Logger) *Follower {
 	f := &Follower{
 		settings: s, log: log, listener: l, watches: map[string]*watch{}, voterSeen: map[string]time.Time{},
-		origins: origins.New(), census: membership.New(), followers: members.New(), pool: pool.New(s.Token),
+		origins: origins.New(), membership: membership.New(), followers: members.New(), pool: pool.New(s.Token),
 	}
 	f.fetcher = newFetcher(s.Token, l, f.knownVoters, log)
 	if s.Self.Address != "" {
@@ -186,8 +186,8 @@
 		f.mu.Lock()
 		now := f.settings.Clock()
 		f.followers.Tick(now)
-		if f.census.Tick(now) {
-			f.selection.UpdateZone(now, f.census.Addresses())
+		if f.membership.Tick(now) {
+			f.selection.UpdateZone(now, f.membership.Addresses())
 		}
 		f.reconcile(now)
 		f.mu.Unlock()
@@ -211,7 +211,7 @@
 		if !wanted[a] {
 			w.stop()
 			delete(f.watches, a)
-			f.census.RemoveSource(now, a)
+			f.membership.RemoveSource(now, a)
 		}
 	}
 	for a := range wanted {
@@ -289,7 +289,7 @@
 	f.selection.EvaluateProbe(now)
 	if c, changed := f.selection.TakeChange(); changed {
 		f.log.Info("follows", "Parent", c.Parent, "Reason", string(c.Reason), "Level", f.selection.Level(),
-			"Balancers", len(f.census.Members()), "FreshVoters", f.origins.CountFresh(now, f.settings.StaleAfter))
+			"Balancers", len(f.membership.Members()), "FreshVoters", f.origins.CountFresh(now, f.settings.StaleAfter))
 	}
 	return f.selection.Decide(now)
 }
@@ -378,7 +378,7 @@
 func (f *Follower) Peers() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.census.Addresses()
+	return f.membership.Addresses()
 }
 
 // Balancers returns the number of balancers in all zones, 0 if unknown. A restarted source needs
--- a/internal/cookie/follower/follower_test.go
+++ b/internal/cookie/follower/follower_test.go
@@ -137,7 +137,7 @@
 	return startFollowerHolding(t, 1, addresses...)
 }
 
-// followFrom starts a follower that already holds a revision of the configuration, none for 0.
+// startFollowerHolding starts a follower that already holds a revision of the configuration, none for 0.
 func startFollowerHolding(t *testing.T, revision uint64, addresses ...string) *listener {
 	l := &listener{notices: map[string]int{}, held: configuration.Configuration{Revision: revision}}
 	f := follower.New(follower.Settings{Token: "group", From: "balancer", Clock: time.Now}, l, hclog.NewNullLogger())
@@ -155,7 +155,7 @@
 }
 
 // Guards against balancers that learn of departures more than a second late after a change of 1,400
-// routes. Every voter's answer carried the change ahead of the notices, over a link on which one
+// routes. Every voter's response carried the change ahead of the notices, over a link on which one
 // copy takes half a second.
 func TestConfigurationIsFetchedFromOneVoter(t *testing.T) {
 	a, b, c := startVoter(t, 1), startVoter(t, 2), startVoter(t, 3)
@@ -204,7 +204,7 @@
 	require.Equal(t, uint64(7), l.Configuration().Revision, "the configuration is applied before the notices")
 }
 
-// A large configuration is fetched separately: the answers of several voters would fill a narrow
+// A large configuration is fetched separately: the responses of several voters would fill a narrow
 // link.
 func TestLargeFirstConfigurationIsFetched(t *testing.T) {
 	a := startVoter(t, 1)
@@ -221,10 +221,10 @@
 	require.NotZero(t, a.fetches())
 }
 
-// shapeBelow is the tree shape of the zone that below returns.
+// nonRootShape is the tree shape of the zone that nonRootBalancer returns.
 var nonRootShape = tree.Shape{Roots: 4, Fanout: 8}
 
-// below returns the address of a balancer below the roots of its zone, and the zone.
+// nonRootBalancer returns the address of a balancer below the roots of its zone, and the zone.
 func nonRootBalancer() (string, []members.Heartbeat) {
 	var addresses []string
 	var zone []members.Heartbeat
@@ -241,7 +241,7 @@
 	return "", nil
 }
 
-// startBelow starts a follower for a balancer below the roots of its zone.
+// startNonRoot starts a follower for a balancer below the roots of its zone.
 func startNonRoot(t *testing.T, clock func() time.Time, self string, voters []string) (*follower.Follower, *listener) {
 	l := &listener{notices: map[string]int{}, marksInformed: true}
 	f := follower.New(follower.Settings{
@@ -257,7 +257,7 @@
 }
 
 // Guards against balancers that stay unready for seconds although voters answer. After all VMs lost
-// power, a voter with an empty disk answered first, and any one answer ended the startup phase.
+// power, a voter with an empty disk answered first, and any one response ended the startup phase.
 func TestVoterWithEmptyDiskDoesNotEndStartup(t *testing.T) {
 	self, zone := nonRootBalancer()
 	empty, complete := startVoter(t, 1), startVoter(t, 2)
--- a/internal/cookie/follower/handover.go
+++ b/internal/cookie/follower/handover.go
@@ -20,7 +20,7 @@
 	return "no voter can be reached from this balancer; announce the upstream elsewhere"
 }
 
-// HandOver forwards announcements to the parent, or each to the home voter of its upstream.
+// HandOver forwards announcements to the parent, or each to the voter that owns its upstream.
 func (f *Follower) HandOver(ctx context.Context, all []handover.Announcement) error {
 	f.mu.Lock()
 	parent := ""
@@ -32,13 +32,13 @@
 	if parent != "" {
 		return f.handOverTo(ctx, parent, all)
 	}
-	byHome := lo.GroupBy(all, func(a handover.Announcement) string { return owner.Of(a.Upstream, voters) })
-	results := make(chan error, len(byHome))
-	for to, announcements := range byHome {
+	byOwner := lo.GroupBy(all, func(a handover.Announcement) string { return owner.Of(a.Upstream, voters) })
+	results := make(chan error, len(byOwner))
+	for to, announcements := range byOwner {
 		go func() { results <- f.handOverTo(ctx, to, announcements) }()
 	}
 	var failed error
-	for range byHome {
+	for range byOwner {
 		failed = cmp.Or(<-results, failed)
 	}
 	return failed
@@ -78,5 +78,5 @@
 func (f *Follower) OtherBalancers() []member.Member {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return lo.Filter(f.census.Members(), func(m member.Member, _ int) bool { return m.Address != f.settings.Self.Address })
+	return lo.Filter(f.membership.Members(), func(m member.Member, _ int) bool { return m.Address != f.settings.Self.Address })
 }
--- a/internal/cookie/follower/parent.go
+++ b/internal/cookie/follower/parent.go
@@ -15,8 +15,8 @@
 	// most parentHold to the age of a voter's state, so three levels stay within ContactLease.
 	parentHold  = 600 * time.Millisecond
 	parentGrace = 400 * time.Millisecond
-	// emptyAnswerPause prevents an immediate repeat of a poll whose answer had no updates.
-	emptyAnswerPause = 20 * time.Millisecond
+	// emptyResponsePause prevents an immediate repeat of a poll whose response had no updates.
+	emptyResponsePause = 20 * time.Millisecond
 )
 
 // pollParent polls a balancer until the context ends or a poll fails.
@@ -30,10 +30,10 @@
 			f.parentFailed(ctx, address, err)
 			return
 		}
-		if !updated && f.settings.Clock().Sub(started) < emptyAnswerPause {
+		if !updated && f.settings.Clock().Sub(started) < emptyResponsePause {
 			select {
 			case <-ctx.Done():
-			case <-time.After(emptyAnswerPause):
+			case <-time.After(emptyResponsePause):
 			}
 		}
 	}
@@ -49,7 +49,7 @@
 	f.log.Info("balancer does not answer", "Address", address, "Error", err)
 	now := f.settings.Clock()
 	delete(f.watches, address)
-	f.census.RemoveSource(now, address)
+	f.membership.RemoveSource(now, address)
 	f.selection.RecordFailure(now, address)
 	f.reconcile(now)
 }
@@ -87,7 +87,7 @@
 		updated = true
 	}
 	f.mu.Lock()
-	f.selection.RecordAnswer(now, address, fresh)
+	f.selection.RecordResponse(now, address, fresh)
 	f.mu.Unlock()
 	f.addVoters(a.Voters)
 	return updated, nil
@@ -100,6 +100,6 @@
 	return relay.Request{
 		Evacuations: evacuations,
 		From:        f.settings.Self.Address, Hold: parentHold, Revision: f.fetcher.revision(address),
-		Fleet: f.census.List(address).Version, Known: f.origins.Known(f.settings.Clock()),
+		Fleet: f.membership.List(address).Version, Known: f.origins.Known(f.settings.Clock()),
 	}
 }
--- a/internal/cookie/follower/serving.go
+++ b/internal/cookie/follower/serving.go
@@ -10,17 +10,17 @@
 )
 
 // Updates answers a follower's poll, except for the configuration revision and the notices. It reports
-// whether the answer contains anything new.
+// whether the response contains anything new.
 func (f *Follower) Updates(now time.Time, q relay.Request) (relay.Response, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	origins, updated := f.origins.UpdatesSince(now, q.Known)
 	a := relay.Response{
-		Origins: origins, FleetVersion: f.census.Version(), Balancers: f.fleetSize(),
+		Origins: origins, FleetVersion: f.membership.Version(), Balancers: f.fleetSize(),
 		Voters: lo.Filter(lo.Keys(f.voterSeen), func(v string, _ int) bool { return now.Sub(f.voterSeen[v]) < voterExpiry }),
 	}
 	if q.Fleet != a.FleetVersion {
-		a.Fleet = f.census.Members()
+		a.Fleet = f.membership.Members()
 	}
 	return a, updated
 }
--- a/internal/cookie/follower/standing.go
+++ b/internal/cookie/follower/status.go
@@ -31,7 +31,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	s := Status{
-		Fresh: f.origins.CountFresh(now, f.settings.StaleAfter), Balancers: len(f.census.Members()),
+		Fresh: f.origins.CountFresh(now, f.settings.StaleAfter), Balancers: len(f.membership.Members()),
 		Followers: len(f.followers.Heartbeats(now)),
 	}
 	for i, k := range f.origins.Known(now) {
--- a/internal/cookie/follower/uplink.go
+++ b/internal/cookie/follower/uplink.go
@@ -133,7 +133,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
-	if _, err := rpc.Call[[]members.Heartbeat, empty](ctx, client, feed.AttendMethod, all); err != nil {
+	if _, err := rpc.Call[[]members.Heartbeat, empty](ctx, client, feed.RecordFollowersMethod, all); err != nil {
 		u.log.Debug("failed to report followers", "Address", u.to, "Error", err)
 	}
 }
--- a/internal/cookie/follower/voters.go
+++ b/internal/cookie/follower/voters.go
@@ -85,7 +85,7 @@
 	switch {
 	case !answered:
 		f.bootstrap.RecordFailure(address)
-	case f.bootstrap.RecordAnswer(address, complete):
+	case f.bootstrap.RecordResponse(address, complete):
 		// The startup phase ends here, and other voters may no longer be needed.
 		f.reconcile(f.settings.Clock())
 	}
@@ -101,7 +101,7 @@
 		return false
 	}
 	delete(f.watches, address)
-	f.census.RemoveSource(now, address)
+	f.membership.RemoveSource(now, address)
 	f.expireVoter(now, address)
 	return true
 }
@@ -128,8 +128,8 @@
 	if f.selection != nil {
 		self := f.settings.Self
 		q.Self = &self
-		q.Passing = f.settings.Shape.Levels(len(f.census.Members())) - 1
-		if list := f.census.List(address); list.Life == known.Life {
+		q.Passing = f.settings.Shape.Levels(len(f.membership.Members())) - 1
+		if list := f.membership.List(address); list.Life == known.Life {
 			q.Fleet = list.Version
 		}
 	}
@@ -165,7 +165,7 @@
 	return nil
 }
 
-// applyVoterFleet applies the balancer list in a voter's answer.
+// applyVoterFleet applies the balancer list in a voter's response.
 func (f *Follower) applyVoterFleet(address string, q feed.Request, a feed.Response) {
 	if q.Self == nil || q.Fleet == a.FleetVersion && q.Life == a.Life {
 		return
@@ -178,8 +178,8 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.settings.Clock()
-	f.census.SetList(now, source, l)
-	f.selection.UpdateZone(now, f.census.Addresses())
+	f.membership.SetList(now, source, l)
+	f.selection.UpdateZone(now, f.membership.Addresses())
 }
 
 // applyOrigin applies a voter's state, in the order of its versions, and reports whether it was
@@ -200,7 +200,7 @@
 	return f.origins.Apply(now, x)
 }
 
-// applyInlineConfiguration applies a configuration that came with a voter's answer.
+// applyInlineConfiguration applies a configuration that came with a voter's response.
 func (f *Follower) applyInlineConfiguration(address string, held configuration.Configuration, encoded cbor.RawMessage) {
 	var a history.Response
 	err := cbor.Unmarshal(encoded, &a)
--- a/internal/cookie/router/detection.go
+++ b/internal/cookie/router/detection.go
@@ -229,8 +229,8 @@
 		z.suspicion = nil
 	}
 	suspected := false
-	for s, doubt := range all {
-		suspected = r.suspect(s, doubt) || suspected
+	for s, reported := range all {
+		suspected = r.suspect(s, reported) || suspected
 	}
 	if !suspected {
 		return nil
@@ -249,8 +249,8 @@
 // suspect stores a suspicion and reports whether its subject is known. It is stored as not
 // yet refuted, so that an answer is reported again: a voter that restarted or was informed
 // late may have missed the last report.
-func (r *Router) suspect(s evidence.Subject, doubt suspicions.Suspicion) bool {
-	d := &suspicion{Suspicion: doubt}
+func (r *Router) suspect(s evidence.Subject, reported suspicions.Suspicion) bool {
+	d := &suspicion{Suspicion: reported}
 	if z := r.zones[s.Zone]; s.Zone != "" && z != nil {
 		z.suspicion = d
 		return true
--- a/internal/cookie/router/detection_test.go
+++ b/internal/cookie/router/detection_test.go
@@ -44,7 +44,7 @@
 	accrual *accrual.Detector
 	// confirmation is the voter's probing of the hosts of suspected upstreams.
 	confirmation *confirmation.Confirmer
-	doubts       []*suspicions.Set
+	reported     []*suspicions.Set
 	// shared is set if balancers report to the voter.
 	shared bool
 	// dead are the upstreams without power; slow multiplies the processing time of others.
@@ -101,7 +101,7 @@
 		}}))
 		r.SetTargets(epoch.Add(-time.Minute), targets)
 		s.routers = append(s.routers, r)
-		s.doubts = append(s.doubts, suspicions.New(3*time.Second))
+		s.reported = append(s.reported, suspicions.New(3*time.Second))
 	}
 	for i := range poolCallers {
 		u := &client{balancer: i % poolBalancers, class: configuration.Idempotent}
@@ -245,8 +245,8 @@
 }
 
 func (s *poolSimulation) applySuspicions(balancer int, all []evidence.Suspicion) {
-	s.doubts[balancer].Update(s.Now, "voter", all)
-	for _, p := range s.routers[balancer].SetSuspicions(s.Now, s.doubts[balancer].All()) {
+	s.reported[balancer].Update(s.Now, "voter", all)
+	for _, p := range s.routers[balancer].SetSuspicions(s.Now, s.reported[balancer].All()) {
 		for _, u := range s.clients {
 			if u.packet.Caller == p.Caller {
 				s.reset(u)
--- a/internal/daemon/balancer/balancer.go
+++ b/internal/daemon/balancer/balancer.go
@@ -47,7 +47,7 @@
 	// MaxKeys and KeyWindow limit the number and the age of stored request keys.
 	MaxKeys   int
 	KeyWindow time.Duration
-	// SaveConfiguration saves the configuration in force to disk, and Stored the one saved before
+	// SaveConfiguration saves the configuration in force to disk, and SavedConfiguration is the one saved before
 	// the start, if any; both are nil without a disk.
 	SaveConfiguration  func(configuration.Configuration) error
 	SavedConfiguration *configuration.Configuration
--- a/internal/daemon/cookie/cookie.go
+++ b/internal/daemon/cookie/cookie.go
@@ -106,10 +106,10 @@
 	view     *view.View
 	// suspicions holds the voters' reports on upstreams that leave packets unanswered.
 	suspicions *suspicions.Set
-	// suspicionsApplied is when the router last received the suspicions; suspicionPacing
+	// suspicionsApplied is when the router last received the suspicions; suspicionPacer
 	// schedules the next update.
 	suspicionsApplied time.Time
-	suspicionPacing   pacing.Pacer
+	suspicionPacer    pacing.Pacer
 	// unresponsive holds the subjects that were logged as unresponsive.
 	unresponsive map[evidence.Subject]bool
 	// unplaced buffers packets that cannot be placed yet.
--- a/internal/daemon/cookie/fanout.go
+++ b/internal/daemon/cookie/fanout.go
@@ -88,7 +88,7 @@
 		return x.configuration(revision)
 	})
 	rpc.Handle(x.server, feed.ReportsMethod, s.Token, b.relayReports)
-	rpc.Handle(x.server, feed.AttendMethod, s.Token, func(_ context.Context, all []members.Heartbeat) (empty, error) {
+	rpc.Handle(x.server, feed.RecordFollowersMethod, s.Token, func(_ context.Context, all []members.Heartbeat) (empty, error) {
 		b.follower.RecordFollowers(s.Clock(), all)
 		return empty{}, nil
 	})
--- a/internal/daemon/cookie/suspicions.go
+++ b/internal/daemon/cookie/suspicions.go
@@ -12,7 +12,7 @@
 // scheduleSuspicions calls applySuspicions at once, or minSuspicionInterval after the last
 // call, together with the reports that arrive until then. The caller holds the lock.
 func (b *Balancer) scheduleSuspicions(now time.Time) {
-	at, schedule := b.suspicionPacing.Schedule(now, minSuspicionInterval)
+	at, schedule := b.suspicionPacer.Schedule(now, minSuspicionInterval)
 	switch {
 	case !at.After(now):
 		b.applySuspicions(now)
@@ -31,7 +31,7 @@
 // The caller holds the lock.
 func (b *Balancer) applySuspicions(now time.Time) {
 	b.suspicionsApplied = now
-	b.suspicionPacing.Sent(now)
+	b.suspicionPacer.Sent(now)
 	all := b.suspicions.All()
 	resets := b.router.SetSuspicions(now, all)
 	b.logUnresponsive(now, all, len(resets))
--- a/internal/disk/wal/wal.go
+++ b/internal/disk/wal/wal.go
@@ -87,82 +87,82 @@
 }
 
 // Close closes the log file.
-func (w *Log) Close() error { return w.file.Close() }
+func (l *Log) Close() error { return l.file.Close() }
 
 // Size returns the length of the log in bytes.
-func (w *Log) Size() int64 { return w.size }
+func (l *Log) Size() int64 { return l.size }
 
-func (w *Log) syncAll() error {
-	if err := w.file.Sync(); err != nil {
-		return w.fail("sync", err)
+func (l *Log) syncAll() error {
+	if err := l.file.Sync(); err != nil {
+		return l.fail("sync", err)
 	}
-	if err := w.folder.Sync(); err != nil {
-		return w.fail("folder sync", err)
+	if err := l.folder.Sync(); err != nil {
+		return l.fail("folder sync", err)
 	}
 	return nil
 }
 
 // fail makes all later writes fail: after a failed sync, the content of the disk is
 // unknown, so nothing more may be acknowledged.
-func (w *Log) fail(operation string, err error) error {
-	w.failed = &FailedError{Operation: operation, Cause: err}
-	return w.failed
+func (l *Log) fail(operation string, err error) error {
+	l.failed = &FailedError{Operation: operation, Cause: err}
+	return l.failed
 }
 
 // Write appends a vote and entries, or compacts the log to a snapshot, and returns once the data is synced.
-func (w *Log) Write(p agreement.Persist) error {
-	if w.failed != nil {
-		return w.failed
+func (l *Log) Write(p agreement.Persist) error {
+	if l.failed != nil {
+		return l.failed
 	}
 	if p.Snapshot != nil {
-		return w.compact(p)
+		return l.compact(p)
 	}
 	var b []byte
 	var err error
 	if b, err = appendRecord(b, p); err != nil {
-		return w.fail("encode", err)
+		return l.fail("encode", err)
 	}
 	if len(b) == 0 {
 		return nil
 	}
-	if _, err := w.file.Write(b); err != nil {
-		return w.fail("write", err)
+	if _, err := l.file.Write(b); err != nil {
+		return l.fail("write", err)
 	}
-	if err := w.file.Sync(); err != nil {
-		return w.fail("sync", err)
+	if err := l.file.Sync(); err != nil {
+		return l.fail("sync", err)
 	}
-	w.size += int64(len(b))
+	l.size += int64(len(b))
 	return nil
 }
 
 // compact replaces the snapshot and then the log. After a crash in between, the log
 // still has entries that the snapshot covers; Open skips them.
-func (w *Log) compact(p agreement.Persist) error {
+func (l *Log) compact(p agreement.Persist) error {
 	body, err := cbor.Marshal(p.Snapshot)
 	if err != nil {
-		return w.fail("encode", err)
+		return l.fail("encode", err)
 	}
-	if err := w.replace(snapshotFile, appendFrame(nil, body)); err != nil {
+	if err := l.replace(snapshotFile, appendFrame(nil, body)); err != nil {
 		return err
 	}
 	b, err := appendRecord(nil, p)
 	if err != nil {
-		return w.fail("encode", err)
+		return l.fail("encode", err)
 	}
-	if err := w.replace(logFile, b); err != nil {
+	if err := l.replace(logFile, b); err != nil {
 		return err
 	}
-	_ = w.file.Close()
-	if w.file, err = w.folder.Append(logFile, int64(len(b))); err != nil {
-		return w.fail("open log", err)
+	_ = l.file.Close()
+	if l.file, err = l.folder.Append(logFile, int64(len(b))); err != nil {
+		return l.fail("open log", err)
 	}
-	w.size = int64(len(b))
+	l.size = int64(len(b))
 	return nil
 }
 
-func (w *Log) replace(name string, b []byte) error {
-	if err := folder.Replace(w.folder, name, b); err != nil {
-		return w.fail("replace", err)
+func (l *Log) replace(name string, b []byte) error {
+	if err := folder.Replace(l.folder, name, b); err != nil {
+		return l.fail("replace", err)
 	}
 	return nil
 }
--- a/internal/fanout/bootstrap/bootstrap.go
+++ b/internal/fanout/bootstrap/bootstrap.go
@@ -13,7 +13,7 @@
 	since   time.Time
 	// done is set once a voter has sent a complete state.
 	done bool
-	// incomplete holds the voters whose answer was incomplete.
+	// incomplete holds the voters whose response was incomplete.
 	incomplete map[string]bool
 }
 
@@ -29,9 +29,9 @@
 	return true
 }
 
-// RecordAnswer records that a voter answered, and whether its state was complete; that of a voter
+// RecordResponse records that a voter answered, and whether its state was complete; that of a voter
 // with an empty disk is not. It reports whether this ends the startup.
-func (t *Sequencer) RecordAnswer(voter string, complete bool) bool {
+func (t *Sequencer) RecordResponse(voter string, complete bool) bool {
 	if t.done {
 		return false
 	}
--- a/internal/fanout/bootstrap/bootstrap_test.go
+++ b/internal/fanout/bootstrap/bootstrap_test.go
@@ -19,10 +19,10 @@
 	require.False(t, x.Allow(at(10), "v2"))
 	require.True(t, x.Allow(at(20), "v1"), "the current voter may be polled again")
 	require.True(t, x.Allow(at(180), "v2"), "the first one timed out")
-	require.True(t, x.RecordAnswer("v2", true))
+	require.True(t, x.RecordResponse("v2", true))
 	require.True(t, x.Done())
 	require.True(t, x.Allow(at(190), "v3"))
-	require.False(t, x.RecordAnswer("v3", true), "startup was over before")
+	require.False(t, x.RecordResponse("v3", true), "startup was over before")
 }
 
 func TestFailedVoterAllowsTheNext(t *testing.T) {
@@ -38,9 +38,9 @@
 func TestIncompleteVoterDoesNotBlockOthers(t *testing.T) {
 	var x bootstrap.Sequencer
 	require.True(t, x.Allow(at(0), "empty"))
-	require.False(t, x.RecordAnswer("empty", false))
+	require.False(t, x.RecordResponse("empty", false))
 	require.True(t, x.Allow(at(1), "empty"), "an incomplete voter may still be polled")
 	require.True(t, x.Allow(at(2), "whole"))
 	require.False(t, x.Done())
-	require.True(t, x.RecordAnswer("whole", true))
+	require.True(t, x.RecordResponse("whole", true))
 }
--- a/internal/fanout/bootstrap/doc.go
+++ b/internal/fanout/bootstrap/doc.go
@@ -1,8 +1,8 @@
-// Package turn decides which voter a balancer polls first after its start, and when it polls
+// Package bootstrap decides which voter a balancer polls first after its start, and when it polls
 // others.
 //
-// After a power loss all voters and balancers start together. An answer with all upstreams takes a
-// voter a third of a millisecond and a narrow link some ten, so one such answer has to be enough.
+// After a power loss all voters and balancers start together. A response with all upstreams takes a
+// voter a third of a millisecond and a narrow link some ten, so one such response has to be enough.
 // Which voter recovers first is unknown; connections to all of them are therefore opened at once.
 //
 // The package has no I/O and no clock. A Sequencer is not safe for concurrent use.
--- a/internal/fanout/chunk/chunk_test.go
+++ b/internal/fanout/chunk/chunk_test.go
@@ -32,10 +32,10 @@
 	}
 }
 
-// Guards against followers that are sent the whole fleet in one answer, time out, and request the
+// Guards against followers that are sent the whole fleet in one response, time out, and request the
 // same again.
-func TestStartingFollowerReceivesFleetInPortions(t *testing.T) {
-	for _, c := range []struct{ voters, each, answers, largest int }{
+func TestStartingFollowerReceivesFleetInChunks(t *testing.T) {
+	for _, c := range []struct{ voters, each, responses, largest int }{
 		{25, 400, 13, 800},
 		{25, 800, 25, 800},
 		{5, 30, 1, 150},
@@ -43,19 +43,19 @@
 	} {
 		above, notices := parent(c.voters, c.each)
 		follower := origins.New()
-		answers, received, largest := 0, 0, 0
+		responses, received, largest := 0, 0, 0
 		for {
 			all, updated := above.UpdatesSince(epoch, follower.Known(epoch))
 			if !updated {
 				break
 			}
 			chunk.New("z2").Fill(all, notices)
-			answers++
-			require.LessOrEqual(t, answers, c.voters, "each answer has updates")
+			responses++
+			require.LessOrEqual(t, responses, c.voters, "each answer has updates")
 			filled := 0
 			for _, x := range all {
 				filled += len(x.Notices)
-				if len(x.Notices) > 0 && answers == 1 && c.answers > 1 {
+				if len(x.Notices) > 0 && responses == 1 && c.responses > 1 {
 					require.Equal(t, "z2", x.Zone, "the notices of the own zone come first")
 				}
 				require.Equal(t, x.Life != 0, follower.Apply(epoch, x))
@@ -63,7 +63,7 @@
 			received += filled
 			largest = max(largest, filled)
 		}
-		require.Equal(t, c.answers, answers)
+		require.Equal(t, c.responses, responses)
 		require.Equal(t, c.voters*c.each, received)
 		require.Equal(t, c.largest, largest)
 		require.Len(t, follower.Known(epoch), c.voters)
--- a/internal/fanout/chunk/doc.go
+++ b/internal/fanout/chunk/doc.go
@@ -1,5 +1,5 @@
-// Package portion limits how much voter state goes into one answer to a follower.
+// Package portion limits how much voter state goes into one response to a follower.
 //
-// A follower that has just started lacks all upstreams of the fleet. An answer with all of them
+// A follower that has just started lacks all upstreams of the fleet. A response with all of them
 // would exceed its timeout, and the follower would request the same again.
 package chunk
--- a/internal/fanout/membership/doc.go
+++ b/internal/fanout/membership/doc.go
@@ -1,4 +1,4 @@
-// Package census merges the lists of a zone's balancers that a balancer receives from its
+// Package membership merges the lists of a zone's balancers that a balancer receives from its
 // sources, the voters or balancers that it follows.
 //
 // A list may be incomplete: a voter that has just started knows only the balancers that have
--- a/internal/fanout/membership/membership.go
+++ b/internal/fanout/membership/membership.go
@@ -32,12 +32,12 @@
 	version uint64
 }
 
-// New returns an empty census.
+// New returns an empty membership.
 func New() *Membership {
 	return &Membership{lists: map[string]List{}, retained: map[member.Member]time.Time{}}
 }
 
-// Of returns the list of a source.
+// List returns the list of a source.
 func (c *Membership) List(source string) List { return c.lists[source] }
 
 // SetList replaces the list of a source.
--- a/internal/fanout/origins/origins.go
+++ b/internal/fanout/origins/origins.go
@@ -14,14 +14,14 @@
 type Known struct {
 	_     struct{} `cbor:",toarray"`
 	Voter string
-	// Life changes when the voter restarts; Version and Doubts rise within one life.
+	// Life changes when the voter restarts; Version and Doubts rise until then.
 	Life, Version, Doubts uint64
 	// Age is the time since the last contact with the voter.
 	Age time.Duration
 }
 
 // Update is an update from one voter, as it is relayed. If Life is 0, only Voter and Age are set.
-// Even in that short form, updates from five voters are a third of the bytes of an answer without
+// Even in that short form, updates from five voters are a third of the bytes of a response without
 // changes.
 type Update struct {
 	_ struct{} `cbor:",toarray"`
@@ -30,20 +30,20 @@
 	Zone string
 	// Notices are the upstream changes after the version that was requested.
 	Notices []directory.Notice
-	// Subjects lists all doubts of the voter. It is valid only if Doubted is set; otherwise the
+	// Subjects lists all suspicions of the voter. It is valid only if Doubted is set; otherwise the
 	// receiver keeps those that it has.
 	Subjects []evidence.Suspicion
 	Doubted  bool
 }
 
 // ContactOnly returns a copy reduced to the voter's name and age.
-func (x Update) ContactOnly() Update { return Update{Known: Known{Voter: x.Voter, Age: x.Age}} }
+func (u Update) ContactOnly() Update { return Update{Known: Known{Voter: u.Voter, Age: u.Age}} }
 
 type state struct {
-	life, version, doubts uint64
-	zone                  string
-	contact               time.Time
-	// subjects are the voter's doubts as received at subjectsAt.
+	life, version, suspicions uint64
+	zone                      string
+	contact                   time.Time
+	// subjects are the voter's suspicions as received at subjectsAt.
 	subjects   []evidence.Suspicion
 	subjectsAt time.Time
 }
@@ -54,14 +54,14 @@
 // New returns an empty Origins.
 func New() *Origins { return &Origins{byVoter: map[string]state{}} }
 
-// Of returns the state received from a voter.
+// State returns the state received from a voter.
 func (o *Origins) State(now time.Time, voter string) Known {
 	s := o.byVoter[voter]
 	return s.known(now, voter)
 }
 
 func (s state) known(now time.Time, voter string) Known {
-	return Known{Voter: voter, Life: s.life, Version: s.version, Doubts: s.doubts, Age: now.Sub(s.contact)}
+	return Known{Voter: voter, Life: s.life, Version: s.version, Doubts: s.suspicions, Age: now.Sub(s.contact)}
 }
 
 // Known returns the state received from each voter, in the order of their names.
@@ -83,14 +83,14 @@
 	case x.Life != s.life:
 		return now.Add(-x.Age).After(s.contact)
 	default:
-		return x.Version >= s.version && x.Doubts >= s.doubts
+		return x.Version >= s.version && x.Doubts >= s.suspicions
 	}
 }
 
 // Complete fills in the held life and versions of an update that carries only an age.
 func (o *Origins) Complete(x Update) Update {
 	if s := o.byVoter[x.Voter]; x.Life == 0 {
-		x.Life, x.Version, x.Doubts = s.life, s.version, s.doubts
+		x.Life, x.Version, x.Doubts = s.life, s.version, s.suspicions
 	}
 	return x
 }
@@ -102,12 +102,12 @@
 		return false
 	}
 	s := o.byVoter[x.Voter]
-	changed := s.life != x.Life || s.version != x.Version || s.doubts != x.Doubts
+	changed := s.life != x.Life || s.version != x.Version || s.suspicions != x.Doubts
 	s.life, s.version, s.zone = x.Life, x.Version, cmp.Or(x.Zone, s.zone)
 	if x.Doubted {
 		s.subjects, s.subjectsAt = x.Subjects, now
 	}
-	s.doubts = x.Doubts
+	s.suspicions = x.Doubts
 	if contact := now.Add(-x.Age); contact.After(s.contact) {
 		s.contact = contact
 	}
@@ -151,7 +151,7 @@
 		} else {
 			x = x.ContactOnly()
 		}
-		x.Doubted = x.Life != 0 && (!found || k.Life != s.life || k.Doubts != s.doubts)
+		x.Doubted = x.Life != 0 && (!found || k.Life != s.life || k.Doubts != s.suspicions)
 		if x.Doubted {
 			x.Subjects = aged(s.subjects, now.Sub(s.subjectsAt))
 		}
@@ -168,7 +168,7 @@
 	case remote.Life != s.life:
 		return local.Age < remote.Age
 	default:
-		return s.version >= remote.Version && s.doubts >= remote.Doubts && (s.version > remote.Version || s.doubts > remote.Doubts)
+		return s.version >= remote.Version && s.suspicions >= remote.Doubts && (s.version > remote.Version || s.suspicions > remote.Doubts)
 	}
 }
 
--- a/internal/fanout/origins/origins_test.go
+++ b/internal/fanout/origins/origins_test.go
@@ -69,7 +69,7 @@
 	require.False(t, changed, "another life with a later contact")
 }
 
-func TestAgesOfDoubtsIncludeRelayTime(t *testing.T) {
+func TestSuspicionAgesIncludeRelayTime(t *testing.T) {
 	o := origins.New()
 	x := update(1, 1, 0)
 	x.Doubts, x.Doubted = 3, true
@@ -82,13 +82,13 @@
 	o.Apply(epoch, x)
 	relayed, changed := o.UpdatesSince(epoch, []origins.Known{{Voter: "v1", Life: 1, Version: 1, Doubts: 3}})
 	require.True(t, changed)
-	require.True(t, relayed[0].Doubted, "the end of all doubts is sent once")
+	require.True(t, relayed[0].Doubted, "the end of all suspicions is sent once")
 	x.Doubts, x.Subjects = 5, []evidence.Suspicion{{Subject: evidence.Subject{Incarnation: 6}}}
 	o.Apply(epoch, x)
 	relayed, _ = o.UpdatesSince(epoch, []origins.Known{{Voter: "v1", Life: 1, Version: 1, Doubts: 4}})
 	require.Len(t, relayed[0].Subjects, 1)
 	relayed, _ = o.UpdatesSince(epoch, []origins.Known{{Voter: "v1", Life: 1, Version: 1, Doubts: 5}})
-	require.False(t, relayed[0].Doubted, "unchanged doubts are not sent again")
+	require.False(t, relayed[0].Doubted, "unchanged suspicions are not sent again")
 	relayed, _ = o.UpdatesSince(epoch, []origins.Known{{Voter: "v1", Life: 1, Version: 1, Doubts: 5}})
 	require.False(t, relayed[0].Doubted)
 }
--- a/internal/fanout/pacing/pacing.go
+++ b/internal/fanout/pacing/pacing.go
@@ -7,7 +7,7 @@
 type Pacer struct{ lastSent, due time.Time }
 
 // Schedule schedules an update, at the earliest a pause after the last send. It returns when to call
-// Told, and false if that call is already scheduled.
+// Sent, and false if that call is already scheduled.
 func (p *Pacer) Schedule(now time.Time, pause time.Duration) (time.Time, bool) {
 	if !p.due.IsZero() {
 		return p.due, false
--- a/internal/fanout/pacing/pacing_test.go
+++ b/internal/fanout/pacing/pacing_test.go
@@ -20,7 +20,7 @@
 	require.Equal(t, epoch, due)
 }
 
-// Guards against a burst of answers while hundreds of upstreams fail together.
+// Guards against a burst of responses while hundreds of upstreams fail together.
 func TestBurstIsSentOncePerPause(t *testing.T) {
 	var p pacing.Pacer
 	sends := 0
--- a/internal/fanout/relay/relay.go
+++ b/internal/fanout/relay/relay.go
@@ -18,17 +18,17 @@
 const (
 	// followerExpiry is how long a balancer counts as a follower after its last poll.
 	followerExpiry = 2 * time.Second
-	// noticeInterval is the minimum time between two answers with upstream notices, as at a voter.
+	// noticeInterval is the minimum time between two responses with upstream notices, as at a voter.
 	// Without it, five voters would wake all followers up to fifty times a second. With three
 	// levels below the voters, a departure is known everywhere within a second.
 	noticeInterval = 250 * time.Millisecond
-	// suspicionDelay is how long an answer with suspicions waits for those of other voters, which
+	// suspicionDelay is how long a response with suspicions waits for those of other voters, which
 	// receive the same reports within some milliseconds.
 	suspicionDelay = 10 * time.Millisecond
-	// answerInterval is the minimum time between two answers with updates to a follower, except for
+	// responseInterval is the minimum time between two responses with updates to a follower, except for
 	// configurations and evacuations. Without it, hundreds of upstreams that fail together would
-	// cause a continuous exchange of polls and answers.
-	answerInterval = 50 * time.Millisecond
+	// cause a continuous exchange of polls and responses.
+	responseInterval = 50 * time.Millisecond
 )
 
 // Request is a follower's poll.
@@ -60,7 +60,7 @@
 	Fleet        []member.Member `cbor:",omitempty"`
 	FleetVersion uint64
 	// Held is how long the poll was held. The rest of the round trip adds to the age of the
-	// answer's content.
+	// content of the response.
 	Held time.Duration
 	// Balancers is the number of known balancers in all zones.
 	Balancers int `cbor:",omitempty"`
@@ -80,9 +80,9 @@
 
 func (*LeavingError) Error() string { return "this balancer stops; follow another" }
 
-// Source is the source of the answers.
+// Source is the source of the responses.
 type Source interface {
-	// Updates answers a poll, and reports whether the answer contains updates for the follower.
+	// Updates answers a poll, and reports whether the response contains updates for the follower.
 	Updates(now time.Time, q Request) (Response, bool)
 	// ShuttingDown reports whether the balancer is shutting down.
 	ShuttingDown() bool
@@ -97,7 +97,7 @@
 	changed      chan struct{}
 	// lastWake is when waiting polls were last woken, nextWake when they are scheduled to be.
 	lastWake, nextWake time.Time
-	// lastRequest is the time of each follower's last poll, lastUpdate that of its last answer with
+	// lastRequest is the time of each follower's last poll, lastUpdate that of its last response with
 	// updates.
 	lastRequest, lastUpdate map[string]time.Time
 }
@@ -128,7 +128,7 @@
 		now := r.clock()
 		a, updated := r.content.Updates(now, q)
 		a.Held = now.Sub(received)
-		pause := r.answerDelay(now, q, a, updated)
+		pause := r.responseDelay(now, q, a, updated)
 		if updated && pause <= 0 {
 			return a, nil
 		}
@@ -149,15 +149,15 @@
 	}
 }
 
-// answerDelay returns how long an answer with updates must wait, 0 if it may be sent or has none.
-func (r *Relay) answerDelay(now time.Time, q Request, a Response, updated bool) time.Duration {
+// responseDelay returns how long a response with updates must wait, 0 if it may be sent or has none.
+func (r *Relay) responseDelay(now time.Time, q Request, a Response, updated bool) time.Duration {
 	if !updated {
 		return 0
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if a.Revision <= q.Revision && a.Evacuations == nil {
-		if pause := r.lastUpdate[q.From].Add(answerInterval).Sub(now); pause > 0 {
+		if pause := r.lastUpdate[q.From].Add(responseInterval).Sub(now); pause > 0 {
 			return pause
 		}
 	}
--- a/internal/fanout/relay/relay_test.go
+++ b/internal/fanout/relay/relay_test.go
@@ -57,11 +57,11 @@
 		t.Run(c.name, func(t *testing.T) {
 			x := &content{}
 			r := relay.New(x, time.Now, 4)
-			answers := make(chan relay.Response)
+			responses := make(chan relay.Response)
 			go func() {
 				a, err := r.Since(context.Background(), relay.Request{From: "b1", Hold: time.Hour})
 				if err == nil {
-					answers <- a
+					responses <- a
 				}
 			}()
 			require.Eventually(t, func() bool { return r.Followers() == 1 }, 20*time.Second, time.Millisecond)
@@ -70,7 +70,7 @@
 			// second.
 			c.wake(r)
 			c.wake(r)
-			require.Equal(t, uint64(7), (<-answers).Revision)
+			require.Equal(t, uint64(7), (<-responses).Revision)
 		})
 	}
 }
@@ -122,15 +122,15 @@
 	return relay.Response{}, true
 }
 
-// Guards against a continuous exchange of polls and answers while hundreds of upstreams fail
-// together: each answer is followed by the next poll.
+// Guards against a continuous exchange of polls and responses while hundreds of upstreams fail
+// together: each response is followed by the next poll.
 func TestBurstOfUpdatesIsBatched(t *testing.T) {
 	r := relay.New(&updating{}, time.Now, 4)
-	const answers, least = 5, 40 * time.Millisecond
+	const responses, least = 5, 40 * time.Millisecond
 	started := time.Now()
-	for range answers {
+	for range responses {
 		_, err := r.Since(t.Context(), relay.Request{From: "b1", Hold: time.Hour})
 		require.NoError(t, err)
 	}
-	require.GreaterOrEqual(t, time.Since(started), (answers-1)*least)
+	require.GreaterOrEqual(t, time.Since(started), (responses-1)*least)
 }
--- a/internal/fanout/selection/fleet_test.go
+++ b/internal/fanout/selection/fleet_test.go
@@ -24,8 +24,8 @@
 const (
 	voterHold, voterGrace   = 800 * time.Millisecond, 700 * time.Millisecond
 	parentHold, parentGrace = 600 * time.Millisecond, 400 * time.Millisecond
-	// voterUpdateInterval and relayUpdateInterval are the minimum times between two answers with
-	// updates from a voter and from a balancer. maxUpdatesPerSecond limits a voter's answers with
+	// voterUpdateInterval and relayUpdateInterval are the minimum times between two responses with
+	// updates from a voter and from a balancer. maxUpdatesPerSecond limits a voter's responses with
 	// updates per second.
 	voterUpdateInterval, relayUpdateInterval = 100 * time.Millisecond, 250 * time.Millisecond
 	maxUpdatesPerSecond                      = 100
@@ -62,14 +62,14 @@
 	woken                                      time.Time
 	waking                                     bool
 	// version is the latest version of a voter; origins is what a balancer has received.
-	version   uint64
-	fleet     *members.Members
-	origins   *origins.Origins
-	census    *membership.Membership
-	followers *members.Members
-	selection *selection.Selection
-	watches   map[string]*modelWatch
-	lastPoll  map[string]time.Time
+	version    uint64
+	fleet      *members.Members
+	origins    *origins.Origins
+	membership *membership.Membership
+	followers  *members.Members
+	selection  *selection.Selection
+	watches    map[string]*modelWatch
+	lastPoll   map[string]time.Time
 	// messages and bytes count what this process sent.
 	messages, bytes int
 }
@@ -134,7 +134,7 @@
 	if p.voter {
 		return
 	}
-	p.origins, p.census, p.followers = origins.New(), membership.New(), members.New()
+	p.origins, p.membership, p.followers = origins.New(), membership.New(), members.New()
 	p.watches = map[string]*modelWatch{}
 	p.selection = selection.New(selection.Settings{
 		Self: p.name, Shape: m.shape, StaleAfter: knownWithin / 2, Jitter: m.random.Float64(),
@@ -225,8 +225,8 @@
 // tick updates a balancer's membership and its sources.
 func (m *model) tick(p *process) {
 	p.followers.Tick(m.Now)
-	if p.census.Tick(m.Now) {
-		p.selection.UpdateZone(m.Now, p.census.Addresses())
+	if p.membership.Tick(m.Now) {
+		p.selection.UpdateZone(m.Now, p.membership.Addresses())
 	}
 	m.reconcile(p)
 }
@@ -254,7 +254,7 @@
 		if !slices.Contains(wanted, name) {
 			w.stopped = true
 			delete(p.watches, name)
-			p.census.RemoveSource(m.Now, name)
+			p.membership.RemoveSource(m.Now, name)
 		}
 	}
 	for _, name := range wanted {
@@ -266,7 +266,7 @@
 	}
 }
 
-// poll polls a source; the answer triggers the next poll.
+// poll polls a source; the response triggers the next poll.
 func (m *model) poll(p *process, w *modelWatch) {
 	hold, grace := parentHold, parentGrace
 	if w.target.voter {
@@ -277,7 +277,7 @@
 	if w.target.voter {
 		known = []origins.Known{p.origins.State(m.Now, w.target.name)}
 	}
-	fleet := p.census.List(w.target.name).Version
+	fleet := p.membership.List(w.target.name).Version
 	m.AfterFunc(hold+grace, m.whileAlive(p, func() {
 		if !answered && !w.stopped {
 			answered = true
@@ -355,9 +355,9 @@
 
 func (m *model) fleetList(s, to *process, fleet uint64) membership.List {
 	if !s.voter {
-		l := membership.List{Version: s.census.Version()}
+		l := membership.List{Version: s.membership.Version()}
 		if fleet != l.Version {
-			l.Members = s.census.Members()
+			l.Members = s.membership.Members()
 		}
 		return l
 	}
@@ -368,7 +368,7 @@
 	return l
 }
 
-// answered applies an answer and polls again.
+// answered applies a response and polls again.
 func (m *model) answered(p *process, w *modelWatch, all []origins.Update, l membership.List, roundTrip time.Duration) {
 	w.answers = true
 	updated, fresh := false, 0
@@ -380,12 +380,12 @@
 		updated = p.origins.Apply(m.Now, x) || updated
 	}
 	if len(l.Members) > 0 {
-		p.census.SetList(m.Now, w.target.name, l)
-		addresses := p.census.Addresses()
+		p.membership.SetList(m.Now, w.target.name, l)
+		addresses := p.membership.Addresses()
 		p.selection.UpdateZone(m.Now, addresses)
 	}
 	if !w.target.voter {
-		p.selection.RecordAnswer(m.Now, w.target.name, fresh)
+		p.selection.RecordResponse(m.Now, w.target.name, fresh)
 	}
 	if updated {
 		m.wake(p)
@@ -416,12 +416,12 @@
 	}
 	w.stopped = true
 	delete(p.watches, w.target.name)
-	p.census.RemoveSource(m.Now, w.target.name)
+	p.membership.RemoveSource(m.Now, w.target.name)
 	p.selection.RecordFailure(m.Now, w.target.name)
 	m.reconcile(p)
 }
 
-// updateInterval returns the minimum time between two answers of a process with updates.
+// updateInterval returns the minimum time between two responses of a process with updates.
 func (m *model) updateInterval(p *process) time.Duration {
 	if !p.voter {
 		return relayUpdateInterval
--- a/internal/fanout/selection/selection.go
+++ b/internal/fanout/selection/selection.go
@@ -21,7 +21,7 @@
 	// avoidPeriod is how long a failed balancer is not polled again.
 	avoidPeriod = 5 * time.Second
 	// candidateTimeout is how long candidates have to replace a failed parent before the voters are
-	// polled as well. A connection and an answer take some ms.
+	// polled as well. A connection and a response take some ms.
 	candidateTimeout = 300 * time.Millisecond
 	// degradedFraction is the fraction of StaleAfter for which a parent may have too few fresh
 	// voters before others are polled. Its state is StaleAfter old by then, half of the bound on
@@ -148,8 +148,8 @@
 	}
 }
 
-// RecordAnswer records an answer of another balancer and its number of fresh voters.
-func (s *Selection) RecordAnswer(now time.Time, from string, fresh int) {
+// RecordResponse records a response of another balancer and its number of fresh voters.
+func (s *Selection) RecordResponse(now time.Time, from string, fresh int) {
 	s.freshVoters[from] = fresh
 	switch {
 	case from == s.parent:
--- a/internal/fanout/selection/selection_test.go
+++ b/internal/fanout/selection/selection_test.go
@@ -56,7 +56,7 @@
 // newFollowing returns a selection that follows its first candidate.
 func newFollowing(t *testing.T) (*selection.Selection, []string) {
 	s, c := newChild(t)
-	s.RecordAnswer(epoch, c[0], voters)
+	s.RecordResponse(epoch, c[0], voters)
 	require.Equal(t, selection.Sources{Parents: c[:1]}, s.Decide(epoch))
 	s.UpdateVoters(epoch, 0, voters)
 	return s, c
@@ -65,9 +65,9 @@
 func TestVotersAreFollowedUntilParentAnswers(t *testing.T) {
 	s, c := newChild(t)
 	require.Equal(t, selection.Sources{Voters: true, Parents: c[:1]}, s.Decide(epoch))
-	s.RecordAnswer(epoch, c[0], 0)
+	s.RecordResponse(epoch, c[0], 0)
 	require.Equal(t, c[1:2], s.Decide(epoch).Parents, "a balancer without a fresh voter is no parent")
-	s.RecordAnswer(epoch, c[1], voters)
+	s.RecordResponse(epoch, c[1], voters)
 	require.Equal(t, selection.Sources{Parents: c[1:2]}, s.Decide(epoch))
 	change, changed := s.TakeChange()
 	require.True(t, changed)
@@ -112,7 +112,7 @@
 	require.Equal(t, selection.Sources{Parents: c[1:3]}, s.Decide(epoch))
 	later := at(400 * time.Millisecond)
 	require.Equal(t, selection.Sources{Voters: true, VoterSubset: true, Parents: c[1:2]}, s.Decide(later))
-	s.RecordAnswer(later, c[1], voters)
+	s.RecordResponse(later, c[1], voters)
 	require.Equal(t, selection.Sources{Parents: c[1:2]}, s.Decide(later))
 }
 
@@ -142,12 +142,12 @@
 // voters, and a parent was replaced only once it did not answer.
 func TestStaleParentIsReplacedByFresherOne(t *testing.T) {
 	s, c := newFollowing(t)
-	s.RecordAnswer(epoch, c[0], 1)
+	s.RecordResponse(epoch, c[0], 1)
 	require.Equal(t, c[:1], s.Decide(at(staleAfter/5)).Parents)
 	later := at(staleAfter/5 + 10*time.Millisecond)
-	s.RecordAnswer(later, c[0], 1)
+	s.RecordResponse(later, c[0], 1)
 	require.Equal(t, c[:2], s.Decide(later).Parents, "the parent is polled until another one is fresher")
-	s.RecordAnswer(later, c[1], voters)
+	s.RecordResponse(later, c[1], voters)
 	require.Equal(t, selection.Sources{Parents: c[1:2]}, s.Decide(later))
 }
 
@@ -163,7 +163,7 @@
 		sources := s.Decide(at(d))
 		require.Equal(t, c[0], sources.Parents[0])
 		for _, p := range sources.Parents {
-			s.RecordAnswer(at(d), p, 1)
+			s.RecordResponse(at(d), p, 1)
 		}
 		if sources.Voters {
 			polled++
@@ -179,7 +179,7 @@
 	for d := time.Duration(0); s.Parent() != "" && d < 20*time.Second; d += 100 * time.Millisecond {
 		sources := s.Decide(at(d))
 		for _, p := range sources.Parents {
-			s.RecordAnswer(at(d), p, 1)
+			s.RecordResponse(at(d), p, 1)
 		}
 		answering := 0
 		if sources.Voters {
@@ -211,7 +211,7 @@
 	sources := s.Decide(at(staleAfter + time.Millisecond))
 	require.True(t, sources.Voters)
 	require.Len(t, sources.Parents, 1)
-	s.RecordAnswer(at(staleAfter+time.Millisecond), sources.Parents[0], voters)
+	s.RecordResponse(at(staleAfter+time.Millisecond), sources.Parents[0], voters)
 	require.Empty(t, s.Parent(), "the balancer remains a root")
 	require.Equal(t, sources, s.Decide(at(staleAfter+2*time.Millisecond)), "and keeps polling")
 }
@@ -236,7 +236,7 @@
 	sources := s.Decide(epoch)
 	require.Len(t, sources.Parents, 2)
 	require.Equal(t, c[0], sources.Parents[0])
-	s.RecordAnswer(epoch, sources.Parents[1], voters)
+	s.RecordResponse(epoch, sources.Parents[1], voters)
 	require.Equal(t, sources.Parents[1], s.Parent())
 }
 
@@ -253,11 +253,11 @@
 		s.UpdateVoters(epoch, 0, voters)
 		s.UpdateZone(epoch, all)
 		candidates := shape.PlaceOf(self, all).Candidates
-		s.RecordAnswer(epoch, candidates[0], voters)
+		s.RecordResponse(epoch, candidates[0], voters)
 		replacedAfter := time.Duration(0)
 		for now := staleAfter; replacedAfter == 0 && now < 10*bound; now += 10 * time.Millisecond {
 			// The parent's last contact with the voters is older than StaleAfter.
-			s.RecordAnswer(at(now), candidates[0], 0)
+			s.RecordResponse(at(now), candidates[0], 0)
 			sources := s.Decide(at(now))
 			for _, c := range sources.Parents[1:] {
 				s.RecordFailure(at(now), c)
--- a/internal/fanout/tree/tree.go
+++ b/internal/fanout/tree/tree.go
@@ -38,7 +38,7 @@
 	return cmp.Or(cmp.Compare(a.hash, b.hash), cmp.Compare(a.address, b.address))
 }
 
-// Of returns the place of a balancer among those of its zone. The list may omit the balancer
+// PlaceOf returns the place of a balancer among those of its zone. The list may omit the balancer
 // itself.
 func (s Shape) PlaceOf(self string, zone []string) Place {
 	own := node{address: self, hash: xxhash.Sum64String(self)}
--- a/internal/flow/ownership/ownership.go
+++ b/internal/flow/ownership/ownership.go
@@ -207,7 +207,7 @@
 	return r.members[:r.length]
 }
 
-// Member returns the member with an index from Copies or LookupOrder.
+// Member returns the member with an index from Replicas or LookupOrder.
 func (o *Ownership) Member(i uint16) Member { return o.members[i] }
 
 // IsSelf reports whether the index belongs to the local balancer.
--- a/internal/flow/router/configure.go
+++ b/internal/flow/router/configure.go
@@ -29,13 +29,13 @@
 	Discovering
 )
 
-// SetJoining sets the stage of joining.
-func (r *Router) SetJoining(j JoinStage) { r.joining = j }
+// SetJoinStage sets the stage of joining.
+func (r *Router) SetJoinStage(j JoinStage) { r.joinStage = j }
 
 // mayOpen reports whether flows of the slot may be opened here. It is false as long as this
 // balancer may not know the other members: they would not query it for these flows.
 func (r *Router) mayOpen(slot int) bool {
-	return r.joining == Joined || r.joining == Provisional && len(r.ownership.Replicas(slot)) > 1
+	return r.joinStage == Joined || r.joinStage == Provisional && len(r.ownership.Replicas(slot)) > 1
 }
 
 // SetUnreachable sets the members that this balancer cannot reach, although others can. If an
@@ -116,7 +116,9 @@
 }
 
 // SetAddressServices sets the service that each announced address currently belongs to.
-func (r *Router) SetAddressServices(holders map[netip.AddrPort]string) { r.targets.setHolders(holders) }
+func (r *Router) SetAddressServices(addressServices map[netip.AddrPort]string) {
+	r.targets.setAddressServices(addressServices)
+}
 
 func targetOf(id upstream.Identity) target {
 	return target{
--- a/internal/flow/router/router.go
+++ b/internal/flow/router/router.go
@@ -81,7 +81,7 @@
 	changedAt      [ownership.Slots]uint32
 	expiryPosition int
 	isolated       bool
-	joining        JoinStage
+	joinStage      JoinStage
 
 	unreachable map[netip.AddrPort]bool
 	header      []byte
--- a/internal/flow/router/targets.go
+++ b/internal/flow/router/targets.go
@@ -15,14 +15,14 @@
 	index map[relay.Target]uint32
 	// loads are the numbers of flows that this balancer owns, per target.
 	loads []int32
-	// holders are the services that addresses currently belong to.
-	holders map[netip.AddrPort]uint32
+	// addressServices are the services that the addresses currently belong to.
+	addressServices map[netip.AddrPort]uint32
 	// reassigned marks the targets whose address belongs to another service now.
 	reassigned []bool
 }
 
 func newTargets() targets {
-	return targets{index: map[relay.Target]uint32{}, holders: map[netip.AddrPort]uint32{}}
+	return targets{index: map[relay.Target]uint32{}, addressServices: map[netip.AddrPort]uint32{}}
 }
 
 func (t *targets) intern(x relay.Target) uint32 {
@@ -45,10 +45,10 @@
 
 func (t *targets) clearLoads() { clear(t.loads) }
 
-func (t *targets) setHolders(holders map[netip.AddrPort]string) {
-	t.holders = make(map[netip.AddrPort]uint32, len(holders))
-	for a, name := range holders {
-		t.holders[a] = ServiceHash(name)
+func (t *targets) setAddressServices(addressServices map[netip.AddrPort]string) {
+	t.addressServices = make(map[netip.AddrPort]uint32, len(addressServices))
+	for a, name := range addressServices {
+		t.addressServices[a] = ServiceHash(name)
 	}
 	for i, x := range t.list {
 		t.reassigned[i] = t.isReassigned(x)
@@ -57,7 +57,7 @@
 
 // isReassigned reports whether the target's address is known to belong to another service.
 func (t *targets) isReassigned(x relay.Target) bool {
-	h, known := t.holders[x.AddrPort()]
+	h, known := t.addressServices[x.AddrPort()]
 	return known && h != x.Service
 }
 
--- a/internal/log/asyncwriter/asyncwriter.go
+++ b/internal/log/asyncwriter/asyncwriter.go
@@ -23,7 +23,7 @@
 	closed      bool
 }
 
-// New returns an outlet and starts its writer goroutine, which Close stops.
+// New returns a Writer and starts its writer goroutine, which Close stops.
 func New(destination io.Writer) *Writer {
 	o := &Writer{destination: destination, wake: make(chan struct{}, 1), done: make(chan struct{})}
 	go o.run()
@@ -31,42 +31,42 @@
 }
 
 // Write queues or drops one line; it never fails and never blocks on the destination.
-func (o *Writer) Write(line []byte) (int, error) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if len(o.pending)+len(line) > maxPending {
-		o.dropped++
+func (w *Writer) Write(line []byte) (int, error) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if len(w.pending)+len(line) > maxPending {
+		w.dropped++
 		return len(line), nil
 	}
-	o.pending = append(o.pending, line...)
-	o.signal()
+	w.pending = append(w.pending, line...)
+	w.signal()
 	return len(line), nil
 }
 
-func (o *Writer) signal() {
+func (w *Writer) signal() {
 	select {
-	case o.wake <- struct{}{}:
+	case w.wake <- struct{}{}:
 	default:
 	}
 }
 
 // Close writes the pending lines and stops the writer goroutine.
-func (o *Writer) Close() {
-	o.mu.Lock()
-	o.closed = true
-	o.mu.Unlock()
-	o.signal()
-	<-o.done
+func (w *Writer) Close() {
+	w.mu.Lock()
+	w.closed = true
+	w.mu.Unlock()
+	w.signal()
+	<-w.done
 }
 
-func (o *Writer) run() {
-	defer close(o.done)
-	for range o.wake {
-		lines, closed := o.take()
-		if n, err := o.destination.Write(lines); err != nil {
+func (w *Writer) run() {
+	defer close(w.done)
+	for range w.wake {
+		lines, closed := w.take()
+		if n, err := w.destination.Write(lines); err != nil {
 			// The destination may accept lines again later, such as a disk that was full;
 			// the dropped lines are reported there then.
-			o.addDropped(bytes.Count(lines[n:], []byte{'\n'}))
+			w.addDropped(bytes.Count(lines[n:], []byte{'\n'}))
 		}
 		if closed {
 			return
@@ -75,20 +75,20 @@
 }
 
 // addDropped counts lines that the destination did not accept.
-func (o *Writer) addDropped(n int) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.dropped += n
+func (w *Writer) addDropped(n int) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.dropped += n
 }
 
-func (o *Writer) take() ([]byte, bool) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	lines := o.pending
-	o.pending = nil
-	if o.dropped > 0 {
-		lines = fmt.Appendf(lines, "{\"@level\":\"warn\",\"@message\":\"log lines dropped\",\"Count\":%d}\n", o.dropped)
-		o.dropped = 0
+func (w *Writer) take() ([]byte, bool) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	lines := w.pending
+	w.pending = nil
+	if w.dropped > 0 {
+		lines = fmt.Appendf(lines, "{\"@level\":\"warn\",\"@message\":\"log lines dropped\",\"Count\":%d}\n", w.dropped)
+		w.dropped = 0
 	}
-	return lines, o.closed
+	return lines, w.closed
 }
--- a/internal/log/asyncwriter/doc.go
+++ b/internal/log/asyncwriter/doc.go
@@ -1,2 +1,2 @@
-// Package outlet writes log lines asynchronously, so that logging never blocks.
+// Package asyncwriter writes log lines asynchronously, so that logging never blocks.
 package asyncwriter
--- a/internal/log/ratelimit/doc.go
+++ b/internal/log/ratelimit/doc.go
@@ -1,2 +1,2 @@
-// Package pace limits the rate of log lines of one kind.
+// Package ratelimit limits the rate of log lines of one kind.
 package ratelimit
--- a/internal/log/ratelimit/ratelimit.go
+++ b/internal/log/ratelimit/ratelimit.go
@@ -13,20 +13,20 @@
 	suppressed  int
 }
 
-// New returns a Pace that allows limit lines per second.
+// New returns a Limiter that allows limit lines per second.
 func New(limit int) *Limiter { return &Limiter{limit: limit} }
 
 // Allow reports whether a line may be written now and, if so, how many were suppressed since
 // the last one written.
-func (p *Limiter) Allow(now time.Time) (suppressed int, ok bool) {
-	if now.Sub(p.windowStart) >= window {
-		p.windowStart, p.written = now, 0
+func (l *Limiter) Allow(now time.Time) (suppressed int, ok bool) {
+	if now.Sub(l.windowStart) >= window {
+		l.windowStart, l.written = now, 0
 	}
-	if p.written >= p.limit {
-		p.suppressed++
+	if l.written >= l.limit {
+		l.suppressed++
 		return 0, false
 	}
-	p.written++
-	suppressed, p.suppressed = p.suppressed, 0
+	l.written++
+	suppressed, l.suppressed = l.suppressed, 0
 	return suppressed, true
 }
--- a/internal/log/story/story.go
+++ b/internal/log/story/story.go
@@ -28,7 +28,7 @@
 	Revision uint64
 }
 
-// EmptyError reports that no line matches the question.
+// EmptyError reports that no line matches the query.
 type EmptyError struct{ Question Query }
 
 func (e *EmptyError) Error() string {
@@ -40,23 +40,23 @@
 type Timeline struct{ lines []line }
 
 // Read returns the story with the lines of another log added.
-func (s Timeline) Read(name string, r io.Reader) (Timeline, error) {
+func (t Timeline) Read(name string, r io.Reader) (Timeline, error) {
 	more, err := readLines(name, r)
 	if err != nil {
-		return s, err
+		return t, err
 	}
-	lines := slices.Concat(s.lines, more)
+	lines := slices.Concat(t.lines, more)
 	slices.SortStableFunc(lines, func(a, b line) int { return a.At.Compare(b.At) })
 	return Timeline{lines: lines}, nil
 }
 
 // Write writes the relevant lines in order of time, and a summary.
-func (s Timeline) Write(w io.Writer, q Query) error {
-	matched := lo.Filter(s.lines, func(l line, _ int) bool { return q.matches(l) })
+func (t Timeline) Write(w io.Writer, q Query) error {
+	matched := lo.Filter(t.lines, func(l line, _ int) bool { return q.matches(l) })
 	if len(matched) == 0 {
 		return &EmptyError{Question: q}
 	}
-	shown := s.selectLines(matched, q)
+	shown := t.selectLines(matched, q)
 	for i, l := range shown {
 		if i == maxLines {
 			if _, err := fmt.Fprintf(w, "… and %d more lines\n", len(shown)-i); err != nil {
@@ -76,7 +76,7 @@
 	return nil
 }
 
-// matches reports whether a line is directly about the question.
+// matches reports whether a line is directly about the query.
 func (q Query) matches(l line) bool {
 	switch {
 	case q.Caller != "":
@@ -89,7 +89,7 @@
 }
 
 // selectLines returns the matching lines and those that give their context.
-func (s Timeline) selectLines(matched []line, q Query) []line {
+func (t Timeline) selectLines(matched []line, q Query) []line {
 	from, to := matched[0].At.Add(-contextWindow), matched[len(matched)-1].At.Add(contextWindow)
 	processes, incarnations := map[string]bool{}, map[string]bool{}
 	for _, l := range matched {
@@ -98,12 +98,12 @@
 			incarnations[l.Incarnation] = true
 		}
 	}
-	configurations := s.configurationsBefore(matched[0].At, processes)
+	configurations := t.configurationsBefore(matched[0].At, processes)
 	if q.Incarnation != "" {
 		// An upstream runs for long; only the state of processes near its end is relevant.
 		from = to.Add(-2 * contextWindow)
 	}
-	return lo.Filter(s.lines, func(l line, _ int) bool {
+	return lo.Filter(t.lines, func(l line, _ int) bool {
 		inWindow := !l.At.Before(from) && !l.At.After(to)
 		switch {
 		case q.matches(l) || configurations[l.text]:
@@ -127,9 +127,9 @@
 }
 
 // configurationsBefore returns for each process the line about the configuration in force at a time.
-func (s Timeline) configurationsBefore(at time.Time, processes map[string]bool) map[string]bool {
+func (t Timeline) configurationsBefore(at time.Time, processes map[string]bool) map[string]bool {
 	latest := map[string]string{}
-	for _, l := range s.lines {
+	for _, l := range t.lines {
 		if l.Message == messageInForce && processes[l.Process] && l.At.Before(at) {
 			latest[l.Process] = l.text
 		}
--- a/internal/log/story/story_test.go
+++ b/internal/log/story/story_test.go
@@ -29,8 +29,8 @@
 
 func TestStories(t *testing.T) {
 	for _, c := range []struct {
-		name     string
-		question story.Query
+		name  string
+		query story.Query
 	}{
 		{"silent_upstream", story.Query{Caller: "100.64.0.1:40001"}},
 		{"upstream_that_left", story.Query{Caller: "100.64.0.2:40002"}},
@@ -42,7 +42,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var out bytes.Buffer
-			require.NoError(t, readAll(t).Write(&out, c.question))
+			require.NoError(t, readAll(t).Write(&out, c.query))
 			golden := filepath.Join("testdata", c.name+".golden.txt")
 			if *update {
 				require.NoError(t, os.WriteFile(golden, out.Bytes(), 0o600))
--- a/internal/member/registrar/registrar.go
+++ b/internal/member/registrar/registrar.go
@@ -18,13 +18,13 @@
 	voters   []string
 	interval time.Duration
 	pool     *pool.Pool
-	hello    func() rostermanager.Report
+	report   func() rostermanager.Report
 	leader   int
 }
 
-// New returns a Registrar; hello returns the content of the next heartbeat.
-func New(voters []string, interval time.Duration, p *pool.Pool, hello func() rostermanager.Report) *Registrar {
-	return &Registrar{voters: voters, interval: interval, pool: p, hello: hello}
+// New returns a Registrar; report returns the next report.
+func New(voters []string, interval time.Duration, p *pool.Pool, report func() rostermanager.Report) *Registrar {
+	return &Registrar{voters: voters, interval: interval, pool: p, report: report}
 }
 
 // Run sends heartbeats at a fixed interval until ctx ends.
@@ -44,11 +44,11 @@
 // register sends a heartbeat to the last known leader, then to the other voters until
 // one accepts it.
 func (r *Registrar) register(ctx context.Context) {
-	h := r.hello()
+	h := r.report()
 	for i := range r.voters {
 		candidate := (r.leader + i) % len(r.voters)
 		call, cancel := context.WithTimeout(ctx, callTimeout)
-		_, err := pool.Call[rostermanager.Report, empty](call, r.pool, r.voters[candidate], voter.HelloMethod, h)
+		_, err := pool.Call[rostermanager.Report, empty](call, r.pool, r.voters[candidate], voter.ReportMethod, h)
 		cancel()
 		if err == nil {
 			r.leader = candidate
--- a/internal/member/repairstatus/doc.go
+++ b/internal/member/repairstatus/doc.go
@@ -1,2 +1,2 @@
-// Package busy tracks which other balancers still create missing replicas of flows.
+// Package repairstatus tracks which other balancers still create missing replicas of flows.
 package repairstatus
--- a/internal/member/swim/swim.go
+++ b/internal/member/swim/swim.go
@@ -20,7 +20,7 @@
 	// Payload returns a payload of at most budget bytes.
 	Payload(now time.Time, budget int) []byte
 	// HandlePayload processes a payload sent by from; it ignores invalid payloads.
-	HandlePayload(now time.Time, from Member, news []byte)
+	HandlePayload(now time.Time, from Member, payload []byte)
 }
 
 // Settings configures a Swim. The durations must differ by at least one tick.
--- a/internal/model/evacuation/evacuation.go
+++ b/internal/model/evacuation/evacuation.go
@@ -49,7 +49,7 @@
 	Zones    []Zone
 }
 
-// Of returns the latest order for a zone; its revision is 0 if there is none.
+// Lookup returns the latest order for a zone; its revision is 0 if there is none.
 func (e Evacuations) Lookup(name string) Zone {
 	z, _ := lo.Find(e.Zones, func(z Zone) bool { return z.Name == name })
 	z.Name = name
--- a/internal/operator/exit/exit.go
+++ b/internal/operator/exit/exit.go
@@ -22,7 +22,7 @@
 	Unknown  Status = 4
 )
 
-// Of returns the exit status for the error of a command.
+// StatusOf returns the exit status for the error of a command.
 func StatusOf(err error) Status {
 	var (
 		conflict             *ledger.ConflictError
--- a/internal/overload/admission/admission.go
+++ b/internal/overload/admission/admission.go
@@ -147,15 +147,15 @@
 }
 
 // Admitted reports whether the flow is admitted at the predicted response time.
-func (d Flow) Admitted(predicted time.Duration) bool {
-	if d.Objective <= 0 {
+func (f Flow) Admitted(predicted time.Duration) bool {
+	if f.Objective <= 0 {
 		return true
 	}
 	first, all := ordinaryFirst, ordinaryAll
-	if d.Urgent {
+	if f.Urgent {
 		first, all = urgentFirst, urgentAll
 	}
-	rejected := (predicted.Seconds()/d.Objective.Seconds() - first) / (all - first)
+	rejected := (predicted.Seconds()/f.Objective.Seconds() - first) / (all - first)
 	const parts = 1 << 16
-	return float64(d.Number%parts) >= rejected*parts
+	return float64(f.Number%parts) >= rejected*parts
 }
--- a/internal/overload/concurrency/concurrency.go
+++ b/internal/overload/concurrency/concurrency.go
@@ -59,13 +59,13 @@
 
 // Update adds the current number to the average, and reports whether both the number and the
 // average have reached the limit.
-func (l *InFlightAverage) Update(now time.Time, inFlight, limit int) bool {
-	age := now.Sub(l.updated).Seconds() / levelTimeConstant.Seconds()
+func (i *InFlightAverage) Update(now time.Time, inFlight, limit int) bool {
+	age := now.Sub(i.updated).Seconds() / levelTimeConstant.Seconds()
 	weight := age - age*age/2
 	if age > shortAge {
 		weight = 1 - math.Exp(-age)
 	}
-	l.updated = now
-	l.mean += weight * (float64(inFlight) - l.mean)
-	return inFlight >= limit && l.mean >= float64(limit)
+	i.updated = now
+	i.mean += weight * (float64(inFlight) - i.mean)
+	return inFlight >= limit && i.mean >= float64(limit)
 }
--- a/internal/overload/pending/doc.go
+++ b/internal/overload/pending/doc.go
@@ -1,4 +1,4 @@
-// Package waiting buffers packets that a balancer cannot route yet.
+// Package pending buffers packets that a balancer cannot route yet.
 //
 // After a power failure of all VMs, balancers start before a voter has sent them the
 // configuration and the upstreams, and callers' packets arrive meanwhile. The next
--- a/internal/overload/pending/pending.go
+++ b/internal/overload/pending/pending.go
@@ -30,53 +30,53 @@
 
 // Add buffers a packet that arrived at the given time and reports whether there was
 // space. A packet of the same key is replaced, and its arrival time is retained.
-func (w *Buffer[K, T]) Add(now, arrived time.Time, key K, value T) bool {
-	old, known := w.items[key]
-	if !known && len(w.order) >= capacity {
-		w.expire(now)
+func (b *Buffer[K, T]) Add(now, arrived time.Time, key K, value T) bool {
+	old, known := b.items[key]
+	if !known && len(b.order) >= capacity {
+		b.expire(now)
 	}
-	if !known && len(w.order) >= capacity {
+	if !known && len(b.order) >= capacity {
 		return false
 	}
 	if !known {
-		w.order = append(w.order, key)
+		b.order = append(b.order, key)
 		old.since = arrived
 	}
-	w.items[key] = item[T]{value: value, since: old.since}
+	b.items[key] = item[T]{value: value, since: old.since}
 	return true
 }
 
 // Drain empties the buffer and passes each packet that has not expired to place, with its
 // first arrival time and in the order of these times.
-func (w *Buffer[K, T]) Drain(now time.Time, place func(arrived time.Time, value T)) {
-	w.expire(now)
-	order, items := w.order, w.items
-	w.order, w.items = nil, map[K]item[T]{}
+func (b *Buffer[K, T]) Drain(now time.Time, place func(arrived time.Time, value T)) {
+	b.expire(now)
+	order, items := b.order, b.items
+	b.order, b.items = nil, map[K]item[T]{}
 	for _, k := range order {
 		place(items[k].since, items[k].value)
 	}
 }
 
 // Remove drops the packet of a key, if there is one.
-func (w *Buffer[K, T]) Remove(key K) {
-	if _, known := w.items[key]; !known {
+func (b *Buffer[K, T]) Remove(key K) {
+	if _, known := b.items[key]; !known {
 		return
 	}
-	delete(w.items, key)
-	w.order = slices.DeleteFunc(w.order, func(k K) bool { return k == key })
+	delete(b.items, key)
+	b.order = slices.DeleteFunc(b.order, func(k K) bool { return k == key })
 }
 
 // Len returns the number of buffered packets.
-func (w *Buffer[K, T]) Len() int { return len(w.order) }
+func (b *Buffer[K, T]) Len() int { return len(b.order) }
 
-func (w *Buffer[K, T]) expire(now time.Time) {
-	kept := w.order[:0]
-	for _, k := range w.order {
-		if now.Sub(w.items[k].since) > maxAge {
-			delete(w.items, k)
+func (b *Buffer[K, T]) expire(now time.Time) {
+	kept := b.order[:0]
+	for _, k := range b.order {
+		if now.Sub(b.items[k].since) > maxAge {
+			delete(b.items, k)
 			continue
 		}
 		kept = append(kept, k)
 	}
-	w.order = kept
+	b.order = kept
 }
--- a/internal/overload/response/response.go
+++ b/internal/overload/response/response.go
@@ -33,24 +33,24 @@
 }
 
 // Record records the duration of an answered request.
-func (r *Tracker) Record(now time.Time, took time.Duration) {
-	if r.fresh(now) {
-		r.mean += smoothing * (took.Seconds() - r.mean)
+func (t *Tracker) Record(now time.Time, took time.Duration) {
+	if t.fresh(now) {
+		t.mean += smoothing * (took.Seconds() - t.mean)
 	} else {
-		r.mean = took.Seconds()
+		t.mean = took.Seconds()
 	}
-	r.at = now
+	t.at = now
 }
 
-func (r *Tracker) fresh(now time.Time) bool { return !r.at.IsZero() && now.Sub(r.at) < meanTTL }
+func (t *Tracker) fresh(now time.Time) bool { return !t.at.IsZero() && now.Sub(t.at) < meanTTL }
 
 // Slowness returns the ratio of the upstream's response time to the median of its
 // service, or 1 if the ratio is unknown or below slowThreshold.
-func (r *Tracker) Slowness() float64 { return max(r.slowness, 1) }
+func (t *Tracker) Slowness() float64 { return max(t.slowness, 1) }
 
 // Mean returns the moving average, and whether it is still valid.
-func (r *Tracker) Mean(now time.Time) (time.Duration, bool) {
-	return time.Duration(r.mean * float64(time.Second)), r.fresh(now)
+func (t *Tracker) Mean(now time.Time) (time.Duration, bool) {
+	return time.Duration(t.mean * float64(time.Second)), t.fresh(now)
 }
 
 // UpdateSlowness updates the slowness of all upstreams of a service and returns their median
--- a/internal/overload/uplink/uplink.go
+++ b/internal/overload/uplink/uplink.go
@@ -55,11 +55,11 @@
 	Payload T
 }
 
-// Verdict is the result of Offer.
+// Verdict is the result of Enqueue.
 type Verdict uint8
 
 const (
-	// Queued packets are returned by Due later.
+	// Queued packets are returned by Dequeue later.
 	Queued Verdict = iota
 	// Duplicate packets are dropped: the same packet is in the queue.
 	Duplicate
@@ -79,7 +79,7 @@
 	refilled    time.Time
 }
 
-// New returns the Uplink of a link with the given bandwidth.
+// New returns the Pacer of a link with the given bandwidth.
 func New[K comparable, T any](bytesPerSecond float64) *Pacer[K, T] {
 	return &Pacer[K, T]{bytesPerSecond: bytesPerSecond, others: meter.New(meterTimeConstant), uploads: map[K]time.Time{}}
 }
@@ -178,7 +178,7 @@
 	return p, true
 }
 
-// NextDelay returns the time from a failed Due until the next packet may be sent, and false if
+// NextDelay returns the time from a failed Dequeue until the next packet may be sent, and false if
 // the queue is empty.
 func (u *Pacer[K, T]) NextDelay(now time.Time) (time.Duration, bool) {
 	if len(u.queue) == 0 {
--- a/internal/request/claimer/claimer_test.go
+++ b/internal/request/claimer/claimer_test.go
@@ -28,13 +28,13 @@
 
 // group simulates balancers that store keys and a network with partitions.
 type group struct {
-	now    time.Time
-	random *rand.Rand
-	nodes  []*node
-	roster roster.Roster
-	keeper *rostermanager.Manager
-	side   map[string]int
-	loss   float64
+	now     time.Time
+	random  *rand.Rand
+	nodes   []*node
+	roster  roster.Roster
+	manager *rostermanager.Manager
+	side    map[string]int
+	loss    float64
 	// sent counts the requests that were sent to an upstream, by key.
 	sent map[string]int
 }
@@ -51,7 +51,7 @@
 func newGroup(seed uint64) *group {
 	g := &group{
 		now: epoch, random: rand.New(rand.NewPCG(seed, 1)), side: map[string]int{}, sent: map[string]int{},
-		keeper: rostermanager.New(rostermanager.Settings{ChangeInterval: time.Second, Silent: 5 * time.Second, KeyRetention: window}, epoch),
+		manager: rostermanager.New(rostermanager.Settings{ChangeInterval: time.Second, Silent: 5 * time.Second, KeyRetention: window}, epoch),
 	}
 	for i := range 5 {
 		g.nodes = append(g.nodes, &node{member: roster.Member{
@@ -77,10 +77,10 @@
 	for end := g.now.Add(d); g.now.Before(end); g.now = g.now.Add(time.Second) {
 		for _, n := range g.nodes {
 			if n.running && g.side[n.member.Name] == 0 {
-				g.keeper.Record(g.now, rostermanager.Report{Member: n.member, Leaving: n.leaving, Moved: n.moved})
+				g.manager.Record(g.now, rostermanager.Report{Member: n.member, Leaving: n.leaving, Moved: n.moved})
 			}
 		}
-		if c := g.keeper.Decide(g.now, g.roster); c != nil {
+		if c := g.manager.Decide(g.now, g.roster); c != nil {
 			g.apply(*c)
 		}
 		for _, n := range g.nodes {
--- a/internal/request/door/attempt.go
+++ b/internal/request/door/attempt.go
@@ -16,18 +16,18 @@
 
 // attempt sends the request to one upstream. It returns done when a response was
 // written to the caller, and retry when the request did not run or may run twice.
-func (d *Proxy) attempt(ctx context.Context, x *exchange, target string, try int) (retry, done bool) {
-	start := d.settings.Clock()
+func (p *Proxy) attempt(ctx context.Context, x *exchange, target string, try int) (retry, done bool) {
+	start := p.settings.Clock()
 	sent := &sentFlag{}
-	response, err := d.send(ctx, x, target, sent)
+	response, err := p.send(ctx, x, target, sent)
 	if err != nil {
-		return d.handleFailure(ctx, x, target, sent, err)
+		return p.handleFailure(ctx, x, target, sent, err)
 	}
 	defer func() { _ = response.Body.Close() }()
-	took := func() time.Duration { return d.settings.Clock().Sub(start) }
+	took := func() time.Duration { return p.settings.Clock().Sub(start) }
 	if response.StatusCode == http.StatusServiceUnavailable && response.Header.Get(OutcomeHeader) == OutcomeNotRun {
-		d.Counters.Shed.Add(1)
-		d.done(target, dispatch.Shed, took())
+		p.Counters.Shed.Add(1)
+		p.done(target, dispatch.Shed, took())
 		x.excluded = []string{target}
 		return x.replayable, false
 	}
@@ -35,45 +35,45 @@
 	if response.StatusCode >= http.StatusInternalServerError {
 		result = dispatch.Failed
 	}
-	if result == dispatch.Failed && x.idempotent && x.replayable && try < maxAttempts && d.mayRetry() {
-		d.Counters.Retried.Add(1)
-		d.done(target, result, took())
+	if result == dispatch.Failed && x.idempotent && x.replayable && try < maxAttempts && p.mayRetry() {
+		p.Counters.Retried.Add(1)
+		p.done(target, result, took())
 		x.excluded = append(x.excluded, target)
 		return true, false
 	}
-	defer func() { d.done(target, result, took()) }()
-	d.forwardResponse(x, response)
+	defer func() { p.done(target, result, took()) }()
+	p.forwardResponse(x, response)
 	return false, true
 }
 
 // handleFailure handles an attempt without a response. A request that was not sent may
 // go to another upstream; one that was sent is retried only if it may run twice.
-func (d *Proxy) handleFailure(ctx context.Context, x *exchange, target string, sent *sentFlag, err error) (again, done bool) {
+func (p *Proxy) handleFailure(ctx context.Context, x *exchange, target string, sent *sentFlag, err error) (again, done bool) {
 	result := dispatch.Failed
 	if x.request.Context().Err() != nil {
 		result = dispatch.Cancelled
 	}
-	d.done(target, result, 0)
+	p.done(target, result, 0)
 	x.excluded = append(x.excluded, target)
 	if !sent.get() {
 		return ctx.Err() == nil, false
 	}
-	if ctx.Err() == nil && x.replayable && x.idempotent && d.mayRetry() {
-		d.Counters.Retried.Add(1)
+	if ctx.Err() == nil && x.replayable && x.idempotent && p.mayRetry() {
+		p.Counters.Retried.Add(1)
 		return true, false
 	}
 	if x.request.Context().Err() != nil {
-		d.Counters.Cancelled.Add(1)
+		p.Counters.Cancelled.Add(1)
 	}
-	d.respondUnknown(x, err)
+	p.respondUnknown(x, err)
 	return false, true
 }
 
 // NoAddressError reports that an upstream was removed after it was selected.
 type NoAddressError struct{ Target string }
 
-func (d *Proxy) send(ctx context.Context, x *exchange, target string, sent *sentFlag) (*http.Response, error) {
-	address := d.addressOf(target)
+func (p *Proxy) send(ctx context.Context, x *exchange, target string, sent *sentFlag) (*http.Response, error) {
+	address := p.addressOf(target)
 	if address == "" {
 		return nil, &NoAddressError{Target: target}
 	}
@@ -94,11 +94,11 @@
 	} else {
 		r.ContentLength = x.request.ContentLength
 	}
-	left := x.deadline.Sub(d.settings.Clock()) - hopMargin
+	left := x.deadline.Sub(p.settings.Clock()) - hopMargin
 	r.Header.Set("Prefer", "wait="+strconv.FormatFloat(max(left.Seconds(), 0.001), 'f', 3, 64))
-	transport := d.oneShotTransport
+	transport := p.oneShotTransport
 	if x.idempotent {
-		transport = d.transport
+		transport = p.transport
 	}
 	return transport.RoundTrip(r)
 }
@@ -116,7 +116,7 @@
 // forwardResponse streams the response to the caller. If the upstream's response is
 // cut off, the caller's connection is aborted, because a truncated response that ends
 // normally looks complete.
-func (d *Proxy) forwardResponse(x *exchange, response *http.Response) {
+func (p *Proxy) forwardResponse(x *exchange, response *http.Response) {
 	dropHopHeaders(response.Header)
 	h := x.writer.Header()
 	for name, values := range response.Header {
@@ -127,14 +127,14 @@
 	stored := &limitedBuffer{limit: storedResponseLimit}
 	_, err := io.CopyBuffer(x.writer, io.TeeReader(response.Body, stored), make([]byte, copyBuffer))
 	if err != nil {
-		d.Counters.Truncated.Add(1)
+		p.Counters.Truncated.Add(1)
 		panic(http.ErrAbortHandler)
 	}
-	d.Counters.Answered.Add(1)
+	p.Counters.Answered.Add(1)
 	if x.claimed {
 		x.record.Answer = &keys.Answer{
 			Status: response.StatusCode, ContentType: response.Header.Get("Content-Type"), Body: stored.body, Whole: !stored.overflow,
 		}
-		d.claimer.Finish(x.request.Context(), x.record)
+		p.claimer.Finish(x.request.Context(), x.record)
 	}
 }
--- a/internal/request/door/door.go
+++ b/internal/request/door/door.go
@@ -43,7 +43,7 @@
 	defaultRetryAfter   = time.Second
 )
 
-// Settings configures a Door.
+// Settings configures a Proxy.
 type Settings struct {
 	Service string
 	// Name of the balancer; it is part of each attempt's identifier.
@@ -52,7 +52,7 @@
 	Clock  func() time.Time
 }
 
-// Counters holds the totals of a Door since its start.
+// Counters holds the totals of a Proxy since its start.
 type Counters struct {
 	Requests, Answered, NotRun, Unknown, Repeated, Shed, Retried, Cancelled, Truncated atomic.Int64
 }
@@ -75,7 +75,7 @@
 	Counters   Counters
 }
 
-// New returns a Door without upstreams.
+// New returns a Proxy without upstreams.
 func New(s Settings, c *claimer.Claimer, log hclog.Logger) *Proxy {
 	return &Proxy{
 		settings: s, log: log, claimer: c, dispatch: dispatch.New(s.Limits, xxhash.Sum64String(s.Name+s.Service)),
@@ -89,24 +89,24 @@
 
 // SetTargets replaces the settings and the upstreams; doors maps an upstream's name
 // to its HTTP address.
-func (d *Proxy) SetTargets(s dispatch.Settings, ts []dispatch.Target, addresses map[string]string) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.dispatch.SetSettings(s)
-	d.dispatch.SetTargets(ts)
-	d.addresses = addresses
-	d.deliver(d.dispatch.Tick(d.settings.Clock()))
+func (p *Proxy) SetTargets(s dispatch.Settings, ts []dispatch.Target, addresses map[string]string) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.dispatch.SetSettings(s)
+	p.dispatch.SetTargets(ts)
+	p.addresses = addresses
+	p.deliver(p.dispatch.Tick(p.settings.Clock()))
 }
 
 // SetService sets the retry policy and the queue priority of the service.
-func (d *Proxy) SetService(repeatable bool, priority int) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.repeatable, d.priority = repeatable, priority
+func (p *Proxy) SetService(repeatable bool, priority int) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.repeatable, p.priority = repeatable, priority
 }
 
 // Run dispatches and expires queued requests until ctx ends.
-func (d *Proxy) Run(ctx context.Context) {
+func (p *Proxy) Run(ctx context.Context) {
 	t := time.NewTicker(tickInterval)
 	defer t.Stop()
 	for {
@@ -114,135 +114,135 @@
 		case <-ctx.Done():
 			return
 		case <-t.C:
-			d.mu.Lock()
-			d.deliver(d.dispatch.Tick(d.settings.Clock()))
-			d.mu.Unlock()
+			p.mu.Lock()
+			p.deliver(p.dispatch.Tick(p.settings.Clock()))
+			p.mu.Unlock()
 		}
 	}
 }
 
 // deliver sends each decision to the request that waits for it. d.mu must be held.
-func (d *Proxy) deliver(ds []dispatch.Decision) {
+func (p *Proxy) deliver(ds []dispatch.Decision) {
 	for _, x := range ds {
-		if w := d.waiting[x.ID]; w != nil {
-			delete(d.waiting, x.ID)
+		if w := p.waiting[x.ID]; w != nil {
+			delete(p.waiting, x.ID)
 			w <- x
 		}
 	}
 }
 
 // ServeHTTP proxies one request.
-func (d *Proxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	d.Counters.Requests.Add(1)
-	x, err := d.newExchange(w, r)
+func (p *Proxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	p.Counters.Requests.Add(1)
+	x, err := p.newExchange(w, r)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
 	ctx, cancel := context.WithDeadline(r.Context(), x.deadline)
 	defer cancel()
-	if x.record.Key != "" && !d.claim(ctx, x) {
+	if x.record.Key != "" && !p.claim(ctx, x) {
 		return
 	}
-	d.serve(ctx, x)
+	p.serve(ctx, x)
 }
 
 // serve attempts the request until it is answered, rejected, or its outcome is
 // unknown.
-func (d *Proxy) serve(ctx context.Context, x *exchange) {
-	ds := d.offer(x)
+func (p *Proxy) serve(ctx context.Context, x *exchange) {
+	ds := p.offer(x)
 	for try := 1; ; try++ {
-		decision, ok := d.wait(ctx, x, ds)
+		decision, ok := p.wait(ctx, x, ds)
 		if !ok {
-			d.reject(x, dispatch.ReasonDeadline, defaultRetryAfter)
+			p.reject(x, dispatch.ReasonDeadline, defaultRetryAfter)
 			return
 		}
 		if decision.Err != nil {
-			d.reject(x, decision.Err.Reason, decision.Err.RetryAfter)
+			p.reject(x, decision.Err.Reason, decision.Err.RetryAfter)
 			return
 		}
-		retry, done := d.attempt(ctx, x, decision.Target, try)
+		retry, done := p.attempt(ctx, x, decision.Target, try)
 		if done {
 			return
 		}
 		if !retry || try >= maxAttempts {
-			d.reject(x, "every upstream tried refused it", defaultRetryAfter)
+			p.reject(x, "every upstream tried refused it", defaultRetryAfter)
 			return
 		}
-		ds = d.retry(x)
+		ds = p.retry(x)
 	}
 }
 
 // reject rejects a request that did not run, and releases its key.
-func (d *Proxy) reject(x *exchange, reason string, after time.Duration) {
+func (p *Proxy) reject(x *exchange, reason string, after time.Duration) {
 	if x.claimed {
-		d.claimer.Release(x.request.Context(), x.record)
+		p.claimer.Release(x.request.Context(), x.record)
 	}
 	if x.request.Context().Err() != nil {
-		d.Counters.Cancelled.Add(1)
+		p.Counters.Cancelled.Add(1)
 	}
-	d.respondNotRun(x, reason, after)
+	p.respondNotRun(x, reason, after)
 }
 
-func (d *Proxy) dispatchRequest(x *exchange) dispatch.Request {
-	return dispatch.Request{ID: x.id, Deadline: x.deadline, Priority: d.priority, Avoid: x.excluded, Since: x.arrived}
+func (p *Proxy) dispatchRequest(x *exchange) dispatch.Request {
+	return dispatch.Request{ID: x.id, Deadline: x.deadline, Priority: p.priority, Avoid: x.excluded, Since: x.arrived}
 }
 
-func (d *Proxy) offer(x *exchange) chan dispatch.Decision {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.await(x, d.dispatch.Offer(d.settings.Clock(), d.dispatchRequest(x)))
+func (p *Proxy) offer(x *exchange) chan dispatch.Decision {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.await(x, p.dispatch.Offer(p.settings.Clock(), p.dispatchRequest(x)))
 }
 
-func (d *Proxy) retry(x *exchange) chan dispatch.Decision {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.await(x, d.dispatch.Retry(d.settings.Clock(), d.dispatchRequest(x)))
+func (p *Proxy) retry(x *exchange) chan dispatch.Decision {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.await(x, p.dispatch.Retry(p.settings.Clock(), p.dispatchRequest(x)))
 }
 
-func (d *Proxy) await(x *exchange, ds []dispatch.Decision) chan dispatch.Decision {
+func (p *Proxy) await(x *exchange, ds []dispatch.Decision) chan dispatch.Decision {
 	w := make(chan dispatch.Decision, 1)
-	d.waiting[x.id] = w
-	d.deliver(ds)
+	p.waiting[x.id] = w
+	p.deliver(ds)
 	return w
 }
 
 // wait returns the decision on a request, or false if ctx ends first.
-func (d *Proxy) wait(ctx context.Context, x *exchange, w chan dispatch.Decision) (dispatch.Decision, bool) {
+func (p *Proxy) wait(ctx context.Context, x *exchange, w chan dispatch.Decision) (dispatch.Decision, bool) {
 	select {
 	case decision := <-w:
 		return decision, true
 	case <-ctx.Done():
 	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.dispatch.Cancel(x.id)
-	delete(d.waiting, x.id)
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.dispatch.Cancel(x.id)
+	delete(p.waiting, x.id)
 	select {
 	case decision := <-w:
 		// The decision raced with the end of ctx: release the unused slot.
 		if decision.Err == nil {
-			d.deliver(d.dispatch.Done(d.settings.Clock(), decision.Target, dispatch.Cancelled, 0))
+			p.deliver(p.dispatch.Done(p.settings.Clock(), decision.Target, dispatch.Cancelled, 0))
 		}
 	default:
 	}
 	return dispatch.Decision{}, false
 }
 
-func (d *Proxy) done(target string, r dispatch.Result, took time.Duration) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.deliver(d.dispatch.Done(d.settings.Clock(), target, r, took))
+func (p *Proxy) done(target string, r dispatch.Result, took time.Duration) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.deliver(p.dispatch.Done(p.settings.Clock(), target, r, took))
 }
 
-func (d *Proxy) mayRetry() bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.dispatch.MayRetry()
+func (p *Proxy) mayRetry() bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.dispatch.MayRetry()
 }
 
-func (d *Proxy) addressOf(target string) string {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.addresses[target]
+func (p *Proxy) addressOf(target string) string {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.addresses[target]
 }
--- a/internal/request/door/door_test.go
+++ b/internal/request/door/door_test.go
@@ -47,7 +47,7 @@
 	s.keys.Finish(time.Now(), r)
 }
 
-// fixture is a Door with test servers as upstreams.
+// fixture is a Proxy with test servers as upstreams.
 type fixture struct {
 	t      *testing.T
 	door   *door.Proxy
--- a/internal/request/door/exchange.go
+++ b/internal/request/door/exchange.go
@@ -36,8 +36,8 @@
 
 func (e *BadRequestError) Error() string { return e.Reason }
 
-func (d *Proxy) newExchange(w http.ResponseWriter, r *http.Request) (*exchange, error) {
-	now := d.settings.Clock()
+func (p *Proxy) newExchange(w http.ResponseWriter, r *http.Request) (*exchange, error) {
+	now := p.settings.Clock()
 	x := &exchange{writer: w, request: r, arrived: now}
 	timeout, err := parseTimeout(r)
 	if err != nil {
@@ -54,13 +54,13 @@
 	}
 	x.replayable = len(x.body) <= replayLimit
 	x.unreadBody = r.Body
-	d.mu.Lock()
-	x.idempotent = key == "" && (d.repeatable || isIdempotent(r.Method))
-	d.lastID++
-	x.id = d.lastID
-	d.mu.Unlock()
+	p.mu.Lock()
+	x.idempotent = key == "" && (p.repeatable || isIdempotent(r.Method))
+	p.lastID++
+	x.id = p.lastID
+	p.mu.Unlock()
 	x.record = keys.Record{
-		Service: d.settings.Service, Key: key, Attempt: fmt.Sprintf("%s/%d/%d", d.settings.Name, now.UnixNano(), x.id),
+		Service: p.settings.Service, Key: key, Attempt: fmt.Sprintf("%s/%d/%d", p.settings.Name, now.UnixNano(), x.id),
 		Fingerprint: xxhash.Sum64String(r.Method+" "+r.URL.RequestURI()+"\n") ^ xxhash.Sum64(x.body),
 	}
 	return x, nil
@@ -93,22 +93,22 @@
 
 // claim claims the request's key, or responds with the outcome of the request that
 // holds it.
-func (d *Proxy) claim(ctx context.Context, x *exchange) bool {
-	result := d.claimer.Claim(ctx, x.record)
+func (p *Proxy) claim(ctx context.Context, x *exchange) bool {
+	result := p.claimer.Claim(ctx, x.record)
 	switch result.Outcome {
 	case claimer.Granted:
 		x.claimed = true
 		return true
 	case claimer.Taken:
-		d.respondTaken(x, result.Record)
+		p.respondTaken(x, result.Record)
 	case claimer.Refused:
-		d.respondNotRun(x, result.Reason, defaultRetryAfter)
+		p.respondNotRun(x, result.Reason, defaultRetryAfter)
 	}
 	return false
 }
 
-func (d *Proxy) respondTaken(x *exchange, r keys.Record) {
-	d.Counters.Repeated.Add(1)
+func (p *Proxy) respondTaken(x *exchange, r keys.Record) {
+	p.Counters.Repeated.Add(1)
 	h := x.writer.Header()
 	h.Set(RepeatHeader, "true")
 	switch {
@@ -129,16 +129,16 @@
 	}
 }
 
-func (d *Proxy) respondNotRun(x *exchange, reason string, retryAfter time.Duration) {
-	d.Counters.NotRun.Add(1)
+func (p *Proxy) respondNotRun(x *exchange, reason string, retryAfter time.Duration) {
+	p.Counters.NotRun.Add(1)
 	h := x.writer.Header()
 	h.Set(OutcomeHeader, OutcomeNotRun)
 	h.Set("Retry-After", strconv.Itoa(int((retryAfter+time.Second-1)/time.Second)))
 	http.Error(x.writer, "not run: "+reason, http.StatusServiceUnavailable)
 }
 
-func (d *Proxy) respondUnknown(x *exchange, err error) {
-	d.Counters.Unknown.Add(1)
+func (p *Proxy) respondUnknown(x *exchange, err error) {
+	p.Counters.Unknown.Add(1)
 	x.writer.Header().Set(OutcomeHeader, OutcomeUnknown)
 	http.Error(x.writer, "unknown: the request was sent and its answer was lost: "+err.Error(), http.StatusGatewayTimeout)
 }
--- a/internal/request/memory/memory.go
+++ b/internal/request/memory/memory.go
@@ -49,7 +49,7 @@
 	return fmt.Sprintf("this balancer started at %d, asked was its life of %d", e.Here, e.Asked)
 }
 
-// Settings configures a Memory.
+// Settings configures a Replica.
 type Settings struct {
 	Self   roster.Member
 	Window time.Duration
@@ -68,7 +68,7 @@
 	moved    uint64
 }
 
-// New returns a Memory without keys.
+// New returns a Replica without keys.
 func New(s Settings, p *pool.Pool, log hclog.Logger) *Replica {
 	return &Replica{settings: s, log: log, pool: p, keys: keys.New(s.Window, s.Limit), view: roster.NewView(roster.Roster{})}
 }
@@ -229,7 +229,7 @@
 }
 
 // copyAll copies records to their members and reports whether all calls succeeded.
-// Move retries failed members until they respond or leave the roster.
+// CopyRecords retries failed members until they respond or leave the roster.
 func (m *Replica) copyAll(ctx context.Context, transfers map[roster.Member][]keys.Record) bool {
 	done := true
 	for x, records := range transfers {
--- a/internal/request/slotassignment/doc.go
+++ b/internal/request/slotassignment/doc.go
@@ -1,3 +1,3 @@
-// Package homes assigns the slots of all upstreams to balancers. Every balancer
+// Package slotassignment assigns the slots of all upstreams to balancers. Every balancer
 // computes the same assignment, so they share a limit without a message per request.
 package slotassignment
--- a/internal/request/slotassignment/slotassignment.go
+++ b/internal/request/slotassignment/slotassignment.go
@@ -62,5 +62,5 @@
 	return slots
 }
 
-// Of returns the number of an upstream's slots that are assigned to a balancer.
-func (h Assignment) Slots(balancer, upstream string) int { return h.assigned[balancer][upstream] }
+// Slots returns the number of an upstream's slots that are assigned to a balancer.
+func (a Assignment) Slots(balancer, upstream string) int { return a.assigned[balancer][upstream] }
--- a/internal/silence/accrual/accrual.go
+++ b/internal/silence/accrual/accrual.go
@@ -45,9 +45,9 @@
 	// unresponsiveTTL is how long a subject stays unresponsive without new evidence. By then
 	// its announcements are overdue if it is down; otherwise balancers try it again.
 	unresponsiveTTL = 2500 * time.Millisecond
-	// maxDoubts bounds the subjects reported to balancers at once, at 25 bytes each. Zones
+	// maxSuspicions bounds the subjects reported to balancers at once, at 25 bytes each. Zones
 	// come first, so that a failed zone is reported even if many of its upstreams are.
-	maxDoubts = 64
+	maxSuspicions = 64
 	// maxMissed bounds the unanswered packets kept for a subject; more do not change the result.
 	maxMissed = 32
 	// maxImplicated bounds the upstreams that are kept for a suspicion.
@@ -86,11 +86,11 @@
 	decayedAt time.Time
 }
 
-// New returns an accrual without evidence.
+// New returns a detector without evidence.
 func New() *Detector { return &Detector{records: map[evidence.Subject]*record{}} }
 
-// Version increases whenever the result of Doubts changes.
-func (a *Detector) Version() uint64 { return a.version }
+// Version increases whenever the result of Suspicions changes.
+func (d *Detector) Version() uint64 { return d.version }
 
 // subjects returns the subjects that an event concerns: the upstream and its whole zone.
 func subjects(e evidence.Event) [2]evidence.Subject {
@@ -98,34 +98,34 @@
 }
 
 // Record records an event that a balancer or voter reported.
-func (a *Detector) Record(now time.Time, reporter string, e evidence.Event) {
+func (d *Detector) Record(now time.Time, reporter string, e evidence.Event) {
 	at := now.Add(-e.Age)
 	for _, s := range subjects(e) {
 		switch {
 		case s == evidence.Subject{}:
 		case e.Answered:
-			a.recordResponse(s, at)
+			d.recordResponse(s, at)
 		default:
-			a.recordMissed(now, s, missedPacket{reporter: reporter, upstream: evidence.Subject{Incarnation: e.Incarnation, Born: e.Born}, sent: at, reported: now, weight: e.Weight})
+			d.recordMissed(now, s, missedPacket{reporter: reporter, upstream: evidence.Subject{Incarnation: e.Incarnation, Born: e.Born}, sent: at, reported: now, weight: e.Weight})
 		}
 	}
 }
 
 // Refutes reports whether a response of the upstream would refute a suspicion.
-func (a *Detector) Refutes(e evidence.Event) bool {
+func (d *Detector) Refutes(e evidence.Event) bool {
 	for _, s := range subjects(e) {
-		if r := a.records[s]; r != nil && !r.suspectedAt.IsZero() {
+		if r := d.records[s]; r != nil && !r.suspectedAt.IsZero() {
 			return true
 		}
 	}
 	return false
 }
 
-func (a *Detector) recordMissed(now time.Time, s evidence.Subject, e missedPacket) {
-	r := a.records[s]
+func (d *Detector) recordMissed(now time.Time, s evidence.Subject, e missedPacket) {
+	r := d.records[s]
 	if r == nil {
 		r = &record{}
-		a.records[s] = r
+		d.records[s] = r
 	}
 	if len(r.missed) >= maxMissed || !e.sent.After(r.lastResponse) || now.Sub(e.sent) > evidenceTTL {
 		return
@@ -133,8 +133,8 @@
 	r.missed = append(r.missed, e)
 }
 
-func (a *Detector) recordResponse(s evidence.Subject, at time.Time) {
-	r := a.records[s]
+func (d *Detector) recordResponse(s evidence.Subject, at time.Time) {
+	r := d.records[s]
 	if r == nil {
 		return
 	}
@@ -144,26 +144,26 @@
 	r.missed = slices.DeleteFunc(r.missed, func(e missedPacket) bool { return !e.sent.After(at) })
 	if !r.suspectedAt.IsZero() && !at.Before(r.firstSent) {
 		r.suspectedAt, r.unresponsiveAt, r.firstSent = time.Time{}, time.Time{}, time.Time{}
-		a.version++
-		a.refuted++
+		d.version++
+		d.refuted++
 	}
 }
 
 // Evaluate evaluates the evidence. balancers is how many balancers poll this voter, relays
 // the longest chain of balancers that relay its answers. It returns when it must be called
 // again even without further evidence, or zero.
-func (a *Detector) Evaluate(now time.Time, balancers, relays int) time.Time {
+func (d *Detector) Evaluate(now time.Time, balancers, relays int) time.Time {
 	var nextTimeout time.Time
 	timeout := refutationTimeout + time.Duration(relays)*refutationTimeoutPerHop
-	a.refuted *= math.Exp(-now.Sub(a.decayedAt).Seconds() / refutedDecay.Seconds())
-	a.decayedAt = now
-	for s, r := range a.records {
+	d.refuted *= math.Exp(-now.Sub(d.decayedAt).Seconds() / refutedDecay.Seconds())
+	d.decayedAt = now
+	for s, r := range d.records {
 		r.missed = slices.DeleteFunc(r.missed, func(e missedPacket) bool { return now.Sub(e.sent) > evidenceTTL })
-		if a.expire(now, r) {
-			delete(a.records, s)
+		if d.expire(now, r) {
+			delete(d.records, s)
 			continue
 		}
-		a.evaluate(now, s, r, balancers, timeout)
+		d.evaluate(now, s, r, balancers, timeout)
 		if end := r.nextTimeout(now, timeout); !end.IsZero() && (nextTimeout.IsZero() || end.Before(nextTimeout)) {
 			nextTimeout = end
 		}
@@ -186,7 +186,7 @@
 }
 
 // expire reports whether all state of the record has expired, so that it can be deleted.
-func (a *Detector) expire(now time.Time, r *record) bool {
+func (d *Detector) expire(now time.Time, r *record) bool {
 	if len(r.missed) > 0 || !r.unresponsiveAt.IsZero() && now.Sub(r.unresponsiveAt) < unresponsiveTTL {
 		return false
 	}
@@ -195,12 +195,12 @@
 		return false
 	}
 	if !r.suspectedAt.IsZero() {
-		a.version++
+		d.version++
 	}
 	return true
 }
 
-func (a *Detector) evaluate(now time.Time, s evidence.Subject, r *record, balancers int, timeout time.Duration) {
+func (d *Detector) evaluate(now time.Time, s evidence.Subject, r *record, balancers int, timeout time.Duration) {
 	weight, overdue := 0.0, 0.0
 	for _, e := range r.missed {
 		weight += e.weight
@@ -208,12 +208,12 @@
 			overdue += e.weight
 		}
 	}
-	suspect, unresponsive := a.thresholds(s)
+	suspect, unresponsive := d.thresholds(s)
 	if r.suspectedAt.IsZero() && weight >= suspect {
 		r.suspectedAt = now
 		r.firstSent = slices.MinFunc(r.missed, func(x, y missedPacket) int { return x.sent.Compare(y.sent) }).sent
 		r.implicated = nil
-		a.version++
+		d.version++
 	}
 	r.recordImplicated()
 	if r.suspectedAt.IsZero() || !r.unresponsiveAt.IsZero() || overdue < unresponsive || now.Sub(r.suspectedAt) < timeout {
@@ -226,7 +226,7 @@
 		return
 	}
 	r.unresponsiveAt = now
-	a.version++
+	d.version++
 }
 
 // recordImplicated keeps the upstreams behind a suspicion, longer than their packets.
@@ -243,20 +243,20 @@
 
 // Implicated returns up to maxImplicated upstreams whose unanswered packets caused the
 // suspicion of a subject.
-func (a *Detector) Implicated(s evidence.Subject) []evidence.Subject {
-	if r := a.records[s]; r != nil {
+func (d *Detector) Implicated(s evidence.Subject) []evidence.Subject {
+	if r := d.records[s]; r != nil {
 		return r.implicated
 	}
 	return nil
 }
 
 // thresholds returns the evidence at which a subject is suspected and unresponsive.
-func (a *Detector) thresholds(s evidence.Subject) (suspect, unresponsive float64) {
+func (d *Detector) thresholds(s evidence.Subject) (suspect, unresponsive float64) {
 	suspect, unresponsive = suspectThreshold, unresponsiveThreshold
 	if s.Zone != "" {
 		suspect, unresponsive = zoneSuspectThreshold, zoneUnresponsiveThreshold
 	}
-	suspect *= min(1+refutedStep*a.refuted, maxRefutedFactor)
+	suspect *= min(1+refutedStep*d.refuted, maxRefutedFactor)
 	return suspect, max(suspect, unresponsive)
 }
 
@@ -269,10 +269,10 @@
 	return len(seen)
 }
 
-// Suspicions returns up to maxDoubts suspected subjects, zones first.
-func (a *Detector) Suspicions(now time.Time) []evidence.Suspicion {
+// Suspicions returns up to maxSuspicions suspected subjects, zones first.
+func (d *Detector) Suspicions(now time.Time) []evidence.Suspicion {
 	var out []evidence.Suspicion
-	for s, r := range a.records {
+	for s, r := range d.records {
 		if !r.suspectedAt.IsZero() {
 			out = append(out, evidence.Suspicion{Subject: s, Age: now.Sub(r.firstSent), Unresponsive: !r.unresponsiveAt.IsZero()})
 		}
@@ -280,5 +280,5 @@
 	slices.SortFunc(out, func(x, y evidence.Suspicion) int {
 		return cmp.Or(cmp.Compare(y.Zone, x.Zone), cmp.Compare(x.Incarnation, y.Incarnation), cmp.Compare(x.Born, y.Born))
 	})
-	return out[:min(len(out), maxDoubts)]
+	return out[:min(len(out), maxSuspicions)]
 }
--- a/internal/silence/accrual/accrual_test.go
+++ b/internal/silence/accrual/accrual_test.go
@@ -26,9 +26,9 @@
 	return evidence.Event{Incarnation: incarnation, Zone: "a", Age: age, Answered: true}
 }
 
-// doubts encodes the suspected subjects: u is an upstream, z a zone, and upper case means
+// suspicions encodes the suspected subjects: u is an upstream, z a zone, and upper case means
 // unresponsive.
-func doubts(a *accrual.Detector, now time.Time) string {
+func suspicions(a *accrual.Detector, now time.Time) string {
 	out := ""
 	for _, d := range a.Suspicions(now) {
 		name := "u"
@@ -49,22 +49,22 @@
 	a := accrual.New()
 	a.Record(at(0), "b1", unanswered(1, usual))
 	require.Zero(t, a.Evaluate(at(0), 7, 0))
-	require.Empty(t, doubts(a, at(0)))
+	require.Empty(t, suspicions(a, at(0)))
 	a.Record(at(10), "b2", unanswered(1, usual))
 	require.Equal(t, at(60), a.Evaluate(at(10), 7, 0))
-	require.Contains(t, doubts(a, at(10)), "u", "balancers are asked for responses of the upstream")
+	require.Contains(t, suspicions(a, at(10)), "u", "balancers are asked for responses of the upstream")
 	a.Record(at(20), "b3", unanswered(1, usual))
 	a.Evaluate(at(20), 7, 0)
-	require.NotContains(t, doubts(a, at(20)), "U", "the refutation timeout of the balancers has not passed")
+	require.NotContains(t, suspicions(a, at(20)), "U", "the refutation timeout of the balancers has not passed")
 	require.Equal(t, at(80), a.Evaluate(at(70), 7, 0))
-	require.NotContains(t, doubts(a, at(70)), "U", "the refutation timeout of the last packet has not passed")
+	require.NotContains(t, suspicions(a, at(70)), "U", "the refutation timeout of the last packet has not passed")
 	a.Evaluate(at(80), 7, 0)
-	require.Contains(t, doubts(a, at(80)), "U")
+	require.Contains(t, suspicions(a, at(80)), "U")
 	require.Equal(t, 280*time.Millisecond, a.Suspicions(at(80))[len(a.Suspicions(at(80)))-1].Age)
 	a.Evaluate(at(2000), 7, 0)
-	require.Contains(t, doubts(a, at(2000)), "U")
+	require.Contains(t, suspicions(a, at(2000)), "U")
 	a.Evaluate(at(2700), 7, 0)
-	require.Empty(t, doubts(a, at(2700)), "expires without new evidence")
+	require.Empty(t, suspicions(a, at(2700)), "expires without new evidence")
 }
 
 // Guards against resets of flows to live upstreams: a balancer whose link drops what it sends
@@ -76,10 +76,10 @@
 		a.Evaluate(at(i), 7, 0)
 	}
 	a.Evaluate(at(200), 7, 0)
-	require.NotContains(t, doubts(a, at(200)), "U")
-	require.NotContains(t, doubts(a, at(200)), "Z")
+	require.NotContains(t, suspicions(a, at(200)), "U")
+	require.NotContains(t, suspicions(a, at(200)), "Z")
 	a.Evaluate(at(201), 1, 0)
-	require.Contains(t, doubts(a, at(201)), "U", "it is enough if no other balancer polls this voter")
+	require.Contains(t, suspicions(a, at(201)), "U", "it is enough if no other balancer polls this voter")
 }
 
 func TestResponseDiscardsEarlierEvidence(t *testing.T) {
@@ -90,14 +90,14 @@
 	a.Evaluate(at(5), 7, 0)
 	require.True(t, a.Refutes(answered(1, 0)))
 	a.Record(at(10), "b5", answered(1, 400*time.Millisecond))
-	require.Contains(t, doubts(a, at(10)), "u", "the response precedes the first unanswered packet")
+	require.Contains(t, suspicions(a, at(10)), "u", "the response precedes the first unanswered packet")
 	a.Record(at(20), "b5", answered(1, 0))
-	require.Empty(t, doubts(a, at(20)))
+	require.Empty(t, suspicions(a, at(20)))
 	require.False(t, a.Refutes(answered(1, 0)))
 	a.Record(at(30), "b1", unanswered(1, usual))
 	a.Record(at(30), "b2", unanswered(1, usual))
 	a.Evaluate(at(100), 7, 0)
-	require.Empty(t, doubts(a, at(100)), "packets sent before the response are ignored")
+	require.Empty(t, suspicions(a, at(100)), "packets sent before the response are ignored")
 }
 
 // Guards against resets of flows on lossy links: at a loss rate of one in three, three
@@ -109,7 +109,7 @@
 	}
 	a.Evaluate(at(10), 7, 0)
 	a.Evaluate(at(100), 7, 0)
-	require.Empty(t, doubts(a, at(100)))
+	require.Empty(t, suspicions(a, at(100)))
 }
 
 // Guards against requests that wait until their deadlines for a partitioned zone: each of its
@@ -121,9 +121,9 @@
 	}
 	a.Evaluate(at(5), 7, 0)
 	a.Evaluate(at(100), 7, 0)
-	require.Equal(t, "Z", doubts(a, at(100)))
+	require.Equal(t, "Z", suspicions(a, at(100)))
 	a.Record(at(110), "b3", answered(9, 0))
-	require.Empty(t, doubts(a, at(110)), "one of its upstreams responds")
+	require.Empty(t, suspicions(a, at(110)), "one of its upstreams responds")
 }
 
 // Guards against resets of flows to a live zone: balancers that were stalled report packets
@@ -140,7 +140,7 @@
 		a.Record(at(400+i), from, late)
 	}
 	a.Evaluate(at(410), 7, 0)
-	require.Empty(t, doubts(a, at(410)))
+	require.Empty(t, suspicions(a, at(410)))
 }
 
 func TestRestartedUpstreamIsNotSuspected(t *testing.T) {
@@ -181,7 +181,7 @@
 	})
 }
 
-func TestDoubtsAreBounded(t *testing.T) {
+func TestSuspicionsAreBounded(t *testing.T) {
 	a := accrual.New()
 	for id := range uint64(500) {
 		a.Record(at(0), "b1", unanswered(id+1, 2*usual))
@@ -214,5 +214,5 @@
 	}
 	a.Evaluate(now.Add(5*time.Millisecond), 7, 0)
 	a.Evaluate(now.Add(100*time.Millisecond), 7, 0)
-	require.Contains(t, doubts(a, now.Add(100*time.Millisecond)), "U", "the threshold is back to normal after half a minute")
+	require.Contains(t, suspicions(a, now.Add(100*time.Millisecond)), "U", "the threshold is back to normal after half a minute")
 }
--- a/internal/silence/confirmation/confirmation.go
+++ b/internal/silence/confirmation/confirmation.go
@@ -92,7 +92,7 @@
 	}
 }
 
-// RecordOutcome records the outcome of a probe that Due requested.
+// RecordOutcome records the outcome of a probe that NextProbes requested.
 func (c *Confirmer) RecordOutcome(now, startedAt time.Time, u evidence.Subject, o probe.Outcome) {
 	h := c.hosts[u]
 	if h == nil || !h.running {
@@ -138,6 +138,6 @@
 }
 
 // targets returns the upstreams to probe for the suspicion.
-func (s Candidate) targets() []evidence.Subject {
-	return s.Upstreams[:min(len(s.Upstreams), zoneProbes)]
+func (c Candidate) targets() []evidence.Subject {
+	return c.Upstreams[:min(len(c.Upstreams), zoneProbes)]
 }
--- a/internal/silence/evidence/doc.go
+++ b/internal/silence/evidence/doc.go
@@ -1,3 +1,3 @@
-// Package word defines the messages that balancers and voters exchange about upstreams that
+// Package evidence defines the messages that balancers and voters exchange about upstreams that
 // leave packets unanswered.
 package evidence
--- a/internal/silence/suspicions/doc.go
+++ b/internal/silence/suspicions/doc.go
@@ -1,3 +1,3 @@
-// Package doubts merges the suspicions that several voters report to a balancer: the
+// Package suspicions merges the suspicions that several voters report to a balancer: the
 // upstreams and zones that leave packets unanswered.
 package suspicions
--- a/internal/silence/suspicions/suspicions.go
+++ b/internal/silence/suspicions/suspicions.go
@@ -20,7 +20,7 @@
 type report struct {
 	// at is when the report arrived, contact when the voter was last reachable.
 	at, contact time.Time
-	doubts      []evidence.Suspicion
+	suspicions  []evidence.Suspicion
 	// expired reports whether the voter's lease has expired.
 	expired bool
 }
@@ -36,32 +36,32 @@
 
 // Update replaces the report of a voter that is reachable now, and returns whether All may
 // have changed.
-func (d *Set) Update(now time.Time, voter string, all []evidence.Suspicion) bool {
-	return d.UpdateRelayed(now, now, voter, all)
+func (s *Set) Update(now time.Time, voter string, all []evidence.Suspicion) bool {
+	return s.UpdateRelayed(now, now, voter, all)
 }
 
 // UpdateRelayed does the same for a relayed report; contact is when the voter was last reachable.
-func (d *Set) UpdateRelayed(now, contact time.Time, voter string, all []evidence.Suspicion) bool {
-	before := d.reports[voter]
+func (s *Set) UpdateRelayed(now, contact time.Time, voter string, all []evidence.Suspicion) bool {
+	before := s.reports[voter]
 	if len(all) == 0 {
-		delete(d.reports, voter)
-		return len(before.doubts) > 0
+		delete(s.reports, voter)
+		return len(before.suspicions) > 0
 	}
-	d.reports[voter] = report{at: now, contact: contact, doubts: all}
+	s.reports[voter] = report{at: now, contact: contact, suspicions: all}
 	return true
 }
 
 // RecordContact records that a voter was reachable and its report is unchanged.
-func (d *Set) RecordContact(contact time.Time, voter string) {
-	if r, ok := d.reports[voter]; ok && contact.After(r.contact) {
+func (s *Set) RecordContact(contact time.Time, voter string) {
+	if r, ok := s.reports[voter]; ok && contact.After(r.contact) {
 		r.contact = contact
-		d.reports[voter] = r
+		s.reports[voter] = r
 	}
 }
 
 // Any returns whether any voter with a valid lease suspects anything.
-func (d *Set) Any() bool {
-	for _, r := range d.reports {
+func (s *Set) Any() bool {
+	for _, r := range s.reports {
 		if !r.expired {
 			return true
 		}
@@ -71,12 +71,12 @@
 
 // Expire updates which reports have expired because their voter has not answered for the
 // lease, and returns whether any expired or became valid again.
-func (d *Set) Expire(now time.Time) bool {
+func (s *Set) Expire(now time.Time) bool {
 	changed := false
-	for voter, r := range d.reports {
-		if expired := now.Sub(r.contact) > d.lease; expired != r.expired {
+	for voter, r := range s.reports {
+		if expired := now.Sub(r.contact) > s.lease; expired != r.expired {
 			r.expired = expired
-			d.reports[voter] = r
+			s.reports[voter] = r
 			changed = true
 		}
 	}
@@ -85,13 +85,13 @@
 
 // All merges the valid reports. The report of one voter suffices, since the others may be
 // partitioned from the balancers that observed the timeouts.
-func (d *Set) All() map[evidence.Subject]Suspicion {
+func (s *Set) All() map[evidence.Subject]Suspicion {
 	all := map[evidence.Subject]Suspicion{}
-	for voter, r := range d.reports {
+	for voter, r := range s.reports {
 		if r.expired {
 			continue
 		}
-		for _, x := range r.doubts {
+		for _, x := range r.suspicions {
 			first := r.at.Add(-x.Age)
 			merged, known := all[x.Subject]
 			if !known || first.Before(merged.First) {
--- a/internal/soak/run/upstreams.go
+++ b/internal/soak/run/upstreams.go
@@ -82,7 +82,7 @@
 	b.processor.wait()
 }
 
-// announce sends announcements at AnnounceEvery to the address it was last referred to, or else to
+// announce sends announcements at AnnounceInterval to the address it was last referred to, or else to
 // any voter.
 func (b *simulatedUpstream) announce() {
 	next := ""
--- a/internal/standin/rpctest/doc.go
+++ b/internal/standin/rpctest/doc.go
@@ -1,2 +1,2 @@
-// Package server runs RPC servers on loopback for the duration of a test.
+// Package rpctest runs RPC servers on loopback for the duration of a test.
 package rpctest
--- a/internal/standin/virtual/virtual.go
+++ b/internal/standin/virtual/virtual.go
@@ -29,16 +29,16 @@
 }
 
 // AfterFunc schedules a function call after a duration of virtual time.
-func (t *Clock) AfterFunc(d time.Duration, call func()) {
-	heap.Push(&t.events, event{t.Now.Add(d), call})
+func (c *Clock) AfterFunc(d time.Duration, call func()) {
+	heap.Push(&c.events, event{c.Now.Add(d), call})
 }
 
 // RunUntil executes all events up to and including the given time and advances the clock to it.
-func (t *Clock) RunUntil(until time.Time) {
-	for len(t.events) > 0 && !t.events[0].at.After(until) {
-		e := heap.Pop(&t.events).(event)
-		t.Now = e.at
+func (c *Clock) RunUntil(until time.Time) {
+	for len(c.events) > 0 && !c.events[0].at.After(until) {
+		e := heap.Pop(&c.events).(event)
+		c.Now = e.at
 		e.call()
 	}
-	t.Now = until
+	c.Now = until
 }
--- a/internal/start/checksettings/doc.go
+++ b/internal/start/checksettings/doc.go
@@ -1,2 +1,2 @@
-// Package verify implements the stage that validates the settings.
+// Package checksettings implements the stage that validates the settings.
 package checksettings
--- a/internal/start/readsettings/doc.go
+++ b/internal/start/readsettings/doc.go
@@ -1,2 +1,2 @@
-// Package read implements the stage that reads the settings file.
+// Package readsettings implements the stage that reads the settings file.
 package readsettings
--- a/internal/start/serve/doc.go
+++ b/internal/start/serve/doc.go
@@ -1,2 +1,2 @@
-// Package wait implements the stage that blocks until the planned shutdown and performs it.
+// Package serve implements the stage that blocks until the planned shutdown and performs it.
 package serve
--- a/internal/start/startbalancer/doc.go
+++ b/internal/start/startbalancer/doc.go
@@ -1,2 +1,2 @@
-// Package route implements the stage that starts a balancer.
+// Package startbalancer implements the stage that starts a balancer.
 package startbalancer
--- a/internal/upstream/directory/directory.go
+++ b/internal/upstream/directory/directory.go
@@ -52,7 +52,7 @@
 	replaced      bool
 	// successorAlive reports whether the incarnation that replaced it is alive.
 	successorAlive bool
-	recalled       bool
+	restored       bool
 	// returned reports whether a replaced upstream has announced itself once more.
 	returned bool
 	// changed is the directory's version at the last change to publish.
@@ -92,7 +92,7 @@
 	d.releaseAddress(u, old)
 	e := &entry{Upstream: u, coldUntil: now.Add(cold), lastAnnounced: now}
 	d.entries[u.Incarnation] = e
-	publish = old == nil || old.silent || old.replaced || old.recalled || !equalExceptSequence(old.Upstream, u)
+	publish = old == nil || old.silent || old.replaced || old.restored || !equalExceptSequence(old.Upstream, u)
 	if u.State == upstream.Ready && d.maybeDelayed(now, u, old) {
 		e.replaced, e.returned, e.changed = true, true, old.changed
 		return false, true
@@ -116,7 +116,7 @@
 		return
 	}
 	d.releaseAddress(u, d.entries[u.Incarnation])
-	e := &entry{Upstream: u, coldUntil: now.Add(cold), lastAnnounced: now, recalled: true}
+	e := &entry{Upstream: u, coldUntil: now.Add(cold), lastAnnounced: now, restored: true}
 	d.entries[u.Incarnation] = e
 	d.markChanged(e)
 }
@@ -186,7 +186,7 @@
 	before := d.version
 	for id, e := range d.entries {
 		age := now.Sub(e.lastAnnounced)
-		if age > d.settings.ForgetAfter || e.recalled && age > d.settings.SilentAfter {
+		if age > d.settings.ForgetAfter || e.restored && age > d.settings.SilentAfter {
 			delete(d.entries, id)
 			if d.holders[e.Address] == id {
 				delete(d.holders, e.Address)
@@ -252,7 +252,7 @@
 	latestFirst := func(a, b *entry) int { return b.lastAnnounced.Compare(a.lastAnnounced) }
 	var latest []*entry
 	for id, e := range d.entries {
-		if e.recalled || e.silent || e.replaced || e.State != upstream.Ready {
+		if e.restored || e.silent || e.replaced || e.State != upstream.Ready {
 			continue
 		}
 		if len(latest) == limit && !e.lastAnnounced.After(latest[limit-1].lastAnnounced) || excluded(id) {
@@ -268,6 +268,6 @@
 func (e *entry) notice(now time.Time) Notice {
 	return Notice{
 		Upstream: e.Upstream, Cold: max(e.coldUntil.Sub(now), 0), Silent: e.silent, Replaced: e.replaced && (!e.silent || e.successorAlive), Age: now.Sub(e.lastAnnounced),
-		Recalled: e.recalled,
+		Recalled: e.restored,
 	}
 }
--- a/internal/upstream/directory/directory_test.go
+++ b/internal/upstream/directory/directory_test.go
@@ -163,10 +163,10 @@
 	return out
 }
 
-// Guards against load peaks after a power loss of all VMs: each voter recalls 3,000 upstreams, of
+// Guards against load peaks after a power loss of all VMs: each voter restores 3,000 upstreams, of
 // which most announce themselves to other voters, and publishes each as silent. Voters sent
 // megabytes to each of 290 balancers, and upstreams that timed out all switched to one voter.
-func TestSilenceOfARecalledUpstreamIsNotPublished(t *testing.T) {
+func TestSilenceOfRestoredUpstreamIsNotPublished(t *testing.T) {
 	d := newDirectory()
 	d.Restore(epoch, announced(1, 7, upstream.Ready), 0)
 	require.True(t, d.Since(epoch, 0)[0].Recalled)
@@ -176,7 +176,7 @@
 	require.Empty(t, d.Since(epoch.Add(5*time.Second), 0))
 }
 
-func TestAnnouncementOfARecalledUpstreamIsPublished(t *testing.T) {
+func TestAnnouncementOfRestoredUpstreamIsPublished(t *testing.T) {
 	d := newDirectory()
 	d.Restore(epoch, announced(1, 7, upstream.Ready), 0)
 	publish, newer := d.Announce(epoch.Add(time.Second), announced(1, 8, upstream.Ready), 0)
--- a/internal/upstream/handover/handover.go
+++ b/internal/upstream/handover/handover.go
@@ -34,7 +34,7 @@
 	return time.Duration(share * float64(interval))
 }
 
-// sendTimeout bounds one handover to the part of the second that the batch delays leave.
+// sendTimeout bounds one call to the part of the second that the batch delays leave.
 const sendTimeout = 700 * time.Millisecond
 
 // Announcement is the announcement of one upstream, with the time since it was received.
@@ -70,7 +70,7 @@
 	next  *batch
 }
 
-// New returns a handover that sends its batches with send.
+// New returns a Batcher that sends its batches with send.
 func New(clock func() time.Time, send func(ctx context.Context, all []Announcement) error) *Batcher {
 	return &Batcher{clock: clock, send: send}
 }
--- a/internal/upstream/registry/registry.go
+++ b/internal/upstream/registry/registry.go
@@ -127,7 +127,7 @@
 	return u
 }
 
-// Version increases whenever the results of Pool or Holders may have changed.
+// Version increases whenever the results of Pool or ServicesByAddress may have changed.
 func (r *Registry) Version() uint64 { return r.version }
 
 // SetConfiguration sets the configuration, which defines the services that upstreams may join.
--- a/internal/upstream/view/fleet_test.go
+++ b/internal/upstream/view/fleet_test.go
@@ -95,8 +95,8 @@
 	}
 }
 
-// BenchmarkFleetDoubt measures the suspicion of one upstream.
-func BenchmarkFleetDoubt(b *testing.B) {
+// BenchmarkFleetSuspicion measures the suspicion of one upstream.
+func BenchmarkFleetSuspicion(b *testing.B) {
 	for _, n := range []int{150, 3000, 10000, 20000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			f := newFleet(n, 25)
--- a/internal/upstream/view/source.go
+++ b/internal/upstream/view/source.go
@@ -19,7 +19,7 @@
 	// changes are the latest changes since the voter started, for followers of this balancer.
 	changes []change
 	// provisionalUntil is when provisional notices expire: those from before the voter's
-	// restart, and recalled ones.
+	// restart, and restored ones.
 	provisionalUntil time.Time
 	// hasProvisional reports whether there are any.
 	hasProvisional bool
@@ -40,7 +40,7 @@
 	}
 }
 
-// addProvisional returns when a recalled notice expires: the voter forgets a recalled upstream
+// addProvisional returns when a restored notice expires: the voter forgets a restored upstream
 // without a notice unless the upstream announces itself. All provisional notices of a voter
 // expire together, since only one expiry time is tracked per voter.
 func (s *source) addProvisional(now, expiresAt time.Time) time.Time {
--- a/internal/upstream/view/view.go
+++ b/internal/upstream/view/view.go
@@ -14,7 +14,7 @@
 	// ContactLease is how long the liveness reports of a voter stay valid without contact.
 	ContactLease time.Duration
 	// ProvisionalTTL is how long an upstream stays live that a voter knows only from before its
-	// restart, or has recalled.
+	// restart, or has restored.
 	ProvisionalTTL time.Duration
 	// ForgetAfter is how long an upstream is kept without a valid notice.
 	ForgetAfter time.Duration
@@ -70,25 +70,25 @@
 	v.Apply(now, Update{Voter: name, Life: life, Contact: now, Notices: notices})
 }
 
-// Apply applies an update that may have been relayed; see Take.
-func (v *View) Apply(now time.Time, news Update) {
-	s := v.sources[news.Voter]
+// Apply applies an update that may have been relayed; see ApplyNotices.
+func (v *View) Apply(now time.Time, update Update) {
+	s := v.sources[update.Voter]
 	if s == nil {
-		s = newSource(news.Life)
-		v.sources[news.Voter] = s
+		s = newSource(update.Life)
+		v.sources[update.Voter] = s
 	}
-	if s.life != news.Life {
-		s.restart(news.Life, now.Add(v.settings.ProvisionalTTL))
+	if s.life != update.Life {
+		s.restart(update.Life, now.Add(v.settings.ProvisionalTTL))
 		v.markChanged(s)
 	}
 	if s.provisionalExpired(now) {
 		v.markChanged(s)
 	}
-	if news.Contact.After(s.contact) {
-		s.contact = news.Contact
+	if update.Contact.After(s.contact) {
+		s.contact = update.Contact
 	}
-	for _, n := range news.Notices {
-		t := voterNotice{Notice: n, receivedAt: now, life: news.Life, version: news.Version}
+	for _, n := range update.Notices {
+		t := voterNotice{Notice: n, receivedAt: now, life: update.Life, version: update.Version}
 		if n.Recalled {
 			t.expiresAt = s.addProvisional(now, now.Add(v.settings.ProvisionalTTL))
 		}
--- a/internal/upstream/view/view_test.go
+++ b/internal/upstream/view/view_test.go
@@ -120,11 +120,11 @@
 	require.True(t, v.Targets(after(4))[0].Ended)
 }
 
-func TestRecalledUpstreamIsLiveUntilItExpires(t *testing.T) {
+func TestRestoredUpstreamIsLiveUntilItExpires(t *testing.T) {
 	v := newView()
-	recalled := notice(1, upstream.Ready)
-	recalled.Recalled = true
-	v.ApplyNotices(epoch, "v1", 1, []directory.Notice{recalled})
+	restored := notice(1, upstream.Ready)
+	restored.Recalled = true
+	v.ApplyNotices(epoch, "v1", 1, []directory.Notice{restored})
 	require.True(t, v.Targets(epoch)[0].Live)
 	v.ApplyNotices(after(6), "v1", 1, nil)
 	require.False(t, v.Targets(after(6))[0].Live, "no voter has received an announcement since")
@@ -132,9 +132,9 @@
 	require.True(t, v.Targets(after(7))[0].Live)
 }
 
-// Guards against an expired upstream that stays in the pool of a balancer: a voter recalls
+// Guards against an expired upstream that stays in the pool of a balancer: a voter restores
 // another upstream shortly after it, and expiry is only checked at the later time.
-func TestRecalledUpstreamsOfAVoterExpireTogether(t *testing.T) {
+func TestRestoredUpstreamsOfAVoterExpireTogether(t *testing.T) {
 	v := newView()
 	first, second := notice(1, upstream.Ready), notice(1, upstream.Ready)
 	first.Recalled, second.Recalled = true, true
@@ -365,9 +365,9 @@
 	apply(v, epoch, 1, 5, numbered(1, 1))
 	apply(v, after(1), 2, 1, numbered(2, 1))
 	require.Equal(t, []uint64{2}, incarnations(v.Since(after(1), "v1", 2, 0)))
-	recalled := numbered(3, 1)
-	recalled.Recalled = true
-	apply(v, after(1), 2, 2, recalled)
+	restored := numbered(3, 1)
+	restored.Recalled = true
+	apply(v, after(1), 2, 2, restored)
 	require.Equal(t, []uint64{2}, incarnations(v.Since(after(1), "v1", 2, 0)), "recalled notices are not relayed")
 }
 
