--- a/internal/capacity/measure/fanout.go
+++ b/internal/capacity/measure/fanout.go
@@ -54,11 +54,11 @@
 }
 
 func (p parentBalancer) Updates(now time.Time, q relay.Request) (relay.Response, bool) {
-	all, news := p.origins.UpdatesSince(now, q.Known)
+	all, hasUpdates := p.origins.UpdatesSince(now, q.Known)
 	for i, x := range all {
 		all[i].Notices = p.view.Since(now, x.Voter, x.Life, x.Version)
 	}
-	return relay.Response{Origins: all}, news
+	return relay.Response{Origins: all}, hasUpdates
 }
 
 func (parentBalancer) ShuttingDown() bool { return false }
--- a/internal/configuration/source/source.go
+++ b/internal/configuration/source/source.go
@@ -104,14 +104,14 @@
 	for {
 		x, changed := s.state()
 		if x.hasChanges(q) {
-			return s.answer(x, q)
+			return s.respond(x, q)
 		}
 		select {
 		case <-changed:
 		case <-hold.C:
-			return s.answer(x, q)
+			return s.respond(x, q)
 		case <-ctx.Done():
-			return s.answer(x, q)
+			return s.respond(x, q)
 		}
 	}
 }
@@ -134,7 +134,7 @@
 	return state{history: s.history, roster: s.roster, evacuations: s.evacuations}, s.changed
 }
 
-func (s *Source) answer(x state, q Request) history.Response {
+func (s *Source) respond(x state, q Request) history.Response {
 	a := x.history.Since(q.Revision)
 	a.Current = s.current()
 	if x.roster.Version > q.RosterVersion {
--- a/internal/control/agreement/members.go
+++ b/internal/control/agreement/members.go
@@ -90,7 +90,7 @@
 const removeAfterElections = 5
 
 // removeUnreachable removes the voter that has been unreachable the longest, so
-// that a machine that is gone for good does not count towards the majority
+// that a VM that is gone for good does not count towards the majority
 // forever. The voter is added again if it returns. The list keeps enough voters to
 // retain a majority after Tolerate losses: while two of six voters are partitioned
 // for some seconds, the loss of two disks among the other four must not be fatal.
--- a/internal/control/agreement/members_test.go
+++ b/internal/control/agreement/members_test.go
@@ -28,8 +28,8 @@
 	return names
 }
 
-// Guards against a cluster that accepts no changes although two of three machines
-// run. Each machine in turn is replaced by an empty one at another address. If
+// Guards against a cluster that accepts no changes although two of three VMs
+// run. Each VM in turn is replaced by an empty one at another address. If
 // the old voters stay in the list, the majority counts them: two of five in the end.
 func TestUnreachableVotersAreRemoved(t *testing.T) {
 	c := bootstrappedCluster(t)
--- a/internal/control/feed/feed_test.go
+++ b/internal/control/feed/feed_test.go
@@ -71,7 +71,7 @@
 	require.NotNil(t, f.Configuration(0).Whole)
 }
 
-// Guards against saturated links of voters after a power loss of all machines. Each voter restored
+// Guards against saturated links of voters after a power loss of all VMs. Each voter restored
 // the upstreams of all voters and sent them to every balancer, so that balancers got them once per
 // voter and announcements were answered late.
 func TestRestoredUpstreamsAreSentOnRequestOnly(t *testing.T) {
--- a/internal/control/feed/response.go
+++ b/internal/control/feed/response.go
@@ -17,7 +17,7 @@
 	hold := time.NewTimer(q.Hold)
 	defer hold.Stop()
 	for {
-		a, hasUpdates, changed := f.answer(q)
+		a, hasUpdates, changed := f.respond(q)
 		if hasUpdates {
 			return a
 		}
@@ -119,7 +119,7 @@
 	return r, nil
 }
 
-func (f *Feed) answer(q Request) (Response, bool, chan struct{}) {
+func (f *Feed) respond(q Request) (Response, bool, chan struct{}) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	version := q.Version
--- a/internal/control/upstreams/upstreams.go
+++ b/internal/control/upstreams/upstreams.go
@@ -93,7 +93,7 @@
 	mu       sync.Mutex
 	clients  map[string]*rpc.Client
 	referral *referral.Referral
-	pace     *ratelimit.Limiter
+	limiter  *ratelimit.Limiter
 	// voterHandovers are the queues of announcements for other voters, by address.
 	voterHandovers map[string]*handover.Batcher
 }
@@ -101,7 +101,7 @@
 // New returns a Receiver that records announcements in a feed.
 func New(s Settings, f *feed.Feed, log hclog.Logger) *Receiver {
 	return &Receiver{
-		settings: s, feed: f, log: log, clients: map[string]*rpc.Client{}, referral: referral.New(s.Shape), pace: ratelimit.New(rejectedLogsPerSecond),
+		settings: s, feed: f, log: log, clients: map[string]*rpc.Client{}, referral: referral.New(s.Shape), limiter: ratelimit.New(rejectedLogsPerSecond),
 		voterHandovers: map[string]*handover.Batcher{},
 	}
 }
@@ -136,7 +136,7 @@
 // is limited, since a faulty announcer may send hundreds.
 func (u *Receiver) logRejected(now time.Time, a upstream.Upstream) {
 	u.mu.Lock()
-	suppressed, ok := u.pace.Allow(now)
+	suppressed, ok := u.limiter.Allow(now)
 	u.mu.Unlock()
 	if ok {
 		u.log.Warn("announcement forwarded by a balancer rejected", "Incarnation", fmt.Sprintf("%x", a.Incarnation),
--- a/internal/control/voter/voter_test.go
+++ b/internal/control/voter/voter_test.go
@@ -125,7 +125,7 @@
 	require.Equal(t, uint64(5), v.AppliedConfiguration().Revision)
 }
 
-// Guards against a slow start after a power loss of all machines. A voter that started with a
+// Guards against a slow start after a power loss of all VMs. A voter that started with a
 // log of 60 changes of 600 routes published a delta for each of them, and balancers had no
 // configuration for 0.8 s.
 func TestReplayPublishesOnlyFinalConfiguration(t *testing.T) {
@@ -148,7 +148,7 @@
 
 func evacuated(v *voter.Voter) []string { return v.Evacuations().EvacuatedZones() }
 
-// Guards against evacuated zones that get flows again after a power loss of all machines. The
+// Guards against evacuated zones that get flows again after a power loss of all VMs. The
 // voter restarts first from its log and later from a snapshot.
 func TestEvacuationSurvivesRestart(t *testing.T) {
 	disk := &lockedFolder{Folder: fault.New(1)}
--- a/internal/cookie/follower/fetcher.go
+++ b/internal/cookie/follower/fetcher.go
@@ -48,9 +48,9 @@
 	available map[string]uint64
 	attempts  map[string]int
 	wake      chan struct{}
-	// behindSince is when a revision newer than lastHeld became known, zero if there is none.
-	behindSince time.Time
-	lastHeld    uint64
+	// behindSince is when a revision newer than lastRevision became known, zero if there is none.
+	behindSince  time.Time
+	lastRevision uint64
 }
 
 func newFetcher(token string, l Listener, voters func() []string, log hclog.Logger) *fetcher {
@@ -80,7 +80,7 @@
 // unavailableRevision returns the newest announced revision if this balancer has made no progress
 // towards it for unavailableAfter, that is, if it is cut off from the sources that have it. It
 // returns 0 otherwise.
-func (f *fetcher) unavailableRevision(now time.Time, held uint64) uint64 {
+func (f *fetcher) unavailableRevision(now time.Time, current uint64) uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	newest := uint64(0)
@@ -88,11 +88,11 @@
 		newest = max(newest, revision)
 	}
 	switch {
-	case newest <= held:
+	case newest <= current:
 		f.behindSince = time.Time{}
 		return 0
-	case f.behindSince.IsZero() || held > f.lastHeld:
-		f.behindSince, f.lastHeld = now, held
+	case f.behindSince.IsZero() || current > f.lastRevision:
+		f.behindSince, f.lastRevision = now, current
 	}
 	if now.Sub(f.behindSince) < unavailableAfter {
 		return 0
@@ -100,14 +100,14 @@
 	return newest
 }
 
-// nextSource returns a source with a revision newer than held, and whether it was tried before. It
+// nextSource returns a source with a revision newer than current, and whether it was tried before. It
 // prefers the fewest attempts, then the newest revision.
-func (f *fetcher) nextSource(held uint64) (string, bool) {
+func (f *fetcher) nextSource(current uint64) (string, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	best := ""
 	for address, revision := range f.available {
-		if revision <= held {
+		if revision <= current {
 			continue
 		}
 		fewer := f.attempts[address] < f.attempts[best]
@@ -144,8 +144,8 @@
 func (f *fetcher) fetchAll(ctx context.Context) {
 	pause := fetchBackoff
 	for {
-		held := f.listener.Configuration().Revision
-		address, again := f.nextSource(held)
+		current := f.listener.Configuration().Revision
+		address, again := f.nextSource(current)
 		if address == "" {
 			return
 		}
@@ -162,7 +162,7 @@
 			f.log.Warn("failed to fetch configuration", "Address", address, "Error", err)
 			continue
 		}
-		if f.listener.Configuration().Revision == held {
+		if f.listener.Configuration().Revision == current {
 			// The source counts as tried; an immediate retry would loop and keep both sides busy.
 			f.fallBackToVoters(address)
 			continue
@@ -192,20 +192,20 @@
 	return balancerFetchTimeout
 }
 
-// fetch gets the newest configuration of a source, as the difference to the held one where
+// fetch gets the newest configuration of a source, as the difference to the current one where
 // possible.
 func (f *fetcher) fetch(ctx context.Context, address string) error {
 	ctx, cancel := context.WithTimeout(ctx, f.timeout(address))
 	defer cancel()
 	client := rpc.NewClient(address, f.token)
 	defer client.Close()
-	held := f.listener.Configuration()
-	c, err := requestConfiguration(ctx, client, held, held.Revision)
+	current := f.listener.Configuration()
+	c, err := requestConfiguration(ctx, client, current, current.Revision)
 	var gap *history.GapError
 	var digest *history.DigestError
 	if errors.As(err, &gap) || errors.As(err, &digest) {
 		f.log.Warn("cannot apply configuration update, fetching the full configuration", "Address", address, "Error", err)
-		c, err = requestConfiguration(ctx, client, held, 0)
+		c, err = requestConfiguration(ctx, client, current, 0)
 	}
 	if err != nil {
 		return err
@@ -214,10 +214,10 @@
 	return nil
 }
 
-func requestConfiguration(ctx context.Context, client *rpc.Client, held configuration.Configuration, revision uint64) (configuration.Configuration, error) {
+func requestConfiguration(ctx context.Context, client *rpc.Client, current configuration.Configuration, revision uint64) (configuration.Configuration, error) {
 	a, err := rpc.Call[uint64, history.Response](ctx, client, feed.ConfigurationMethod, revision)
 	if err != nil {
-		return held, err
+		return current, err
 	}
-	return history.Apply(held, a)
+	return history.Apply(current, a)
 }
--- a/internal/cookie/follower/follower.go
+++ b/internal/cookie/follower/follower.go
@@ -59,7 +59,7 @@
 	OnVoterState(now time.Time, x origins.Update)
 	// Evacuations returns the evacuation orders in force, and OnEvacuations receives those of the voter
 	// or balancer at an address. OnEvacuations is called before the rest of the same response is applied,
-	// so that no flow is placed by that answer without them.
+	// so that no flow is placed by that response without them.
 	Evacuations() evacuation.Evacuations
 	OnEvacuations(address string, e evacuation.Evacuations)
 }
@@ -112,8 +112,8 @@
 	// voter is false if the source is a balancer.
 	voter bool
 	stop  context.CancelFunc
-	// answers is whether the last poll was answered.
-	answers bool
+	// responsive is whether the last poll was answered.
+	responsive bool
 	// balancers is the number of balancers in all zones that the source knows.
 	balancers int
 	uplink    *uplink
@@ -270,7 +270,7 @@
 		return chosen
 	}
 	for a := range f.seeds {
-		if w := f.watches[a]; w == nil || !w.answers {
+		if w := f.watches[a]; w == nil || !w.responsive {
 			continue
 		}
 		if chosen == "" || hash(a+f.settings.From) < hash(chosen+f.settings.From) {
@@ -296,7 +296,7 @@
 
 // countAnsweringVoters returns how many voters answered their last poll.
 func (f *Follower) countAnsweringVoters() int {
-	return lo.CountBy(lo.Values(f.watches), func(w *watch) bool { return w.voter && w.answers })
+	return lo.CountBy(lo.Values(f.watches), func(w *watch) bool { return w.voter && w.responsive })
 }
 
 // knownVoters returns the addresses of all known voters.
@@ -347,7 +347,7 @@
 	}
 	var out []string
 	for a, w := range f.watches {
-		if w.voter && w.answers {
+		if w.voter && w.responsive {
 			out = append(out, a)
 		}
 	}
--- a/internal/cookie/follower/follower_test.go
+++ b/internal/cookie/follower/follower_test.go
@@ -83,11 +83,11 @@
 // listener records what it receives.
 type listener struct {
 	mu      sync.Mutex
-	held    configuration.Configuration
+	current configuration.Configuration
 	notices map[string]int
-	// informed is set on the first upstream, if notes is set.
-	informed, marksInformed bool
-	evacuations             evacuation.Evacuations
+	// hasUpstreams is set on the first upstream, if marksUpstreams is set.
+	hasUpstreams, marksUpstreams bool
+	evacuations                  evacuation.Evacuations
 }
 
 func (l *listener) Evacuations() evacuation.Evacuations {
@@ -105,26 +105,26 @@
 func (l *listener) Configuration() configuration.Configuration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.held
+	return l.current
 }
 
 func (l *listener) HasUpstreams() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.informed
+	return l.hasUpstreams
 }
 
 func (l *listener) OnConfiguration(_ string, c configuration.Configuration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.held = c
+	l.current = c
 }
 
 func (l *listener) OnVoterState(_ time.Time, x origins.Update) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.notices[x.Voter] += len(x.Notices)
-	l.informed = l.informed || l.marksInformed && len(x.Notices) > 0
+	l.hasUpstreams = l.hasUpstreams || l.marksUpstreams && len(x.Notices) > 0
 }
 
 func (l *listener) noticesFrom(address string) int {
@@ -139,7 +139,7 @@
 
 // startFollowerHolding starts a follower that already holds a revision of the configuration, none for 0.
 func startFollowerHolding(t *testing.T, revision uint64, addresses ...string) *listener {
-	l := &listener{notices: map[string]int{}, held: configuration.Configuration{Revision: revision}}
+	l := &listener{notices: map[string]int{}, current: configuration.Configuration{Revision: revision}}
 	f := follower.New(follower.Settings{Token: "group", From: "balancer", Clock: time.Now}, l, hclog.NewNullLogger())
 	ctx, cancel := context.WithCancel(context.Background())
 	f.Start(ctx, addresses)
@@ -243,7 +243,7 @@
 
 // startNonRoot starts a follower for a balancer below the roots of its zone.
 func startNonRoot(t *testing.T, clock func() time.Time, self string, voters []string) (*follower.Follower, *listener) {
-	l := &listener{notices: map[string]int{}, marksInformed: true}
+	l := &listener{notices: map[string]int{}, marksUpstreams: true}
 	f := follower.New(follower.Settings{
 		Token: "group", From: "balancer", Clock: clock, Self: member.Member{Zone: "a", Address: self}, Shape: nonRootShape, StaleAfter: time.Second,
 	}, l, hclog.NewNullLogger())
--- a/internal/cookie/follower/handover.go
+++ b/internal/cookie/follower/handover.go
@@ -60,7 +60,7 @@
 	var out []owner.Voter
 	for a := range f.voterSeen {
 		w, asked := f.watches[a]
-		if asked && w.answers || !asked && f.origins.State(now, a).Age <= ContactLease {
+		if asked && w.responsive || !asked && f.origins.State(now, a).Age <= ContactLease {
 			out = append(out, owner.Voter{Address: a, Zone: f.origins.Zone(a)})
 		}
 	}
--- a/internal/cookie/follower/handover_test.go
+++ b/internal/cookie/follower/handover_test.go
@@ -28,7 +28,7 @@
 	recordState("fails", 0)
 	recordState("heard", time.Second)
 	recordState("gone", 2*ContactLease)
-	f.watches["asked"] = &watch{voter: true, answers: true}
+	f.watches["asked"] = &watch{voter: true, responsive: true}
 	f.watches["fails"] = &watch{voter: true}
 	require.ElementsMatch(t, []owner.Voter{{Address: "asked", Zone: "a"}, {Address: "heard", Zone: "a"}}, f.Voters())
 }
--- a/internal/cookie/follower/serving.go
+++ b/internal/cookie/follower/serving.go
@@ -27,8 +27,8 @@
 
 // UnavailableRevision returns the newest announced revision that this balancer has failed to get for some time,
 // 0 if there is none.
-func (f *Follower) UnavailableRevision(now time.Time, held uint64) uint64 {
-	return f.fetcher.unavailableRevision(now, held)
+func (f *Follower) UnavailableRevision(now time.Time, current uint64) uint64 {
+	return f.fetcher.unavailableRevision(now, current)
 }
 
 // RecordFollowers records the balancers that follow this one.
--- a/internal/cookie/follower/voters.go
+++ b/internal/cookie/follower/voters.go
@@ -31,7 +31,7 @@
 		if err == nil && f.waitForBootstrap(ctx, address) {
 			err = f.pollVoterOnce(ctx, client, address)
 		}
-		f.recordAnswer(address, w, err == nil && ctx.Err() == nil)
+		f.recordResponse(address, w, err == nil && ctx.Err() == nil)
 		if err == nil {
 			if failing {
 				f.log.Info("voter answers again", "Address", address)
@@ -76,14 +76,14 @@
 	return f.selection == nil || f.bootstrap.Allow(f.settings.Clock(), address)
 }
 
-// recordAnswer records whether a voter answered its last poll.
-func (f *Follower) recordAnswer(address string, w *watch, answered bool) {
+// recordResponse records whether a voter answered its last poll.
+func (f *Follower) recordResponse(address string, w *watch, responded bool) {
 	complete := f.listener.HasUpstreams() && f.listener.Configuration().Revision > 0
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	w.answers = answered
+	w.responsive = responded
 	switch {
-	case !answered:
+	case !responded:
 		f.bootstrap.RecordFailure(address)
 	case f.bootstrap.RecordResponse(address, complete):
 		// The startup phase ends here, and other voters may no longer be needed.
@@ -114,14 +114,14 @@
 }
 
 // voterRequest returns the next poll for a voter.
-func (f *Follower) voterRequest(address string, held configuration.Configuration) feed.Request {
-	informed, evacuations := f.listener.HasUpstreams(), f.listener.Evacuations().Revision
+func (f *Follower) voterRequest(address string, current configuration.Configuration) feed.Request {
+	hasUpstreams, evacuations := f.listener.HasUpstreams(), f.listener.Evacuations().Revision
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	known := f.origins.State(f.settings.Clock(), address)
 	q := feed.Request{
-		Hold: voterHold, Recalled: !informed, From: f.settings.From, Encoded: true,
-		Unconfigured: held.Revision == 0 && len(f.reportTargets()) == 0,
+		Hold: voterHold, Recalled: !hasUpstreams, From: f.settings.From, Encoded: true,
+		Unconfigured: current.Revision == 0 && len(f.reportTargets()) == 0,
 		Life:         known.Life, Version: known.Version, Doubts: known.Doubts, Revision: f.fetcher.revision(address),
 		Evacuations: evacuations,
 	}
@@ -137,8 +137,8 @@
 }
 
 func (f *Follower) pollVoterOnce(ctx context.Context, client *rpc.Client, address string) error {
-	held := f.listener.Configuration()
-	q := f.voterRequest(address, held)
+	current := f.listener.Configuration()
+	q := f.voterRequest(address, current)
 	call, cancel := context.WithTimeout(ctx, voterHold+voterGrace)
 	defer cancel()
 	a, err := rpc.Call[feed.Request, feed.Response](call, client, feed.SinceMethod, q)
@@ -152,7 +152,7 @@
 		f.listener.OnEvacuations(address, *a.Evacuations)
 	}
 	if len(a.Configuration) > 0 {
-		f.applyInlineConfiguration(address, held, a.Configuration)
+		f.applyInlineConfiguration(address, current, a.Configuration)
 	}
 	f.applyOrigin(f.settings.Clock(), origins.Update{
 		Known:   origins.Known{Voter: address, Life: a.Life, Version: a.Version, Doubts: a.DoubtsVersion},
@@ -201,15 +201,15 @@
 }
 
 // applyInlineConfiguration applies a configuration that came with a voter's response.
-func (f *Follower) applyInlineConfiguration(address string, held configuration.Configuration, encoded cbor.RawMessage) {
+func (f *Follower) applyInlineConfiguration(address string, current configuration.Configuration, encoded cbor.RawMessage) {
 	var a history.Response
 	err := cbor.Unmarshal(encoded, &a)
 	if err == nil {
-		held, err = history.Apply(held, a)
+		current, err = history.Apply(current, a)
 	}
 	if err != nil {
 		f.log.Warn("failed to decode configuration in voter answer", "Address", address, "Error", err)
 		return
 	}
-	f.listener.OnConfiguration(address, held)
+	f.listener.OnConfiguration(address, current)
 }
--- a/internal/daemon/cookie/cookie.go
+++ b/internal/daemon/cookie/cookie.go
@@ -119,8 +119,8 @@
 	// awaitingCapacity buffers packets that wait for capacity at their upstream.
 	awaitingCapacity *pending.Buffer[packetKey, bufferedPacket]
 	// uploads is nil if pacing is disabled.
-	uploads *uploads
-	held    configuration.Configuration
+	uploads       *uploads
+	configuration configuration.Configuration
 	// evacuations are the evacuation commands in force for availability zones.
 	evacuations evacuation.Evacuations
 	// refreshDue is set if a new configuration may allow placing buffered packets.
@@ -196,7 +196,7 @@
 func (b *Balancer) Configuration() configuration.Configuration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.held
+	return b.configuration
 }
 
 // HasUpstreams reports whether any upstreams are known.
@@ -210,14 +210,14 @@
 func (b *Balancer) OnConfiguration(address string, c configuration.Configuration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if c.Revision <= b.held.Revision {
+	if c.Revision <= b.configuration.Revision {
 		return
 	}
 	if err := b.router.Configure(c); err != nil {
 		b.log.Error("configuration refused", "Error", err)
 		return
 	}
-	b.held = c
+	b.configuration = c
 	b.publishConfiguration(c)
 	b.log.Info("configuration in force", "Revision", c.Revision, "From", address, "Routes", len(c.Routes))
 	b.refreshDue = true
@@ -249,9 +249,9 @@
 	}
 	b.refreshDue = false
 	b.router.Update(now, changes)
-	ready := b.held.Revision > 0 && b.router.Upstreams() > 0
+	ready := b.configuration.Revision > 0 && b.router.Upstreams() > 0
 	if ready != b.ready.Swap(ready) {
-		b.log.Info("readiness", "Ready", ready, "Revision", b.held.Revision, "Upstreams", b.router.Upstreams())
+		b.log.Info("readiness", "Ready", ready, "Revision", b.configuration.Revision, "Upstreams", b.router.Upstreams())
 	}
 	// Placed after the readiness update: a client that sees a placed packet must also see
 	// the balancer ready.
--- a/internal/daemon/cookie/fanout.go
+++ b/internal/daemon/cookie/fanout.go
@@ -156,7 +156,7 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	a.Revision = max(b.held.Revision, b.follower.UnavailableRevision(now, b.held.Revision))
+	a.Revision = max(b.configuration.Revision, b.follower.UnavailableRevision(now, b.configuration.Revision))
 	if b.evacuations.Revision > q.Evacuations {
 		e := b.evacuations
 		a.Evacuations, changed = &e, true
--- a/internal/disk/wal/wal.go
+++ b/internal/disk/wal/wal.go
@@ -79,11 +79,11 @@
 	if err != nil {
 		return nil, state, &FailedError{Operation: "open log", Cause: err}
 	}
-	w := &Log{folder: f, file: file, size: size}
-	if err := w.syncAll(); err != nil {
+	l := &Log{folder: f, file: file, size: size}
+	if err := l.syncAll(); err != nil {
 		return nil, state, err
 	}
-	return w, state, nil
+	return l, state, nil
 }
 
 // Close closes the log file.
--- a/internal/fanout/bootstrap/bootstrap.go
+++ b/internal/fanout/bootstrap/bootstrap.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// answerTimeout is how long the polled voter may take before another one is polled as well. It is
+// responseTimeout is how long the polled voter may take before another one is polled as well. It is
 // several times what a voter on a quarter of a core takes while 200 balancers start.
-const answerTimeout = 150 * time.Millisecond
+const responseTimeout = 150 * time.Millisecond
 
 // Sequencer decides which voter is polled during startup. The zero value is ready for use.
 type Sequencer struct {
@@ -22,7 +22,7 @@
 	if t.done || t.incomplete[voter] {
 		return true
 	}
-	if t.current != "" && t.current != voter && now.Sub(t.since) < answerTimeout {
+	if t.current != "" && t.current != voter && now.Sub(t.since) < responseTimeout {
 		return false
 	}
 	t.current, t.since = voter, now
--- a/internal/fanout/chunk/doc.go
+++ b/internal/fanout/chunk/doc.go
@@ -1,4 +1,4 @@
-// Package portion limits how much voter state goes into one response to a follower.
+// Package chunk limits how much voter state goes into one response to a follower.
 //
 // A follower that has just started lacks all upstreams of the fleet. A response with all of them
 // would exceed its timeout, and the follower would request the same again.
--- a/internal/fanout/selection/fleet_test.go
+++ b/internal/fanout/selection/fleet_test.go
@@ -75,9 +75,9 @@
 }
 
 type modelWatch struct {
-	target  *process
-	answers bool
-	stopped bool
+	target     *process
+	responsive bool
+	stopped    bool
 }
 
 // model simulates a fleet in virtual time.
@@ -234,7 +234,7 @@
 func (m *model) reconcile(p *process) {
 	answering := 0
 	for _, w := range p.watches {
-		if w.target.voter && w.answers {
+		if w.target.voter && w.responsive {
 			answering++
 		}
 	}
@@ -370,7 +370,7 @@
 
 // answered applies a response and polls again.
 func (m *model) answered(p *process, w *modelWatch, all []origins.Update, l membership.List, roundTrip time.Duration) {
-	w.answers = true
+	w.responsive = true
 	updated, fresh := false, 0
 	for _, x := range all {
 		x.Age += roundTrip
@@ -405,7 +405,7 @@
 }
 
 func (m *model) failed(p *process, w *modelWatch) {
-	w.answers = false
+	w.responsive = false
 	if w.target.voter {
 		m.AfterFunc(voterRetryPause, m.whileAlive(p, func() {
 			if !w.stopped {
@@ -457,7 +457,7 @@
 		up = append(up, m.processes[parent])
 	} else {
 		for _, w := range p.watches {
-			if w.target.voter && w.answers {
+			if w.target.voter && w.responsive {
 				up = append(up, w.target)
 			}
 		}
--- a/internal/log/asyncwriter/asyncwriter.go
+++ b/internal/log/asyncwriter/asyncwriter.go
@@ -25,9 +25,9 @@
 
 // New returns a Writer and starts its writer goroutine, which Close stops.
 func New(destination io.Writer) *Writer {
-	o := &Writer{destination: destination, wake: make(chan struct{}, 1), done: make(chan struct{})}
-	go o.run()
-	return o
+	w := &Writer{destination: destination, wake: make(chan struct{}, 1), done: make(chan struct{})}
+	go w.run()
+	return w
 }
 
 // Write queues or drops one line; it never fails and never blocks on the destination.
--- a/internal/log/story/story.go
+++ b/internal/log/story/story.go
@@ -29,17 +29,17 @@
 }
 
 // EmptyError reports that no line matches the query.
-type EmptyError struct{ Question Query }
+type EmptyError struct{ Query Query }
 
 func (e *EmptyError) Error() string {
 	return fmt.Sprintf("no line matches %+v; the lines may be in the log of another process, "+
-		"or among those that the lines 'decisions' only count", e.Question)
+		"or among those that the lines 'decisions' only count", e.Query)
 }
 
 // Timeline holds the log lines of some processes, ordered by time.
 type Timeline struct{ lines []line }
 
-// Read returns the story with the lines of another log added.
+// Read returns the timeline with the lines of another log added.
 func (t Timeline) Read(name string, r io.Reader) (Timeline, error) {
 	more, err := readLines(name, r)
 	if err != nil {
@@ -54,23 +54,23 @@
 func (t Timeline) Write(w io.Writer, q Query) error {
 	matched := lo.Filter(t.lines, func(l line, _ int) bool { return q.matches(l) })
 	if len(matched) == 0 {
-		return &EmptyError{Question: q}
+		return &EmptyError{Query: q}
 	}
 	shown := t.selectLines(matched, q)
 	for i, l := range shown {
 		if i == maxLines {
 			if _, err := fmt.Fprintf(w, "… and %d more lines\n", len(shown)-i); err != nil {
-				return fmt.Errorf("write story: %w", err)
+				return fmt.Errorf("write timeline: %w", err)
 			}
 			break
 		}
 		if _, err := fmt.Fprintln(w, l); err != nil {
-			return fmt.Errorf("write story: %w", err)
+			return fmt.Errorf("write timeline: %w", err)
 		}
 	}
 	for _, c := range summarize(shown, matched, q) {
 		if _, err := fmt.Fprintln(w, "=> "+c); err != nil {
-			return fmt.Errorf("write story: %w", err)
+			return fmt.Errorf("write timeline: %w", err)
 		}
 	}
 	return nil
--- a/internal/member/repairstatus/repairstatus.go
+++ b/internal/member/repairstatus/repairstatus.go
@@ -16,7 +16,7 @@
 	reported  map[string]time.Time
 }
 
-// New returns a Tracker that reports the result of own; a report expires after keep.
+// New returns a Tracker that reports the result of repairing; reports expire after expiry.
 func New(repairing func() bool, expiry time.Duration) *Tracker {
 	return &Tracker{repairing: repairing, expiry: expiry, reported: map[string]time.Time{}}
 }
--- a/internal/request/dispatch/target.go
+++ b/internal/request/dispatch/target.go
@@ -24,11 +24,11 @@
 	if len(free) == 0 {
 		return nil
 	}
-	home := slices.DeleteFunc(slices.Clone(free), func(t *target) bool {
+	assigned := slices.DeleteFunc(slices.Clone(free), func(t *target) bool {
 		return t.outstanding >= t.AssignedSlots || now.Before(t.shedUntil)
 	})
-	if len(home) > 0 {
-		return home[d.random.IntN(len(home))]
+	if len(assigned) > 0 {
+		return assigned[d.random.IntN(len(assigned))]
 	}
 	if now.Sub(r.Since) < time.Duration(borrowAfter*float64(d.meanServiceTime)) {
 		return nil
--- a/internal/request/slotassignment/slotassignment.go
+++ b/internal/request/slotassignment/slotassignment.go
@@ -26,15 +26,15 @@
 // Assign assigns the slots evenly by rendezvous hashing: each goes to its highest-ranked
 // balancer that has fewer than the even share, rounded up.
 func Assign(upstreams []Upstream, balancers []string) Assignment {
-	h := Assignment{assigned: map[string]map[string]int{}}
+	a := Assignment{assigned: map[string]map[string]int{}}
 	seeds := make([]uint64, len(balancers))
 	for i, b := range balancers {
 		seeds[i] = xxhash.Sum64String(b)
-		h.assigned[b] = map[string]int{}
+		a.assigned[b] = map[string]int{}
 	}
 	slots := sortedSlots(upstreams)
 	if len(balancers) == 0 || len(slots) == 0 {
-		return h
+		return a
 	}
 	share := (len(slots) + len(balancers) - 1) / len(balancers)
 	counts := make([]int, len(balancers))
@@ -46,9 +46,9 @@
 			}
 		}
 		counts[best]++
-		h.assigned[balancers[best]][s.upstream]++
+		a.assigned[balancers[best]][s.upstream]++
 	}
-	return h
+	return a
 }
 
 func sortedSlots(upstreams []Upstream) []slot {
--- a/internal/upstream/directory/directory_test.go
+++ b/internal/upstream/directory/directory_test.go
@@ -184,7 +184,7 @@
 	require.True(t, newer)
 	require.False(t, d.Since(epoch, 0)[0].Recalled)
 	d.Restore(epoch.Add(time.Second), announced(1, 7, upstream.Ready), 0)
-	require.False(t, d.Since(epoch, 0)[0].Recalled, "an announced upstream is not recalled")
+	require.False(t, d.Since(epoch, 0)[0].Recalled, "an announced upstream is not restored")
 }
 
 // startedAt returns an announcement with the time of the start.
--- a/internal/upstream/view/view_test.go
+++ b/internal/upstream/view/view_test.go
@@ -368,7 +368,7 @@
 	restored := numbered(3, 1)
 	restored.Recalled = true
 	apply(v, after(1), 2, 2, restored)
-	require.Equal(t, []uint64{2}, incarnations(v.Since(after(1), "v1", 2, 0)), "recalled notices are not relayed")
+	require.Equal(t, []uint64{2}, incarnations(v.Since(after(1), "v1", 2, 0)), "restored notices are not relayed")
 }
 
 func TestRelayedNoticesAge(t *testing.T) {
