--- a/internal/request/dispatch/experiment_test.go
+++ b/internal/request/dispatch/experiment_test.go
@@ -391,8 +391,9 @@
 	}
 }
 
-// Guards against low goodput after a pool recovers. For 20 s only 30 % of the upstreams
-// serve; queues fill with expired requests and retries keep the upstreams busy.
+// Guards against low goodput after a pool recovers. For 20 s, 70 % of the upstreams are gone
+// and 30 % serve; queues fill with expired requests, and retries keep the upstreams
+// busy beyond the 20 s.
 func TestGoodputRecoversWithinFiveSeconds(t *testing.T) {
 	w := newWorld(15, newScheduler)
 	part := func(removed bool) func() {
