--- a/internal/control/feed/feed.go
+++ b/internal/control/feed/feed.go
@@ -17,7 +17,7 @@
 	"wasabideal/internal/model/upstream"
 	"wasabideal/internal/silence/accrual"
 	"wasabideal/internal/silence/confirmation"
-	"wasabideal/internal/silence/word"
+	"wasabideal/internal/silence/evidence"
 	"wasabideal/internal/upstream/directory"
 	"wasabideal/internal/upstream/handover"
 	"wasabideal/internal/wire/rpc"
@@ -31,15 +31,15 @@
 	ConfigurationMethod = "Feed.Configuration"
 )
 
-// minWakeInterval is the least time between two answers with changes of upstreams. While
-// thousands of upstreams are replaced in turn, one answer per change and balancer would take
+// minWakeInterval is the least time between two responses with changes of upstreams. While
+// thousands of upstreams are replaced in turn, one response per change and balancer would take
 // most of a voter's CPU time; a delay of 100 ms does not affect callers.
 const minWakeInterval = 100 * time.Millisecond
 
-// maxAnswersPerSecond bounds the answers with changes of upstreams; with more balancers, changes
-// are batched for longer. At 200, the answers to the 20 balancers that poll a voter in a fleet of
+// maxResponsesPerSecond bounds the responses with changes of upstreams; with more balancers, changes
+// are batched for longer. At 200, the responses to the 20 balancers that poll a voter in a fleet of
 // 300 took a quarter of its CPU time while upstreams changed.
-const maxAnswersPerSecond = 100
+const maxResponsesPerSecond = 100
 
 // maxInlineConfiguration is the encoded size in bytes, that of about 600 routes, up to which a
 // configuration is sent with other updates. By calculation, compression halves it and it takes
@@ -51,8 +51,8 @@
 // whole configuration is shorter.
 const maxDeltas = 64
 
-// Question is a long-poll request of a balancer.
-type Question struct {
+// Request is a long-poll request of a balancer.
+type Request struct {
 	// Revision is the newest configuration revision known to the balancer.
 	Revision uint64
 	// Life and Version identify the state of the voter's directory that the balancer
@@ -62,11 +62,11 @@
 	// since it restarted. A starting balancer needs them from one voter only; from each,
 	// they would saturate the links of a fleet of hundreds.
 	Recalled bool
-	// Hold is how long the answer may wait for updates.
+	// Hold is how long the response may wait for updates.
 	Hold time.Duration
-	// Encoded allows Answer.Encoded in place of Answer.Notices.
+	// Encoded allows Response.Encoded in place of Response.Notices.
 	Encoded bool
-	// Unconfigured requests the configuration in the same answer. A starting balancer cannot
+	// Unconfigured requests the configuration in the same response. A starting balancer cannot
 	// place flows without it, and a second call takes 40 ms where many start at once.
 	Unconfigured bool
 	// From is the name of the polling balancer, empty for voters.
@@ -84,8 +84,8 @@
 	Evacuations uint64
 }
 
-// Answer holds the updates after the state given in a Question.
-type Answer struct {
+// Response holds the updates after the state given in a Request.
+type Response struct {
 	// Revision is the revision of the newest configuration.
 	Revision uint64
 	// Life changes when the voter restarts.
@@ -96,13 +96,13 @@
 	Encoded cbor.RawMessage `cbor:",omitempty"`
 	// Elsewhere holds the encoded notices of other voters, for a starting balancer.
 	Elsewhere cbor.RawMessage `cbor:",omitempty"`
-	// Configuration is an encoded history.Answer for a balancer without a configuration.
+	// Configuration is an encoded history.Response for a balancer without a configuration.
 	Configuration cbor.RawMessage `cbor:",omitempty"`
 	// Members are the RPC addresses of all known voters.
 	Members []string
 	// Doubts lists all upstreams that leave packets unanswered. It is set only if the
 	// request carries another Life or DoubtsVersion. DoubtsVersion rises with each change.
-	Doubts        []word.Doubt
+	Doubts        []evidence.Suspicion
 	DoubtsVersion uint64
 	// Zone is the voter's availability zone.
 	Zone string
@@ -134,20 +134,20 @@
 	pending  bool
 	// silence accrues evidence of unresponsive upstreams; evaluationScheduled is set while a
 	// timer for its next evaluation runs.
-	silence             *accrual.Accrual
+	silence             *accrual.Detector
 	evaluationScheduled bool
 	// confirmation holds the results of probes of those upstreams' hosts.
-	confirmation *confirmation.Confirmation
+	confirmation *confirmation.Confirmer
 	prober       Prober
-	// doubtsPacing limits the rate of answers with doubts.
-	doubtsPacing pacing.Pacing
+	// suspicionsPacer limits the rate of responses with suspicions.
+	suspicionsPacer pacing.Pacer
 	// lastPoll holds the last poll of each active balancer, by name.
 	lastPoll        map[string]lastPoll
 	remoteUpstreams remoteUpstreams
 	// zone is the voter's own; fleet holds the balancers that poll it and their followers.
 	zone  string
 	fleet *members.Members
-	// notices and configuration cache answers that many starting balancers request.
+	// notices and configuration cache responses that many starting balancers request.
 	notices       encoded[noticesKey]
 	configuration encoded[configurationKey]
 }
@@ -161,7 +161,7 @@
 // noticesKey identifies an encoding of all notices.
 type noticesKey struct {
 	version  uint64
-	recalled bool
+	restored bool
 }
 
 // configurationKey identifies an encoding of the changes between two revisions.
@@ -177,7 +177,7 @@
 
 // Serve registers the feed's RPC methods on a server.
 func (f *Feed) Serve(r *rpc.Server, token string) {
-	rpc.Handle(r, SinceMethod, token, func(ctx context.Context, q Question) (Answer, error) { return f.Since(ctx, q), nil })
+	rpc.Handle(r, SinceMethod, token, func(ctx context.Context, q Request) (Response, error) { return f.Since(ctx, q), nil })
 	rpc.Handle(r, ConfigurationMethod, token, func(_ context.Context, revision uint64) (cbor.RawMessage, error) {
 		return f.encodedConfiguration(revision)
 	})
@@ -213,8 +213,8 @@
 	return f.services == nil || f.services[service]
 }
 
-// SetMembers sets the RPC addresses of all known voters.
-func (f *Feed) SetMembers(addresses []string) {
+// SetVoters sets the RPC addresses of all known voters.
+func (f *Feed) SetVoters(addresses []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.members = addresses
@@ -222,12 +222,12 @@
 
 // Announce records an upstream's announcement. It reports whether that changes the directory and
 // whether it clears a suspicion.
-func (f *Feed) Announce(now time.Time, u upstream.Upstream, cold time.Duration) (hasUpdates, clearsDoubt bool) {
-	return f.HandedOver(now, handover.Announcement{Upstream: u, Cold: cold})
+func (f *Feed) Announce(now time.Time, u upstream.Upstream, cold time.Duration) (hasUpdates, clearsSuspicion bool) {
+	return f.AnnounceRelayed(now, handover.Announcement{Upstream: u, Cold: cold})
 }
 
-// HandedOver records an announcement that a balancer received some time ago.
-func (f *Feed) HandedOver(now time.Time, a handover.Announcement) (hasUpdates, clearsDoubt bool) {
+// AnnounceRelayed records an announcement that a balancer received some time ago.
+func (f *Feed) AnnounceRelayed(now time.Time, a handover.Announcement) (hasUpdates, clearsSuspicion bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	hasUpdates, newer := f.directory.Announce(now.Add(-a.Age), a.Upstream, a.Cold)
@@ -235,20 +235,20 @@
 		f.pending = true
 		f.wakeIfDue(now)
 	}
-	return hasUpdates, newer && a.Upstream.State != upstream.Withdrawn && f.clearDoubt(now, a)
+	return hasUpdates, newer && a.Upstream.State != upstream.Withdrawn && f.clearSuspicion(now, a)
 }
 
-// Recall restores an upstream from the state of another voter after a restart of this one.
-func (f *Feed) Recall(now time.Time, u upstream.Upstream, cold time.Duration) {
+// Restore restores an upstream from the state of another voter after a restart of this one.
+func (f *Feed) Restore(now time.Time, u upstream.Upstream, cold time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.directory.Recall(now, u, cold)
+	f.directory.Restore(now, u, cold)
 }
 
 // wakeIfDue completes polls for pending changes of upstreams if the interval since the last time
 // has passed; otherwise a later Tick does.
 func (f *Feed) wakeIfDue(now time.Time) {
-	if f.pending && now.Sub(f.lastWake) >= max(minWakeInterval, time.Duration(len(f.lastPoll))*time.Second/maxAnswersPerSecond) {
+	if f.pending && now.Sub(f.lastWake) >= max(minWakeInterval, time.Duration(len(f.lastPoll))*time.Second/maxResponsesPerSecond) {
 		f.lastWake, f.pending = now, false
 		f.wake()
 	}
--- a/internal/control/keeper/doc.go
+++ /dev/null
@@ -1,3 +0,0 @@
-// Package keeper decides, at the leading voter, which balancers store idempotency
-// keys.
-package keeper
--- a/internal/control/voter/evacuate.go
+++ b/internal/control/voter/evacuate.go
@@ -19,7 +19,7 @@
 type AbandonedError struct{ Zone string }
 
 func (e *AbandonedError) Error() string {
-	return "the caller disconnected before its evacuation order was proposed for availability zone " + e.Zone + "; nothing was changed"
+	return "the caller did not wait for its order on availability zone " + e.Zone + "; nothing was changed"
 }
 
 // Evacuate commits an evacuation order for an availability zone, on this voter or through the
@@ -27,7 +27,7 @@
 // revision that this voter holds; if that is out of date, the verdict is Conflict and the caller
 // may retry.
 func (v *Voter) Evacuate(ctx context.Context, zone string, on bool, who string) (ledger.Answer, error) {
-	held := v.Evacuations().Of(zone)
+	held := v.Evacuations().Lookup(zone)
 	select {
 	case <-ctx.Done():
 		return ledger.Answer{}, &AbandonedError{Zone: zone}
--- a/internal/cookie/follower/follower.go
+++ b/internal/cookie/follower/follower.go
@@ -12,17 +12,17 @@
 	"github.com/hashicorp/go-hclog"
 	"github.com/samber/lo"
 
-	"wasabideal/internal/fanout/census"
+	"wasabideal/internal/fanout/bootstrap"
 	"wasabideal/internal/fanout/member"
 	"wasabideal/internal/fanout/members"
+	"wasabideal/internal/fanout/membership"
 	"wasabideal/internal/fanout/origins"
 	"wasabideal/internal/fanout/selection"
 	"wasabideal/internal/fanout/tree"
-	"wasabideal/internal/fanout/turn"
 	"wasabideal/internal/model/configuration"
 	"wasabideal/internal/model/evacuation"
-	"wasabideal/internal/silence/witness"
-	"wasabideal/internal/silence/word"
+	"wasabideal/internal/silence/evaluators"
+	"wasabideal/internal/silence/evidence"
 	"wasabideal/internal/wire/pool"
 )
 
@@ -43,25 +43,25 @@
 )
 
 // ContactLease is how long a voter's report of which upstreams are alive remains valid: the time of
-// two polls without an answer.
+// two polls without a response.
 const ContactLease = 2 * (voterHold + voterGrace)
 
-// Listener receives the answers of the sources. Its methods are called one at a time, except those
+// Listener receives the responses of the sources. Its methods are called one at a time, except those
 // for configurations, which several goroutines call.
 type Listener interface {
-	// Held returns the configuration in force.
-	Held() configuration.Configuration
-	// Informed reports whether any upstreams are known.
-	Informed() bool
-	// Offered receives a configuration from the voter or balancer at an address.
-	Offered(address string, c configuration.Configuration)
-	// Answered receives the state that a voter sent.
-	Answered(now time.Time, x origins.Origin)
-	// Evacuations returns the evacuation orders in force, and Evacuated receives those of the voter
-	// or balancer at an address. Evacuated is called before the rest of the same answer is applied,
-	// so that no flow is placed by that answer without them.
+	// Configuration returns the configuration in force.
+	Configuration() configuration.Configuration
+	// HasUpstreams reports whether any upstreams are known.
+	HasUpstreams() bool
+	// OnConfiguration receives a configuration from the voter or balancer at an address.
+	OnConfiguration(address string, c configuration.Configuration)
+	// OnVoterState receives the state that a voter sent.
+	OnVoterState(now time.Time, x origins.Update)
+	// Evacuations returns the evacuation orders in force, and OnEvacuations receives those of the voter
+	// or balancer at an address. OnEvacuations is called before the rest of the same response is applied,
+	// so that no flow is placed by that response without them.
 	Evacuations() evacuation.Evacuations
-	Evacuated(address string, e evacuation.Evacuations)
+	OnEvacuations(address string, e evacuation.Evacuations)
 }
 
 // Settings configures a follower.
@@ -84,7 +84,7 @@
 	settings Settings
 	log      hclog.Logger
 	listener Listener
-	// applying serializes the answers of several sources.
+	// applying serializes the responses of several sources.
 	applying sync.Mutex
 	mu       sync.Mutex
 	ctx      context.Context
@@ -96,10 +96,10 @@
 	seeds     map[string]bool
 	origins   *origins.Origins
 	// bootstrap decides which voter is polled first after the start.
-	bootstrap turn.Sequencer
+	bootstrap bootstrap.Sequencer
 	// selection is nil if only voters are followed.
-	selection *selection.Selection
-	census    *census.Census
+	selection  *selection.Selection
+	membership *membership.Membership
 	// followers are the direct and indirect followers of this balancer.
 	followers *members.Members
 	fetcher   *fetcher
@@ -112,8 +112,8 @@
 	// voter is false if the source is a balancer.
 	voter bool
 	stop  context.CancelFunc
-	// answers is whether the last poll was answered.
-	answers bool
+	// responsive is whether the last poll was answered.
+	responsive bool
 	// balancers is the number of balancers in all zones that the source knows.
 	balancers int
 	uplink    *uplink
@@ -123,7 +123,7 @@
 func New(s Settings, l Listener, log hclog.Logger) *Follower {
 	f := &Follower{
 		settings: s, log: log, listener: l, watches: map[string]*watch{}, voterSeen: map[string]time.Time{},
-		origins: origins.New(), census: census.New(), followers: members.New(), pool: pool.New(s.Token),
+		origins: origins.New(), membership: membership.New(), followers: members.New(), pool: pool.New(s.Token),
 	}
 	f.fetcher = newFetcher(s.Token, l, f.knownVoters, log)
 	if s.Self.Address != "" {
@@ -146,7 +146,7 @@
 		defer f.running.Done()
 		f.runReconciler()
 	}()
-	f.Name(voters)
+	f.SetSources(voters)
 }
 
 // Wait blocks until all goroutines have ended.
@@ -155,8 +155,8 @@
 	f.pool.Close()
 }
 
-// Name sets the voter addresses from the settings (the seeds).
-func (f *Follower) Name(voters []string) {
+// SetSources sets the voter addresses from the settings (the seeds).
+func (f *Follower) SetSources(voters []string) {
 	f.mu.Lock()
 	f.seeds = lo.SliceToMap(voters, func(a string) (string, bool) { return a, true })
 	f.mu.Unlock()
@@ -186,8 +186,8 @@
 		f.mu.Lock()
 		now := f.settings.Clock()
 		f.followers.Tick(now)
-		if f.census.Tick(now) {
-			f.selection.UpdateZone(now, f.census.Addresses())
+		if f.membership.Tick(now) {
+			f.selection.UpdateZone(now, f.membership.Addresses())
 		}
 		f.reconcile(now)
 		f.mu.Unlock()
@@ -211,7 +211,7 @@
 		if !wanted[a] {
 			w.stop()
 			delete(f.watches, a)
-			f.census.Drop(now, a)
+			f.membership.RemoveSource(now, a)
 		}
 	}
 	for a := range wanted {
@@ -270,7 +270,7 @@
 		return chosen
 	}
 	for a := range f.seeds {
-		if w := f.watches[a]; w == nil || !w.answers {
+		if w := f.watches[a]; w == nil || !w.responsive {
 			continue
 		}
 		if chosen == "" || hash(a+f.settings.From) < hash(chosen+f.settings.From) {
@@ -289,14 +289,14 @@
 	f.selection.EvaluateProbe(now)
 	if c, changed := f.selection.TakeChange(); changed {
 		f.log.Info("follows", "Parent", c.Parent, "Reason", string(c.Reason), "Level", f.selection.Level(),
-			"Balancers", len(f.census.Members()), "FreshVoters", f.origins.Fresh(now, f.settings.StaleAfter))
+			"Balancers", len(f.membership.Members()), "FreshVoters", f.origins.CountFresh(now, f.settings.StaleAfter))
 	}
 	return f.selection.Decide(now)
 }
 
 // countAnsweringVoters returns how many voters answered their last poll.
 func (f *Follower) countAnsweringVoters() int {
-	return lo.CountBy(lo.Values(f.watches), func(w *watch) bool { return w.voter && w.answers })
+	return lo.CountBy(lo.Values(f.watches), func(w *watch) bool { return w.voter && w.responsive })
 }
 
 // knownVoters returns the addresses of all known voters.
@@ -320,7 +320,7 @@
 	w := &watch{voter: voter, stop: cancel}
 	w.uplink = &uplink{
 		token: f.settings.Token, to: address, clock: f.settings.Clock, log: f.log, wake: make(chan struct{}, 1),
-		followerReport: func() []members.Attendance { return f.followerReport(address) },
+		followerReport: func() []members.Heartbeat { return f.followerReport(address) },
 	}
 	f.watches[address] = w
 	f.running.Add(2)
@@ -347,7 +347,7 @@
 	}
 	var out []string
 	for a, w := range f.watches {
-		if w.voter && w.answers {
+		if w.voter && w.responsive {
 			out = append(out, a)
 		}
 	}
@@ -355,17 +355,17 @@
 }
 
 // Report reports upstreams that stopped or resumed answering.
-func (f *Follower) Report(events []word.Event) {
-	f.Pass(word.Report{From: f.settings.From, Events: events})
+func (f *Follower) Report(events []evidence.Event) {
+	f.Forward(evidence.Report{From: f.settings.From, Events: events})
 }
 
-// Pass forwards a follower's report. Each voter receives only the upstreams whose evidence it
+// Forward forwards a follower's report. Each voter receives only the upstreams whose evidence it
 // evaluates.
-func (f *Follower) Pass(r word.Report) {
+func (f *Follower) Forward(r evidence.Report) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	targets := f.reportTargets()
-	shares := witness.Share(targets, r.Events)
+	shares := evaluators.Assign(targets, r.Events)
 	for _, a := range targets {
 		if w := f.watches[a]; w != nil && len(shares[a]) > 0 {
 			w.uplink.enqueue(r.From, shares[a])
@@ -378,7 +378,7 @@
 func (f *Follower) Peers() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.census.Addresses()
+	return f.membership.Addresses()
 }
 
 // Balancers returns the number of balancers in all zones, 0 if unknown. A restarted source needs
--- a/internal/cookie/follower/follower_test.go
+++ b/internal/cookie/follower/follower_test.go
@@ -21,7 +21,7 @@
 	"wasabideal/internal/model/configuration"
 	"wasabideal/internal/model/evacuation"
 	"wasabideal/internal/model/upstream"
-	"wasabideal/internal/standin/server"
+	"wasabideal/internal/standin/rpctest"
 	"wasabideal/internal/upstream/directory"
 	"wasabideal/internal/wire/rpc"
 )
@@ -40,14 +40,14 @@
 }
 
 func startVoter(t *testing.T, life uint64) *voter {
-	l := server.Listen(t)
+	l := rpctest.Listen(t)
 	v := &voter{
 		address: l.Address(),
 		history: history.New(8),
 		feed:    feed.New(life, directory.New(directory.Settings{SilentAfter: time.Minute, ForgetAfter: time.Hour}), time.Now),
 	}
 	s := rpc.NewServer(func(string) {})
-	rpc.Handle(s, feed.SinceMethod, "group", func(ctx context.Context, q feed.Question) (feed.Answer, error) {
+	rpc.Handle(s, feed.SinceMethod, "group", func(ctx context.Context, q feed.Request) (feed.Response, error) {
 		v.mu.Lock()
 		if q.Life == 0 {
 			v.initialPolls++
@@ -55,7 +55,7 @@
 		v.mu.Unlock()
 		return v.feed.Since(ctx, q), nil
 	})
-	rpc.Handle(s, feed.ConfigurationMethod, "group", func(ctx context.Context, revision uint64) (history.Answer, error) {
+	rpc.Handle(s, feed.ConfigurationMethod, "group", func(ctx context.Context, revision uint64) (history.Response, error) {
 		v.mu.Lock()
 		v.fetched++
 		stuck := v.stuck
@@ -83,11 +83,11 @@
 // listener records what it receives.
 type listener struct {
 	mu      sync.Mutex
-	held    configuration.Configuration
+	current configuration.Configuration
 	notices map[string]int
-	// informed is set on the first upstream, if notes is set.
-	informed, marksInformed bool
-	evacuations             evacuation.Evacuations
+	// hasUpstreams is set on the first upstream, if marksUpstreams is set.
+	hasUpstreams, marksUpstreams bool
+	evacuations                  evacuation.Evacuations
 }
 
 func (l *listener) Evacuations() evacuation.Evacuations {
@@ -96,35 +96,35 @@
 	return l.evacuations
 }
 
-func (l *listener) Evacuated(_ string, e evacuation.Evacuations) {
+func (l *listener) OnEvacuations(_ string, e evacuation.Evacuations) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.evacuations = e
 }
 
-func (l *listener) Held() configuration.Configuration {
+func (l *listener) Configuration() configuration.Configuration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.held
+	return l.current
 }
 
-func (l *listener) Informed() bool {
+func (l *listener) HasUpstreams() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.informed
+	return l.hasUpstreams
 }
 
-func (l *listener) Offered(_ string, c configuration.Configuration) {
+func (l *listener) OnConfiguration(_ string, c configuration.Configuration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.held = c
+	l.current = c
 }
 
-func (l *listener) Answered(_ time.Time, x origins.Origin) {
+func (l *listener) OnVoterState(_ time.Time, x origins.Update) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.notices[x.Voter] += len(x.Notices)
-	l.informed = l.informed || l.marksInformed && len(x.Notices) > 0
+	l.hasUpstreams = l.hasUpstreams || l.marksUpstreams && len(x.Notices) > 0
 }
 
 func (l *listener) noticesFrom(address string) int {
@@ -137,9 +137,9 @@
 	return startFollowerHolding(t, 1, addresses...)
 }
 
-// followFrom starts a follower that already holds a revision of the configuration, none for 0.
+// startFollowerHolding starts a follower that already holds a revision of the configuration, none for 0.
 func startFollowerHolding(t *testing.T, revision uint64, addresses ...string) *listener {
-	l := &listener{notices: map[string]int{}, held: configuration.Configuration{Revision: revision}}
+	l := &listener{notices: map[string]int{}, current: configuration.Configuration{Revision: revision}}
 	f := follower.New(follower.Settings{Token: "group", From: "balancer", Clock: time.Now}, l, hclog.NewNullLogger())
 	ctx, cancel := context.WithCancel(context.Background())
 	f.Start(ctx, addresses)
@@ -155,7 +155,7 @@
 }
 
 // Guards against balancers that learn of departures more than a second late after a change of 1,400
-// routes. Every voter's answer carried the change ahead of the notices, over a link on which one
+// routes. Every voter's response carried the change ahead of the notices, over a link on which one
 // copy takes half a second.
 func TestConfigurationIsFetchedFromOneVoter(t *testing.T) {
 	a, b, c := startVoter(t, 1), startVoter(t, 2), startVoter(t, 3)
@@ -164,7 +164,7 @@
 		for _, v := range []*voter{a, b, c} {
 			v.publish(revision)
 		}
-		eventually(t, func() bool { return l.Held().Revision == revision })
+		eventually(t, func() bool { return l.Configuration().Revision == revision })
 	}
 	require.LessOrEqual(t, a.fetches()+b.fetches()+c.fetches(), 6, "one fetch per change or two in a race, not nine")
 }
@@ -175,9 +175,9 @@
 	l := startFollower(t, a.address)
 	a.publish(7)
 	eventually(t, func() bool { return a.fetches() > 0 })
-	a.feed.SetMembers([]string{a.address, b.address})
+	a.feed.SetVoters([]string{a.address, b.address})
 	b.publish(7)
-	eventually(t, func() bool { return l.Held().Revision == 7 })
+	eventually(t, func() bool { return l.Configuration().Revision == 7 })
 }
 
 func TestNoticesDoNotWaitForConfiguration(t *testing.T) {
@@ -188,7 +188,7 @@
 	eventually(t, func() bool { return a.fetches() > 0 })
 	a.feed.Announce(time.Now(), upstream.Upstream{Identity: upstream.Identity{Incarnation: 5}, Sequence: 1}, 0)
 	eventually(t, func() bool { return l.noticesFrom(a.address) == 1 })
-	require.Equal(t, uint64(1), l.Held().Revision)
+	require.Equal(t, uint64(1), l.Configuration().Revision)
 }
 
 // Guards against a slow start without a configuration: balancers became ready 90 ms after the first
@@ -201,10 +201,10 @@
 	a.feed.Announce(time.Now(), upstream.Upstream{Identity: upstream.Identity{Incarnation: 5}, Sequence: 1}, 0)
 	l := startFollowerHolding(t, 0, a.address)
 	eventually(t, func() bool { return l.noticesFrom(a.address) == 1 })
-	require.Equal(t, uint64(7), l.Held().Revision, "the configuration is applied before the notices")
+	require.Equal(t, uint64(7), l.Configuration().Revision, "the configuration is applied before the notices")
 }
 
-// A large configuration is fetched separately: the answers of several voters would fill a narrow
+// A large configuration is fetched separately: the responses of several voters would fill a narrow
 // link.
 func TestLargeFirstConfigurationIsFetched(t *testing.T) {
 	a := startVoter(t, 1)
@@ -217,33 +217,33 @@
 	a.history = a.history.With(large)
 	a.feed.Publish(a.history)
 	l := startFollowerHolding(t, 0, a.address)
-	eventually(t, func() bool { return l.Held().Revision == 7 })
+	eventually(t, func() bool { return l.Configuration().Revision == 7 })
 	require.NotZero(t, a.fetches())
 }
 
-// shapeBelow is the tree shape of the zone that below returns.
+// nonRootShape is the tree shape of the zone that nonRootBalancer returns.
 var nonRootShape = tree.Shape{Roots: 4, Fanout: 8}
 
-// below returns the address of a balancer below the roots of its zone, and the zone.
-func nonRootBalancer() (string, []members.Attendance) {
+// nonRootBalancer returns the address of a balancer below the roots of its zone, and the zone.
+func nonRootBalancer() (string, []members.Heartbeat) {
 	var addresses []string
-	var zone []members.Attendance
+	var zone []members.Heartbeat
 	for n := range 20 {
 		a := fmt.Sprintf("127.9.9.%d:7720", n+1)
 		addresses = append(addresses, a)
-		zone = append(zone, members.Attendance{Member: member.Member{Zone: "a", Address: a}})
+		zone = append(zone, members.Heartbeat{Member: member.Member{Zone: "a", Address: a}})
 	}
 	for _, a := range addresses {
-		if nonRootShape.Of(a, addresses).Level > 0 {
+		if nonRootShape.PlaceOf(a, addresses).Level > 0 {
 			return a, zone
 		}
 	}
 	return "", nil
 }
 
-// startBelow starts a follower for a balancer below the roots of its zone.
+// startNonRoot starts a follower for a balancer below the roots of its zone.
 func startNonRoot(t *testing.T, clock func() time.Time, self string, voters []string) (*follower.Follower, *listener) {
-	l := &listener{notices: map[string]int{}, marksInformed: true}
+	l := &listener{notices: map[string]int{}, marksUpstreams: true}
 	f := follower.New(follower.Settings{
 		Token: "group", From: "balancer", Clock: clock, Self: member.Member{Zone: "a", Address: self}, Shape: nonRootShape, StaleAfter: time.Second,
 	}, l, hclog.NewNullLogger())
@@ -257,19 +257,19 @@
 }
 
 // Guards against balancers that stay unready for seconds although voters answer. After all VMs lost
-// power, a voter with an empty disk answered first, and any one answer ended the startup phase.
+// power, a voter with an empty disk answered first, and any one response ended the startup phase.
 func TestVoterWithEmptyDiskDoesNotEndStartup(t *testing.T) {
 	self, zone := nonRootBalancer()
 	empty, complete := startVoter(t, 1), startVoter(t, 2)
 	for _, v := range []*voter{empty, complete} {
-		v.feed.Attend(time.Now(), zone)
+		v.feed.RecordFollowers(time.Now(), zone)
 	}
 	complete.feed.Announce(time.Now(), upstream.Upstream{Identity: upstream.Identity{Incarnation: 5}, Sequence: 1}, 0)
 	complete.publish(7)
 	// The clock stands still, so the period after which all voters are polled never ends.
 	frozen := time.Now()
 	_, l := startNonRoot(t, func() time.Time { return frozen }, self, []string{empty.address, complete.address})
-	eventually(t, func() bool { return l.Held().Revision == 7 && l.Informed() })
+	eventually(t, func() bool { return l.Configuration().Revision == 7 && l.HasUpstreams() })
 }
 
 // Guards against slow starts of a large fleet. After all VMs lost power, balancers became ready 265
@@ -281,14 +281,14 @@
 	var addresses []string
 	for life := range uint64(3) {
 		v := startVoter(t, life+1)
-		v.feed.Attend(time.Now(), zone)
+		v.feed.RecordFollowers(time.Now(), zone)
 		v.feed.Announce(time.Now(), upstream.Upstream{Identity: upstream.Identity{Incarnation: 5}, Sequence: 1}, 0)
 		v.publish(7)
 		voters = append(voters, v)
 		addresses = append(addresses, v.address)
 	}
 	f, l := startNonRoot(t, time.Now, self, addresses)
-	eventually(t, func() bool { return l.Held().Revision == 7 })
+	eventually(t, func() bool { return l.Configuration().Revision == 7 })
 	time.Sleep(100 * time.Millisecond)
 	polls := 0
 	for _, v := range voters {
--- a/internal/fanout/turn/turn.go
+++ b/internal/fanout/bootstrap/bootstrap.go
@@ -1,10 +1,10 @@
-package turn
+package bootstrap
 
 import "time"
 
-// answerTimeout is how long the polled voter may take before another one is polled as well. It is
+// responseTimeout is how long the polled voter may take before another one is polled as well. It is
 // several times what a voter on a quarter of a core takes while 200 balancers start.
-const answerTimeout = 150 * time.Millisecond
+const responseTimeout = 150 * time.Millisecond
 
 // Sequencer decides which voter is polled during startup. The zero value is ready for use.
 type Sequencer struct {
@@ -13,7 +13,7 @@
 	since   time.Time
 	// done is set once a voter has sent a complete state.
 	done bool
-	// incomplete holds the voters whose answer was incomplete.
+	// incomplete holds the voters whose response was incomplete.
 	incomplete map[string]bool
 }
 
@@ -22,16 +22,16 @@
 	if t.done || t.incomplete[voter] {
 		return true
 	}
-	if t.current != "" && t.current != voter && now.Sub(t.since) < answerTimeout {
+	if t.current != "" && t.current != voter && now.Sub(t.since) < responseTimeout {
 		return false
 	}
 	t.current, t.since = voter, now
 	return true
 }
 
-// RecordAnswer records that a voter answered, and whether its state was complete; that of a voter
+// RecordResponse records that a voter answered, and whether its state was complete; that of a voter
 // with an empty disk is not. It reports whether this ends the startup.
-func (t *Sequencer) RecordAnswer(voter string, complete bool) bool {
+func (t *Sequencer) RecordResponse(voter string, complete bool) bool {
 	if t.done {
 		return false
 	}
--- a/internal/fanout/origins/origins.go
+++ b/internal/fanout/origins/origins.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"wasabideal/internal/silence/word"
+	"wasabideal/internal/silence/evidence"
 	"wasabideal/internal/upstream/directory"
 )
 
@@ -14,37 +14,37 @@
 type Known struct {
 	_     struct{} `cbor:",toarray"`
 	Voter string
-	// Life changes when the voter restarts; Version and Doubts rise within one life.
+	// Life changes when the voter restarts; Version and Doubts rise until then.
 	Life, Version, Doubts uint64
 	// Age is the time since the last contact with the voter.
 	Age time.Duration
 }
 
-// Origin is an update from one voter, as it is relayed. If Life is 0, only Voter and Age are set.
-// Even in that short form, updates from five voters are a third of the bytes of an answer without
+// Update is an update from one voter, as it is relayed. If Life is 0, only Voter and Age are set.
+// Even in that short form, updates from five voters are a third of the bytes of a response without
 // changes.
-type Origin struct {
+type Update struct {
 	_ struct{} `cbor:",toarray"`
 	Known
 	// Zone is the voter's availability zone.
 	Zone string
 	// Notices are the upstream changes after the version that was requested.
 	Notices []directory.Notice
-	// Subjects lists all doubts of the voter. It is valid only if Doubted is set; otherwise the
+	// Subjects lists all suspicions of the voter. It is valid only if Doubted is set; otherwise the
 	// receiver keeps those that it has.
-	Subjects []word.Doubt
+	Subjects []evidence.Suspicion
 	Doubted  bool
 }
 
 // ContactOnly returns a copy reduced to the voter's name and age.
-func (x Origin) ContactOnly() Origin { return Origin{Known: Known{Voter: x.Voter, Age: x.Age}} }
+func (u Update) ContactOnly() Update { return Update{Known: Known{Voter: u.Voter, Age: u.Age}} }
 
 type state struct {
-	life, version, doubts uint64
-	zone                  string
-	contact               time.Time
-	// subjects are the voter's doubts as received at subjectsAt.
-	subjects   []word.Doubt
+	life, version, suspicions uint64
+	zone                      string
+	contact                   time.Time
+	// subjects are the voter's suspicions as received at subjectsAt.
+	subjects   []evidence.Suspicion
 	subjectsAt time.Time
 }
 
@@ -54,14 +54,14 @@
 // New returns an empty Origins.
 func New() *Origins { return &Origins{byVoter: map[string]state{}} }
 
-// Of returns the state received from a voter.
-func (o *Origins) Of(now time.Time, voter string) Known {
+// State returns the state received from a voter.
+func (o *Origins) State(now time.Time, voter string) Known {
 	s := o.byVoter[voter]
 	return s.known(now, voter)
 }
 
 func (s state) known(now time.Time, voter string) Known {
-	return Known{Voter: voter, Life: s.life, Version: s.version, Doubts: s.doubts, Age: now.Sub(s.contact)}
+	return Known{Voter: voter, Life: s.life, Version: s.version, Doubts: s.suspicions, Age: now.Sub(s.contact)}
 }
 
 // Known returns the state received from each voter, in the order of their names.
@@ -75,7 +75,7 @@
 
 // Accepts reports whether an update is not older than the state held for its voter. Relay paths
 // differ in delay, so an update of an earlier life or version may arrive late.
-func (o *Origins) Accepts(now time.Time, x Origin) bool {
+func (o *Origins) Accepts(now time.Time, x Update) bool {
 	s, held := o.byVoter[x.Voter]
 	switch {
 	case !held:
@@ -83,31 +83,31 @@
 	case x.Life != s.life:
 		return now.Add(-x.Age).After(s.contact)
 	default:
-		return x.Version >= s.version && x.Doubts >= s.doubts
+		return x.Version >= s.version && x.Doubts >= s.suspicions
 	}
 }
 
 // Complete fills in the held life and versions of an update that carries only an age.
-func (o *Origins) Complete(x Origin) Origin {
+func (o *Origins) Complete(x Update) Update {
 	if s := o.byVoter[x.Voter]; x.Life == 0 {
-		x.Life, x.Version, x.Doubts = s.life, s.version, s.doubts
+		x.Life, x.Version, x.Doubts = s.life, s.version, s.suspicions
 	}
 	return x
 }
 
-// Take applies an update if it is accepted, and reports whether it changed the life or a version.
-func (o *Origins) Take(now time.Time, x Origin) bool {
+// Apply applies an update if it is accepted, and reports whether it changed the life or a version.
+func (o *Origins) Apply(now time.Time, x Update) bool {
 	x = o.Complete(x)
 	if !o.Accepts(now, x) {
 		return false
 	}
 	s := o.byVoter[x.Voter]
-	changed := s.life != x.Life || s.version != x.Version || s.doubts != x.Doubts
+	changed := s.life != x.Life || s.version != x.Version || s.suspicions != x.Doubts
 	s.life, s.version, s.zone = x.Life, x.Version, cmp.Or(x.Zone, s.zone)
 	if x.Doubted {
 		s.subjects, s.subjectsAt = x.Subjects, now
 	}
-	s.doubts = x.Doubts
+	s.suspicions = x.Doubts
 	if contact := now.Add(-x.Age); contact.After(s.contact) {
 		s.contact = contact
 	}
@@ -115,8 +115,8 @@
 	return changed
 }
 
-// Fresh returns the number of voters whose last contact is at most a duration ago.
-func (o *Origins) Fresh(now time.Time, within time.Duration) int {
+// CountFresh returns the number of voters whose last contact is at most a duration ago.
+func (o *Origins) CountFresh(now time.Time, within time.Duration) int {
 	fresh := 0
 	for _, s := range o.byVoter {
 		if now.Sub(s.contact) <= within {
@@ -132,26 +132,26 @@
 // Forget removes a process that is no longer a voter.
 func (o *Origins) Forget(voter string) { delete(o.byVoter, voter) }
 
-// After returns the updates, without notices, for a balancer that holds the given state, and
+// UpdatesSince returns the updates, without notices, for a balancer that holds the given state, and
 // whether any of them is a change. State of a voter that is newer there than here is no change;
 // otherwise that balancer would poll again at once in an endless loop.
-func (o *Origins) After(now time.Time, known []Known) ([]Origin, bool) {
+func (o *Origins) UpdatesSince(now time.Time, known []Known) ([]Update, bool) {
 	held := make(map[string]Known, len(known))
 	for _, k := range known {
 		held[k.Voter] = k
 	}
 	changed := false
-	out := make([]Origin, 0, len(o.byVoter))
+	out := make([]Update, 0, len(o.byVoter))
 	for _, voter := range slices.Sorted(maps.Keys(o.byVoter)) {
 		s := o.byVoter[voter]
 		k, found := held[voter]
-		x := Origin{Known: s.known(now, voter), Zone: s.zone}
+		x := Update{Known: s.known(now, voter), Zone: s.zone}
 		if s.ahead(x.Known, k, found) {
 			changed = true
 		} else {
 			x = x.ContactOnly()
 		}
-		x.Doubted = x.Life != 0 && (!found || k.Life != s.life || k.Doubts != s.doubts)
+		x.Doubted = x.Life != 0 && (!found || k.Life != s.life || k.Doubts != s.suspicions)
 		if x.Doubted {
 			x.Subjects = aged(s.subjects, now.Sub(s.subjectsAt))
 		}
@@ -168,11 +168,11 @@
 	case remote.Life != s.life:
 		return local.Age < remote.Age
 	default:
-		return s.version >= remote.Version && s.doubts >= remote.Doubts && (s.version > remote.Version || s.doubts > remote.Doubts)
+		return s.version >= remote.Version && s.suspicions >= remote.Doubts && (s.version > remote.Version || s.suspicions > remote.Doubts)
 	}
 }
 
-func aged(subjects []word.Doubt, elapsed time.Duration) []word.Doubt {
+func aged(subjects []evidence.Suspicion, elapsed time.Duration) []evidence.Suspicion {
 	out := slices.Clone(subjects)
 	for i := range out {
 		out[i].Age += elapsed
--- /dev/null
+++ b/internal/log/asyncwriter/doc.go
@@ -0,0 +1,2 @@
+// Package asyncwriter writes log lines asynchronously, so that logging never blocks.
+package asyncwriter
--- a/internal/log/outlet/doc.go
+++ /dev/null
@@ -1,2 +0,0 @@
-// Package outlet writes log lines asynchronously, so that logging never blocks.
-package outlet
--- a/internal/log/pace/doc.go
+++ /dev/null
@@ -1,2 +0,0 @@
-// Package pace limits the rate of log lines of one kind.
-package pace
--- /dev/null
+++ b/internal/log/ratelimit/doc.go
@@ -0,0 +1,2 @@
+// Package ratelimit limits the rate of log lines of one kind.
+package ratelimit
--- a/internal/log/story/story.go
+++ b/internal/log/story/story.go
@@ -18,8 +18,8 @@
 	maxLines = 200
 )
 
-// Question selects a flow, an upstream or a revision; exactly one field is set.
-type Question struct {
+// Query selects a flow, an upstream or a revision; exactly one field is set.
+type Query struct {
 	// Caller is the address and port of the caller, as in its own log or a packet capture.
 	Caller string
 	// Incarnation is the incarnation of an upstream, as in the log lines of flows.
@@ -28,56 +28,56 @@
 	Revision uint64
 }
 
-// EmptyError reports that no line matches the question.
-type EmptyError struct{ Question Question }
+// EmptyError reports that no line matches the query.
+type EmptyError struct{ Query Query }
 
 func (e *EmptyError) Error() string {
 	return fmt.Sprintf("no line matches %+v; the lines may be in the log of another process, "+
-		"or among those that the lines 'decisions' only count", e.Question)
+		"or among those that the lines 'decisions' only count", e.Query)
 }
 
-// Story holds the log lines of some processes, ordered by time.
-type Story struct{ lines []line }
+// Timeline holds the log lines of some processes, ordered by time.
+type Timeline struct{ lines []line }
 
-// Read returns the story with the lines of another log added.
-func (s Story) Read(name string, r io.Reader) (Story, error) {
+// Read returns the timeline with the lines of another log added.
+func (t Timeline) Read(name string, r io.Reader) (Timeline, error) {
 	more, err := readLines(name, r)
 	if err != nil {
-		return s, err
+		return t, err
 	}
-	lines := slices.Concat(s.lines, more)
+	lines := slices.Concat(t.lines, more)
 	slices.SortStableFunc(lines, func(a, b line) int { return a.At.Compare(b.At) })
-	return Story{lines: lines}, nil
+	return Timeline{lines: lines}, nil
 }
 
-// Tell writes the relevant lines in order of time, and a summary.
-func (s Story) Tell(w io.Writer, q Question) error {
-	matched := lo.Filter(s.lines, func(l line, _ int) bool { return q.matches(l) })
+// Write writes the relevant lines in order of time, and a summary.
+func (t Timeline) Write(w io.Writer, q Query) error {
+	matched := lo.Filter(t.lines, func(l line, _ int) bool { return q.matches(l) })
 	if len(matched) == 0 {
-		return &EmptyError{Question: q}
+		return &EmptyError{Query: q}
 	}
-	shown := s.selectLines(matched, q)
+	shown := t.selectLines(matched, q)
 	for i, l := range shown {
 		if i == maxLines {
 			if _, err := fmt.Fprintf(w, "… and %d more lines\n", len(shown)-i); err != nil {
-				return fmt.Errorf("write story: %w", err)
+				return fmt.Errorf("write timeline: %w", err)
 			}
 			break
 		}
 		if _, err := fmt.Fprintln(w, l); err != nil {
-			return fmt.Errorf("write story: %w", err)
+			return fmt.Errorf("write timeline: %w", err)
 		}
 	}
 	for _, c := range summarize(shown, matched, q) {
 		if _, err := fmt.Fprintln(w, "=> "+c); err != nil {
-			return fmt.Errorf("write story: %w", err)
+			return fmt.Errorf("write timeline: %w", err)
 		}
 	}
 	return nil
 }
 
-// matches reports whether a line is directly about the question.
-func (q Question) matches(l line) bool {
+// matches reports whether a line is directly about the query.
+func (q Query) matches(l line) bool {
 	switch {
 	case q.Caller != "":
 		return l.Message == messageFlow && l.Caller == q.Caller
@@ -89,7 +89,7 @@
 }
 
 // selectLines returns the matching lines and those that give their context.
-func (s Story) selectLines(matched []line, q Question) []line {
+func (t Timeline) selectLines(matched []line, q Query) []line {
 	from, to := matched[0].At.Add(-contextWindow), matched[len(matched)-1].At.Add(contextWindow)
 	processes, incarnations := map[string]bool{}, map[string]bool{}
 	for _, l := range matched {
@@ -98,12 +98,12 @@
 			incarnations[l.Incarnation] = true
 		}
 	}
-	configurations := s.configurationsBefore(matched[0].At, processes)
+	configurations := t.configurationsBefore(matched[0].At, processes)
 	if q.Incarnation != "" {
 		// An upstream runs for long; only the state of processes near its end is relevant.
 		from = to.Add(-2 * contextWindow)
 	}
-	return lo.Filter(s.lines, func(l line, _ int) bool {
+	return lo.Filter(t.lines, func(l line, _ int) bool {
 		inWindow := !l.At.Before(from) && !l.At.After(to)
 		switch {
 		case q.matches(l) || configurations[l.text]:
@@ -127,9 +127,9 @@
 }
 
 // configurationsBefore returns for each process the line about the configuration in force at a time.
-func (s Story) configurationsBefore(at time.Time, processes map[string]bool) map[string]bool {
+func (t Timeline) configurationsBefore(at time.Time, processes map[string]bool) map[string]bool {
 	latest := map[string]string{}
-	for _, l := range s.lines {
+	for _, l := range t.lines {
 		if l.Message == messageInForce && processes[l.Process] && l.At.Before(at) {
 			latest[l.Process] = l.text
 		}
--- a/internal/member/busy/doc.go
+++ /dev/null
@@ -1,2 +0,0 @@
-// Package busy tracks which other balancers still create missing replicas of flows.
-package busy
--- a/internal/operator/exit/exit.go
+++ b/internal/operator/exit/exit.go
@@ -22,8 +22,8 @@
 	Unknown  Status = 4
 )
 
-// Of returns the exit status for the error of a command.
-func Of(err error) Status {
+// StatusOf returns the exit status for the error of a command.
+func StatusOf(err error) Status {
 	var (
 		conflict             *ledger.ConflictError
 		rejected             *ledger.InvalidError
--- a/internal/overload/response/response.go
+++ b/internal/overload/response/response.go
@@ -24,38 +24,38 @@
 	stackMeans = 64
 )
 
-// Response tracks the response time of one upstream as measured by this balancer. The
+// Tracker tracks the response time of one upstream as measured by this balancer. The
 // zero value has recorded no response.
-type Response struct {
+type Tracker struct {
 	mean     float64
 	at       time.Time
 	slowness float64
 }
 
-// Answered records the duration of an answered request.
-func (r *Response) Answered(now time.Time, took time.Duration) {
-	if r.fresh(now) {
-		r.mean += smoothing * (took.Seconds() - r.mean)
+// Record records the duration of an answered request.
+func (t *Tracker) Record(now time.Time, took time.Duration) {
+	if t.fresh(now) {
+		t.mean += smoothing * (took.Seconds() - t.mean)
 	} else {
-		r.mean = took.Seconds()
+		t.mean = took.Seconds()
 	}
-	r.at = now
+	t.at = now
 }
 
-func (r *Response) fresh(now time.Time) bool { return !r.at.IsZero() && now.Sub(r.at) < meanTTL }
+func (t *Tracker) fresh(now time.Time) bool { return !t.at.IsZero() && now.Sub(t.at) < meanTTL }
 
 // Slowness returns the ratio of the upstream's response time to the median of its
 // service, or 1 if the ratio is unknown or below slowThreshold.
-func (r *Response) Slowness() float64 { return max(r.slowness, 1) }
+func (t *Tracker) Slowness() float64 { return max(t.slowness, 1) }
 
 // Mean returns the moving average, and whether it is still valid.
-func (r *Response) Mean(now time.Time) (time.Duration, bool) {
-	return time.Duration(r.mean * float64(time.Second)), r.fresh(now)
+func (t *Tracker) Mean(now time.Time) (time.Duration, bool) {
+	return time.Duration(t.mean * float64(time.Second)), t.fresh(now)
 }
 
-// Compare updates the slowness of all upstreams of a service and returns their median
+// UpdateSlowness updates the slowness of all upstreams of a service and returns their median
 // response time, or 0 if none is known.
-func Compare(now time.Time, all []*Response) time.Duration {
+func UpdateSlowness(now time.Time, all []*Tracker) time.Duration {
 	var buffer [stackMeans]float64
 	means := buffer[:0]
 	for _, r := range all {
--- a/internal/request/door/exchange.go
+++ b/internal/request/door/exchange.go
@@ -36,8 +36,8 @@
 
 func (e *BadRequestError) Error() string { return e.Reason }
 
-func (d *Door) newExchange(w http.ResponseWriter, r *http.Request) (*exchange, error) {
-	now := d.settings.Clock()
+func (p *Proxy) newExchange(w http.ResponseWriter, r *http.Request) (*exchange, error) {
+	now := p.settings.Clock()
 	x := &exchange{writer: w, request: r, arrived: now}
 	timeout, err := parseTimeout(r)
 	if err != nil {
@@ -50,17 +50,17 @@
 	}
 	x.body, err = io.ReadAll(io.LimitReader(r.Body, replayLimit+1))
 	if err != nil {
-		return nil, &BadRequestError{Reason: "reading the request body failed: " + err.Error()}
+		return nil, &BadRequestError{Reason: "body cannot be read: " + err.Error()}
 	}
 	x.replayable = len(x.body) <= replayLimit
 	x.unreadBody = r.Body
-	d.mu.Lock()
-	x.idempotent = key == "" && (d.repeatable || isIdempotent(r.Method))
-	d.lastID++
-	x.id = d.lastID
-	d.mu.Unlock()
+	p.mu.Lock()
+	x.idempotent = key == "" && (p.repeatable || isIdempotent(r.Method))
+	p.lastID++
+	x.id = p.lastID
+	p.mu.Unlock()
 	x.record = keys.Record{
-		Service: d.settings.Service, Key: key, Attempt: fmt.Sprintf("%s/%d/%d", d.settings.Name, now.UnixNano(), x.id),
+		Service: p.settings.Service, Key: key, Attempt: fmt.Sprintf("%s/%d/%d", p.settings.Name, now.UnixNano(), x.id),
 		Fingerprint: xxhash.Sum64String(r.Method+" "+r.URL.RequestURI()+"\n") ^ xxhash.Sum64(x.body),
 	}
 	return x, nil
@@ -84,7 +84,7 @@
 		}
 		seconds, err := strconv.ParseFloat(value, 64)
 		if err != nil || seconds <= 0 {
-			return 0, &BadRequestError{Reason: "Prefer: wait must be a number of seconds greater than 0"}
+			return 0, &BadRequestError{Reason: "Prefer: wait must be seconds above 0"}
 		}
 		return min(time.Duration(seconds*float64(time.Second)), maxTimeout), nil
 	}
@@ -93,27 +93,27 @@
 
 // claim claims the request's key, or responds with the outcome of the request that
 // holds it.
-func (d *Door) claim(ctx context.Context, x *exchange) bool {
-	result := d.claimer.Claim(ctx, x.record)
+func (p *Proxy) claim(ctx context.Context, x *exchange) bool {
+	result := p.claimer.Claim(ctx, x.record)
 	switch result.Outcome {
 	case claimer.Granted:
 		x.claimed = true
 		return true
 	case claimer.Taken:
-		d.respondTaken(x, result.Record)
+		p.respondTaken(x, result.Record)
 	case claimer.Refused:
-		d.respondNotRun(x, result.Reason, defaultRetryAfter)
+		p.respondNotRun(x, result.Reason, defaultRetryAfter)
 	}
 	return false
 }
 
-func (d *Door) respondTaken(x *exchange, r keys.Record) {
-	d.Counters.Repeated.Add(1)
+func (p *Proxy) respondTaken(x *exchange, r keys.Record) {
+	p.Counters.Repeated.Add(1)
 	h := x.writer.Header()
 	h.Set(RepeatHeader, "true")
 	switch {
 	case r.Fingerprint != x.record.Fingerprint:
-		http.Error(x.writer, "the idempotency key was already used for a different request", http.StatusUnprocessableEntity)
+		http.Error(x.writer, "the key was used for another request", http.StatusUnprocessableEntity)
 	case r.State == keys.Answered && r.Answer != nil && r.Answer.Whole:
 		h.Set(OutcomeHeader, OutcomeAnswered)
 		h.Set("Content-Type", r.Answer.ContentType)
@@ -121,26 +121,26 @@
 		_, _ = x.writer.Write(r.Answer.Body)
 	case r.State == keys.Answered:
 		h.Set(OutcomeHeader, OutcomeAnswered)
-		http.Error(x.writer, "the request ran, but its response was too large to store", http.StatusConflict)
+		http.Error(x.writer, "the request ran; its answer was too long to keep", http.StatusConflict)
 	default:
 		h.Set(OutcomeHeader, OutcomeUnknown)
 		h.Set("Retry-After", "1")
-		http.Error(x.writer, "a request with this idempotency key is in progress or its outcome is unknown", http.StatusConflict)
+		http.Error(x.writer, "a request with this key is under way or its fate is unknown", http.StatusConflict)
 	}
 }
 
-func (d *Door) respondNotRun(x *exchange, reason string, retryAfter time.Duration) {
-	d.Counters.NotRun.Add(1)
+func (p *Proxy) respondNotRun(x *exchange, reason string, retryAfter time.Duration) {
+	p.Counters.NotRun.Add(1)
 	h := x.writer.Header()
 	h.Set(OutcomeHeader, OutcomeNotRun)
 	h.Set("Retry-After", strconv.Itoa(int((retryAfter+time.Second-1)/time.Second)))
 	http.Error(x.writer, "not run: "+reason, http.StatusServiceUnavailable)
 }
 
-func (d *Door) respondUnknown(x *exchange, err error) {
-	d.Counters.Unknown.Add(1)
+func (p *Proxy) respondUnknown(x *exchange, err error) {
+	p.Counters.Unknown.Add(1)
 	x.writer.Header().Set(OutcomeHeader, OutcomeUnknown)
-	http.Error(x.writer, "unknown: the request was sent, but no response was received: "+err.Error(), http.StatusGatewayTimeout)
+	http.Error(x.writer, "unknown: the request was sent and its answer was lost: "+err.Error(), http.StatusGatewayTimeout)
 }
 
-func (e *NoAddressError) Error() string { return "upstream " + e.Target + " has no HTTP address" }
+func (e *NoAddressError) Error() string { return "upstream " + e.Target + " has no door any more" }
--- a/internal/request/homes/doc.go
+++ /dev/null
@@ -1,3 +0,0 @@
-// Package homes assigns the slots of all upstreams to balancers. Every balancer
-// computes the same assignment, so they share a limit without a message per request.
-package homes
--- a/internal/request/homes/homes.go
+++ b/internal/request/slotassignment/slotassignment.go
@@ -1,4 +1,4 @@
-package homes
+package slotassignment
 
 import (
 	"cmp"
@@ -15,26 +15,26 @@
 	Slots int
 }
 
-// Homes counts the slots of each upstream that are assigned to each balancer.
-type Homes struct{ assigned map[string]map[string]int }
+// Assignment counts the slots of each upstream that are assigned to each balancer.
+type Assignment struct{ assigned map[string]map[string]int }
 
 type slot struct {
 	upstream string
 	hash     uint64
 }
 
-// New assigns the slots evenly by rendezvous hashing: each goes to its highest-ranked
+// Assign assigns the slots evenly by rendezvous hashing: each goes to its highest-ranked
 // balancer that has fewer than the even share, rounded up.
-func New(upstreams []Upstream, balancers []string) Homes {
-	h := Homes{assigned: map[string]map[string]int{}}
+func Assign(upstreams []Upstream, balancers []string) Assignment {
+	a := Assignment{assigned: map[string]map[string]int{}}
 	seeds := make([]uint64, len(balancers))
 	for i, b := range balancers {
 		seeds[i] = xxhash.Sum64String(b)
-		h.assigned[b] = map[string]int{}
+		a.assigned[b] = map[string]int{}
 	}
 	slots := sortedSlots(upstreams)
 	if len(balancers) == 0 || len(slots) == 0 {
-		return h
+		return a
 	}
 	share := (len(slots) + len(balancers) - 1) / len(balancers)
 	counts := make([]int, len(balancers))
@@ -46,9 +46,9 @@
 			}
 		}
 		counts[best]++
-		h.assigned[balancers[best]][s.upstream]++
+		a.assigned[balancers[best]][s.upstream]++
 	}
-	return h
+	return a
 }
 
 func sortedSlots(upstreams []Upstream) []slot {
@@ -62,5 +62,5 @@
 	return slots
 }
 
-// Of returns the number of an upstream's slots that are assigned to a balancer.
-func (h Homes) Of(balancer, upstream string) int { return h.assigned[balancer][upstream] }
+// Slots returns the number of an upstream's slots that are assigned to a balancer.
+func (a Assignment) Slots(balancer, upstream string) int { return a.assigned[balancer][upstream] }
--- /dev/null
+++ b/internal/silence/evidence/doc.go
@@ -0,0 +1,3 @@
+// Package evidence defines the messages that balancers and voters exchange about upstreams that
+// leave packets unanswered.
+package evidence
--- /dev/null
+++ b/internal/silence/suspicions/suspicions.go
@@ -0,0 +1,107 @@
+package suspicions
+
+import (
+	"time"
+
+	"wasabideal/internal/silence/evidence"
+)
+
+// Suspicion is the suspicion of one subject, in the balancer's own time.
+type Suspicion struct {
+	// First is when the first of the unanswered packets was sent.
+	First time.Time
+	// Unresponsive reports whether a voter has enough evidence.
+	Unresponsive bool
+	// Voter is the voter with that evidence, empty if there is none.
+	Voter string
+}
+
+// report is the latest report of one voter.
+type report struct {
+	// at is when the report arrived, contact when the voter was last reachable.
+	at, contact time.Time
+	suspicions  []evidence.Suspicion
+	// expired reports whether the voter's lease has expired.
+	expired bool
+}
+
+// Set holds the latest report of each voter. It is not safe for concurrent use.
+type Set struct {
+	lease   time.Duration
+	reports map[string]report
+}
+
+// New returns an empty set. A voter's report expires after the lease without contact.
+func New(lease time.Duration) *Set { return &Set{lease: lease, reports: map[string]report{}} }
+
+// Update replaces the report of a voter that is reachable now, and returns whether All may
+// have changed.
+func (s *Set) Update(now time.Time, voter string, all []evidence.Suspicion) bool {
+	return s.UpdateRelayed(now, now, voter, all)
+}
+
+// UpdateRelayed does the same for a relayed report; contact is when the voter was last reachable.
+func (s *Set) UpdateRelayed(now, contact time.Time, voter string, all []evidence.Suspicion) bool {
+	before := s.reports[voter]
+	if len(all) == 0 {
+		delete(s.reports, voter)
+		return len(before.suspicions) > 0
+	}
+	s.reports[voter] = report{at: now, contact: contact, suspicions: all}
+	return true
+}
+
+// RecordContact records that a voter was reachable and its report is unchanged.
+func (s *Set) RecordContact(contact time.Time, voter string) {
+	if r, ok := s.reports[voter]; ok && contact.After(r.contact) {
+		r.contact = contact
+		s.reports[voter] = r
+	}
+}
+
+// Any returns whether any voter with a valid lease suspects anything.
+func (s *Set) Any() bool {
+	for _, r := range s.reports {
+		if !r.expired {
+			return true
+		}
+	}
+	return false
+}
+
+// Expire updates which reports have expired because their voter has not answered for the
+// lease, and returns whether any expired or became valid again.
+func (s *Set) Expire(now time.Time) bool {
+	changed := false
+	for voter, r := range s.reports {
+		if expired := now.Sub(r.contact) > s.lease; expired != r.expired {
+			r.expired = expired
+			s.reports[voter] = r
+			changed = true
+		}
+	}
+	return changed
+}
+
+// All merges the valid reports. The report of one voter suffices, since the others may be
+// partitioned from the balancers that observed the timeouts.
+func (s *Set) All() map[evidence.Subject]Suspicion {
+	all := map[evidence.Subject]Suspicion{}
+	for voter, r := range s.reports {
+		if r.expired {
+			continue
+		}
+		for _, x := range r.suspicions {
+			first := r.at.Add(-x.Age)
+			merged, known := all[x.Subject]
+			if !known || first.Before(merged.First) {
+				merged.First = first
+			}
+			if x.Unresponsive && (!merged.Unresponsive || voter < merged.Voter) {
+				merged.Unresponsive, merged.Voter = true, voter
+			}
+			all[x.Subject] = merged
+		}
+	}
+	return all
+}
--- a/internal/silence/word/doc.go
+++ /dev/null
@@ -1,3 +0,0 @@
-// Package word defines the messages that balancers and voters exchange about upstreams that
-// leave packets unanswered.
-package word
--- a/internal/standin/server/doc.go
+++ /dev/null
@@ -1,2 +0,0 @@
-// Package server runs RPC servers on loopback for the duration of a test.
-package server
--- a/internal/standin/virtual/virtual.go
+++ b/internal/standin/virtual/virtual.go
@@ -22,21 +22,23 @@
 	return last
 }
 
-// Time is a virtual clock with a queue of scheduled events. It is not safe for concurrent use.
-type Time struct {
+// Clock is a virtual clock with a queue of scheduled events. It is not safe for concurrent use.
+type Clock struct {
 	Now    time.Time
 	events queue
 }
 
-// After schedules a function call after a duration of virtual time.
-func (t *Time) After(d time.Duration, call func()) { heap.Push(&t.events, event{t.Now.Add(d), call}) }
+// AfterFunc schedules a function call after a duration of virtual time.
+func (c *Clock) AfterFunc(d time.Duration, call func()) {
+	heap.Push(&c.events, event{c.Now.Add(d), call})
+}
 
-// Run executes all events up to and including the given time and advances the clock to it.
-func (t *Time) Run(until time.Time) {
-	for len(t.events) > 0 && !t.events[0].at.After(until) {
-		e := heap.Pop(&t.events).(event)
-		t.Now = e.at
+// RunUntil executes all events up to and including the given time and advances the clock to it.
+func (c *Clock) RunUntil(until time.Time) {
+	for len(c.events) > 0 && !c.events[0].at.After(until) {
+		e := heap.Pop(&c.events).(event)
+		c.Now = e.at
 		e.call()
 	}
-	t.Now = until
+	c.Now = until
 }
--- /dev/null
+++ b/internal/start/applydefaults/doc.go
@@ -0,0 +1,2 @@
+// Package applydefaults implements the stage that sets the defaults of settings.
+package applydefaults
--- /dev/null
+++ b/internal/start/checksettings/doc.go
@@ -0,0 +1,2 @@
+// Package checksettings implements the stage that validates the settings.
+package checksettings
--- a/internal/start/fill/doc.go
+++ /dev/null
@@ -1,2 +0,0 @@
-// Package fill implements the stage that sets the defaults of settings.
-package fill
--- a/internal/start/read/doc.go
+++ /dev/null
@@ -1,2 +0,0 @@
-// Package read implements the stage that reads the settings file.
-package read
--- /dev/null
+++ b/internal/start/readsettings/doc.go
@@ -0,0 +1,2 @@
+// Package readsettings implements the stage that reads the settings file.
+package readsettings
--- a/internal/start/route/doc.go
+++ /dev/null
@@ -1,2 +0,0 @@
-// Package route implements the stage that starts a balancer.
-package route
--- /dev/null
+++ b/internal/start/startbalancer/doc.go
@@ -0,0 +1,2 @@
+// Package startbalancer implements the stage that starts a balancer.
+package startbalancer
--- /dev/null
+++ b/internal/start/startvoter/doc.go
@@ -0,0 +1,2 @@
+// Package startvoter implements the stage that starts a control voter.
+package startvoter
--- a/internal/start/verify/doc.go
+++ /dev/null
@@ -1,2 +0,0 @@
-// Package verify implements the stage that validates the settings.
-package verify
--- a/internal/start/vote/doc.go
+++ /dev/null
@@ -1,2 +0,0 @@
-// Package vote implements the stage that starts a control voter.
-package vote
--- a/internal/start/wait/doc.go
+++ /dev/null
@@ -1,2 +0,0 @@
-// Package wait implements the stage that blocks until the planned shutdown and performs it.
-package wait
--- a/internal/upstream/home/doc.go
+++ b/internal/upstream/owner/doc.go
@@ -1,4 +1,4 @@
-// Package home assigns each upstream to the voter that receives its announcements.
+// Package owner assigns each upstream to the voter that receives its announcements.
 //
 // Each voter notifies all balancers of the upstreams that announce themselves to it, and again
 // when their announcements stop. An upstream that alternates between two voters causes two
@@ -6,4 +6,4 @@
 //
 // All announcements of an upstream therefore go to one voter, in its own availability zone if
 // possible, so that the voter's notices reach the balancers there when the zone is partitioned.
-package home
+package owner
