--- a/internal/cookie/router/choose.go
+++ b/internal/cookie/router/choose.go
@@ -29,7 +29,8 @@
 
 const (
 	rankHealthy rank = iota
-	// rankSuspected targets are reported down by the voters, or suspected by this balancer.
+	// rankSuspected upstreams show one sign of failure: they are not live, or they are
+	// suspected by the voters or this balancer. rankUnhealthy upstreams show both.
 	rankSuspected
 	rankUnhealthy
 )
@@ -140,7 +141,7 @@
 	for range count {
 		t := all[index]
 		c := candidate{target: t, rank: r.rank(now, t), cost: r.cost(now, t) + penalty}
-		if c.betterThan(best) && r.allowsFlow(now, t) {
+		if c.betterThan(best) && r.withinColdLimit(now, t) {
 			best = c
 		}
 		if index++; index == len(all) {
@@ -177,7 +178,7 @@
 }
 
 // pickBackend returns the service for a new flow of a route, by weight. The hash is the
-// same for all copies of an opening.
+// same for an opening and its retransmissions.
 func pickBackend(backends []configuration.Backend, hash uint64) string {
 	total := 0
 	for _, b := range backends {
--- a/internal/cookie/router/cold.go
+++ b/internal/cookie/router/cold.go
@@ -9,10 +9,10 @@
 )
 
 const (
-	// restoredColdFor is how long the upstreams of a zone count as cold after its
-	// evacuation is revoked. They may have become cold shortly before and say so in their
-	// next announcement, which is sent every 1.2 s and may be lost once.
-	restoredColdFor = 3 * time.Second
+	// coldAfterEvacuation is how long the upstreams of a zone count as cold after its
+	// evacuation is revoked. They may have become cold shortly before, which only their next
+	// announcement reports; announcements are sent every 1.2 s, and one may be lost.
+	coldAfterEvacuation = 3 * time.Second
 	// warmWaitMax is the longest time until an upstream is warm for which a packet is worth
 	// buffering: buffered packets are dropped after a second.
 	warmWaitMax = time.Second
@@ -28,18 +28,18 @@
 		return time.Time{}, false
 	}
 	until := t.ColdUntil
-	if restored := t.zone.restored.Add(restoredColdFor); restored.After(until) {
-		until = restored
+	if afterEvacuation := t.zone.evacuationRevoked.Add(coldAfterEvacuation); afterEvacuation.After(until) {
+		until = afterEvacuation
 	}
 	return until, true
 }
 
-// allowsFlow reports whether this balancer may send an upstream another flow. Each cold
-// upstream is assigned to one balancer of its own zone, since no balancer knows what the
-// others send: with 70 balancers one upstream got 17 requests in a second at a limit of 6.
-// Shares of the rate for all would be one request in twelve seconds each, longer than
-// upstreams stay cold.
-func (r *Router) allowsFlow(now time.Time, t *target) bool {
+// withinColdLimit reports whether the cold rate of an upstream, if it is cold, allows this
+// balancer another flow. Each cold upstream is assigned to one balancer of its own zone,
+// since no balancer knows what the others send: with 70 balancers one upstream got 17 flows
+// in a second at a limit of 6. If the rate were divided among all, each could send one flow
+// in twelve seconds, longer than upstreams stay cold.
+func (r *Router) withinColdLimit(now time.Time, t *target) bool {
 	until, bounded := t.coldUntil()
 	if !bounded || !now.Before(until) || r.settings.Off.Has(mechanism.SlowStart) {
 		return true
@@ -54,16 +54,17 @@
 	}
 }
 
-// anyCold reports whether a service has upstreams that only their cold rate limit excludes.
-func (r *Router) anyCold(now time.Time, service string) bool {
+// anyColdLimited reports whether a service has upstreams that only their cold rate limit
+// excludes.
+func (r *Router) anyColdLimited(now time.Time, service string) bool {
 	p := r.pools[service]
-	limited := func(t *target) bool { return !r.allowsFlow(now, t) }
+	limited := func(t *target) bool { return !r.withinColdLimit(now, t) }
 	return p != nil && (lo.SomeBy(p.local(), limited) || lo.SomeBy(p.remote(), limited))
 }
 
-// rejectCold returns the verdict on a new flow if all upstreams are cold. The opening is
-// dropped, and so buffered, if one is warm soon; otherwise it is reset, and the caller may
-// reach the balancer that a cold upstream is assigned to.
+// rejectCold returns the verdict on a new flow if no upstream is available and some are cold.
+// The opening is dropped, and so buffered, if one of them is warm soon. Otherwise it is reset,
+// and the caller's retry may reach the balancer that a cold upstream is assigned to.
 func (r *Router) rejectCold(now time.Time, service string) Verdict {
 	v := Verdict{Action: Reset, Reason: Cold, Revision: r.revision}
 	p := r.pools[service]
--- a/internal/cookie/router/cold_test.go
+++ b/internal/cookie/router/cold_test.go
@@ -92,7 +92,7 @@
 }
 
 // Guards against cold upstreams that exceed their rate because each balancer sees only its
-// own flows and finds them idle: an upstream that had just started got 17 requests in a
+// own flows and considers them idle: an upstream that had just started got 17 flows in a
 // second at a rate of 6. Eight upstreams start beside 24 warm ones; 22 balancers get 25
 // flows a second each.
 func TestColdRateLimitsFlowsOfAllBalancers(t *testing.T) {
@@ -121,10 +121,10 @@
 	}
 }
 
-// Guards against cold upstreams of a restored zone that count as warm until their next
-// announcement, a second later, and get many times their rate. They become cold while the
-// zone is evacuated.
-func TestRestoredZoneIsColdUntilAnnouncements(t *testing.T) {
+// Guards against upstreams that become cold while their zone is evacuated, count as warm until
+// their next announcement, a second after the evacuation is revoked, and get many times their
+// rate.
+func TestZoneIsColdAfterItsEvacuation(t *testing.T) {
 	f := newColdFleet(t, 6, epoch.Add(-time.Minute), coldBalancers)
 	f.setTargets(epoch, target(1, "orders", "a"), target(2, "orders", "b"))
 	evacuated := evacuation.Evacuations{}.With(evacuation.Zone{Name: "a", Evacuated: true})
@@ -142,8 +142,8 @@
 	require.Greater(t, f.maxPerSecond(1), 25)
 }
 
-// Guards against several balancers that each take themselves for the one assigned to a cold
-// upstream: for the first seconds after a restart of all, each knows only some of the
+// Guards against several balancers that each consider a cold upstream assigned to
+// themselves: for the first seconds after a restart of all, each knows only some of the
 // others.
 func TestRestartedBalancersSendNoFlowsToColdUpstreams(t *testing.T) {
 	f := newColdFleet(t, 6, epoch, 3)
--- a/internal/cookie/router/detection.go
+++ b/internal/cookie/router/detection.go
@@ -28,7 +28,7 @@
 	// five seconds.
 	lossDecay = 0.98
 	// recentDecay is the same for the packets sent to each upstream, a window of about half
-	// a second. recentMin is a fifth of a packet, which is what one decays to after 0.7 s.
+	// a second. recentMin is a fifth of a packet: the count of one packet is that after 0.7 s.
 	recentDecay = 0.8
 	recentMin   = 0.2
 	// minSample is the number of upstreams or openings of a zone that a comparison
@@ -41,19 +41,24 @@
 	reportsPerTick = 4
 )
 
-// suspicion is what the voters report about an upstream or a whole zone.
-type suspicion struct {
+// voterSuspicion is the voters' suspicion of an upstream or a whole zone.
+type voterSuspicion struct {
 	suspicions.Suspicion
 	// refuted is set once this balancer has reported an answer since the voters' last
 	// update.
 	refuted bool
 }
 
-// active reports whether this balancer has seen no answer since the suspicion began.
-func (s *suspicion) active(alive time.Time) bool { return s != nil && alive.Before(s.First) }
+// active reports whether this balancer has seen no answer since the first unanswered packet
+// was sent.
+func (s *voterSuspicion) active(lastAlive time.Time) bool {
+	return s != nil && lastAlive.Before(s.First)
+}
 
 // unresponsive reports whether the suspicion is active and the voters' evidence suffices.
-func (s *suspicion) unresponsive(alive time.Time) bool { return s.active(alive) && s.Unresponsive }
+func (s *voterSuspicion) unresponsive(lastAlive time.Time) bool {
+	return s.active(lastAlive) && s.Unresponsive
+}
 
 // losses estimates the rate of packets lost in transit to live upstreams.
 type losses struct {
@@ -70,8 +75,8 @@
 	return min(max(l.retransmitted/max(l.answered, 1), l.zoneRate, minLossRate), maxLossRate)
 }
 
-// recent counts the packets that an upstream was recently sent and left unanswered.
-type recent struct{ sent, unanswered float64 }
+// packetCounts are the decaying numbers of packets sent to an upstream and left unanswered.
+type packetCounts struct{ sent, unanswered float64 }
 
 // updateLossRates decays the counters and compares the upstreams of the balancer's own
 // zone. If most of them leave packets unanswered at the same time, the network is lossy
@@ -81,7 +86,7 @@
 	r.losses.answered *= lossDecay
 	r.losses.retransmitted *= lossDecay
 	used, losing := 0, 0
-	var all recent
+	var all packetCounts
 	for _, s := range r.services {
 		for _, t := range s.active {
 			if t.Zone == r.settings.Zone && t.recent.sent > recentMin {
@@ -108,10 +113,10 @@
 	// that sent it.
 	lastAlive    time.Time
 	lastAnswered *target
-	suspicion    *suspicion
+	suspicion    *voterSuspicion
 	refusals     refusals
 	// restored is when the evacuation of the zone was revoked.
-	restored time.Time
+	evacuationRevoked time.Time
 }
 
 func (r *Router) zone(name string) *zone {
@@ -123,14 +128,14 @@
 	return z
 }
 
-// unresponsive reports whether the voters have confirmed that the upstream or its zone is
-// down.
+// unresponsive reports whether the voters have confirmed their suspicion of the upstream or
+// its zone, and this balancer has seen no answer since.
 func (t *target) unresponsive() bool {
 	return t.suspicion.unresponsive(t.lastAlive) || t.zone.suspicion.unresponsive(t.zone.lastAlive)
 }
 
-// evidence returns the suspicion that makes the upstream unresponsive.
-func (t *target) evidence() suspicions.Suspicion {
+// unresponsiveSuspicion returns the suspicion that makes the upstream unresponsive.
+func (t *target) unresponsiveSuspicion() suspicions.Suspicion {
 	if t.suspicion.unresponsive(t.lastAlive) {
 		return t.suspicion.Suspicion
 	}
@@ -205,9 +210,9 @@
 // that a suspicion is based on.
 func (r *Router) refuteSuspicions(now time.Time, t *target) {
 	refutes := false
-	for _, d := range [...]*suspicion{t.suspicion, t.zone.suspicion} {
-		if d != nil && !d.active(t.lastAlive) && !d.refuted {
-			d.refuted, refutes = true, true
+	for _, s := range [...]*voterSuspicion{t.suspicion, t.zone.suspicion} {
+		if s != nil && !s.active(t.lastAlive) && !s.refuted {
+			s.refuted, refutes = true, true
 		}
 	}
 	if refutes {
@@ -217,9 +222,9 @@
 	}
 }
 
-// SetSuspicions replaces all suspicions of the voters. It returns a packet for each flow to reset
-// because its upstream is unresponsive: without a reset the caller waits until its timeout,
-// and its next request on the flow is lost as well.
+// SetSuspicions replaces all suspicions of the voters. It returns, for each flow to reset
+// because its upstream is unresponsive, a Packet with the fields that a reset needs. Without a
+// reset the caller waits until its timeout, and its next request on the flow is lost as well.
 func (r *Router) SetSuspicions(now time.Time, all map[evidence.Subject]suspicions.Suspicion) []Packet {
 	for _, t := range r.suspects {
 		t.suspicion = nil
@@ -250,22 +255,22 @@
 // yet refuted, so that an answer is reported again: a voter that restarted or was informed
 // late may have missed the last report.
 func (r *Router) suspect(s evidence.Subject, reported suspicions.Suspicion) bool {
-	d := &suspicion{Suspicion: reported}
+	stored := &voterSuspicion{Suspicion: reported}
 	if z := r.zones[s.Zone]; s.Zone != "" && z != nil {
-		z.suspicion = d
+		z.suspicion = stored
 		return true
 	}
 	t := r.targets[s.Incarnation]
 	if s.Zone != "" || t == nil || t.Born != s.Born {
 		return false
 	}
-	t.suspicion = d
+	t.suspicion = stored
 	r.suspects = append(r.suspects, t)
 	return true
 }
 
-// resetUnresponsive removes the flows of unresponsive upstreams that may be reset and
-// returns a packet of each.
+// resetUnresponsive removes the flows of unresponsive upstreams that may be reset. It returns
+// a Packet for each, as described at SetSuspicions.
 func (r *Router) resetUnresponsive() []Packet {
 	var out []Packet
 	for k, f := range r.flows {
--- a/internal/cookie/router/detection_test.go
+++ b/internal/cookie/router/detection_test.go
@@ -44,7 +44,8 @@
 	accrual *accrual.Detector
 	// confirmation is the voter's probing of the hosts of suspected upstreams.
 	confirmation *confirmation.Confirmer
-	reported     []*suspicions.Set
+	// reported holds the suspicions that each balancer has received.
+	reported []*suspicions.Set
 	// shared is set if balancers report to the voter.
 	shared bool
 	// dead are the upstreams without power; slow multiplies the processing time of others.
@@ -124,7 +125,7 @@
 				r.Tick(s.Now)
 			}
 		}
-		s.decide()
+		s.evaluate()
 		s.tick()
 	})
 }
@@ -181,7 +182,7 @@
 			e.Age += delay
 			s.accrual.Record(s.Now, string(rune('a'+balancer)), e)
 		}
-		s.decide()
+		s.evaluate()
 	})
 }
 
@@ -194,12 +195,12 @@
 	return delay
 }
 
-// decide lets the voter evaluate the evidence and send changed suspicions to all balancers.
-func (s *poolSimulation) decide() {
+// evaluate lets the voter evaluate the evidence and send changed suspicions to all balancers.
+func (s *poolSimulation) evaluate() {
 	before := s.version()
 	next := s.accrual.Evaluate(s.Now, poolBalancers, s.relays)
 	if !next.IsZero() {
-		s.AfterFunc(next.Sub(s.Now), s.decide)
+		s.AfterFunc(next.Sub(s.Now), s.evaluate)
 	}
 	if s.shared {
 		s.probe()
@@ -284,7 +285,7 @@
 }
 
 // send sends the request, on a new flow if none is open, and retransmits it.
-func (s *poolSimulation) send(u *client, copies int) {
+func (s *poolSimulation) send(u *client, retransmissions int) {
 	n := u.request
 	if u.target == 0 {
 		s.openFlow(u)
@@ -299,24 +300,24 @@
 		}
 		s.arrive(u, n, v.Incarnation)
 	})
-	if copies < len(retransmitAfter) {
+	if retransmissions < len(retransmitAfter) {
 		flow := u.packet.Caller
-		s.AfterFunc(retransmitAfter[copies]-u.elapsed(copies), func() {
+		s.AfterFunc(retransmitAfter[retransmissions]-u.elapsed(retransmissions), func() {
 			s.whenScheduled(0, func() {
 				if u.pending && u.request == n && u.packet.Caller == flow && u.target != 0 {
-					s.send(u, copies+1)
+					s.send(u, retransmissions+1)
 				}
 			})
 		})
 	}
 }
 
-// elapsed returns the time from the first copy to the given one.
-func (u *client) elapsed(copies int) time.Duration {
-	if copies == 0 {
+// elapsed returns the time from the first transmission to the given retransmission.
+func (u *client) elapsed(retransmissions int) time.Duration {
+	if retransmissions == 0 {
 		return 0
 	}
-	return retransmitAfter[copies-1]
+	return retransmitAfter[retransmissions-1]
 }
 
 func (s *poolSimulation) openFlow(u *client) {
@@ -328,12 +329,12 @@
 	u.packet = router.Packet{Caller: caller(s.ports), Address: address, Opening: true}
 	n := u.request
 	p := u.packet
-	for copies, d := range append([]time.Duration{0}, retransmitAfter[:2]...) {
+	for retransmissions, d := range append([]time.Duration{0}, retransmitAfter[:2]...) {
 		s.AfterFunc(d, func() {
 			if !u.pending || u.request != n || u.target != 0 || u.packet.Caller != p.Caller {
 				return
 			}
-			p.Copy = uint32(copies)
+			p.Copy = uint32(retransmissions)
 			s.sendToBalancer(u, p, func(v router.Verdict) {
 				if v.Action != router.Forward || s.dead[v.Incarnation] || s.packetLost() {
 					return
@@ -499,11 +500,11 @@
 
 // Guards against callers of a partitioned zone that wait up to 0.8 s for a reset: with all
 // upstreams unresponsive, openings were still forwarded to one of them, and reset only with
-// the voters' next answer.
+// the voters' next response.
 func TestFlowToUnresponsiveZoneIsReset(t *testing.T) {
 	r := newRouter(t, target(1, "orders", "b"), target(2, "orders", "b"))
-	silent := map[evidence.Subject]suspicions.Suspicion{{Zone: "b"}: {First: epoch, Unresponsive: true}}
-	r.SetSuspicions(epoch.Add(time.Second), silent)
+	unresponsive := map[evidence.Subject]suspicions.Suspicion{{Zone: "b"}: {First: epoch, Unresponsive: true}}
+	r.SetSuspicions(epoch.Add(time.Second), unresponsive)
 	v := r.Route(epoch.Add(time.Second), opening(1))
 	require.Equal(t, router.Reset, v.Action)
 	require.Equal(t, router.Unresponsive, v.Reason)
--- a/internal/cookie/router/evacuate.go
+++ b/internal/cookie/router/evacuate.go
@@ -7,15 +7,14 @@
 )
 
 // Evacuate applies evacuation orders for availability zones; older revisions are ignored.
-// Open flows stay, and so do copies of an opening already placed: the caller sends the last
-// one 0.6 s after the first, and a second upstream would attract the caller's packets to a
-// flow that is not open there.
+// Open flows stay, and a retransmitted opening keeps its upstream, for the reason given at
+// routeOpening; the caller sends the last retransmission 0.6 s after the opening.
 func (r *Router) Evacuate(now time.Time, e evacuation.Evacuations) {
 	if e.Revision <= r.evacuations.Revision {
 		return
 	}
 	for _, z := range e.Zones {
-		r.restore(now, z)
+		r.recordRevocation(now, z)
 	}
 	r.evacuations = e
 	for _, t := range r.targets {
@@ -23,24 +22,24 @@
 	}
 }
 
-// restore records that the evacuation of a zone was revoked. A balancer that has just
-// started has not seen the change and uses the time of the order.
-func (r *Router) restore(now time.Time, z evacuation.Zone) {
+// recordRevocation records when the evacuation of a zone was revoked. A balancer that has just
+// started has not seen the change and relies on the time of the order.
+func (r *Router) recordRevocation(now time.Time, z evacuation.Zone) {
 	switch {
 	case z.Evacuated:
 	case r.evacuations.Evacuated(z.Name):
-		r.zone(z.Name).restored = now
-	case r.evacuations.Revision == 0 && now.Sub(z.When).Abs() < restoredColdFor:
-		r.zone(z.Name).restored = now
+		r.zone(z.Name).evacuationRevoked = now
+	case r.evacuations.Revision == 0 && now.Sub(z.When).Abs() < coldAfterEvacuation:
+		r.zone(z.Name).evacuationRevoked = now
 	}
 }
 
 // EvacuationRevision returns the revision of the evacuation orders in force.
 func (r *Router) EvacuationRevision() uint64 { return r.evacuations.Revision }
 
-// allEvacuated reports whether a service has ready upstreams in evacuated zones, which
-// choose never returns. Its new flows are rejected at once if there are no others: placing
-// them would break the operator's order, and waiting would not add an upstream.
-func (r *Router) allEvacuated(service string) bool {
+// hasEvacuated reports whether a service has ready upstreams in evacuated zones. If it has
+// only these, new flows are reset at once: placing them would violate the operator's order,
+// and waiting would not add an upstream.
+func (r *Router) hasEvacuated(service string) bool {
 	return len(r.pool(service).lists[evacuated]) > 0
 }
--- a/internal/cookie/router/evacuate_test.go
+++ b/internal/cookie/router/evacuate_test.go
@@ -33,7 +33,7 @@
 	}
 	require.Zero(t, counts[1])
 	require.InDelta(t, counts[2], counts[3], 2, "callers of the zone are spread evenly over the others")
-	require.Equal(t, uint64(1), r.Route(epoch, opening(1)).Incarnation, "a copy goes to the upstream of the first packet")
+	require.Equal(t, uint64(1), r.Route(epoch, opening(1)).Incarnation, "a retransmission goes to the upstream of the first packet")
 	known := r.Route(epoch, router.Packet{Caller: caller(1), Address: orders, Cookie: router.Cookie(1, 0), Length: 10})
 	require.Equal(t, router.Forward, known.Action, "open flows stay")
 	// Neither a repeated announcement nor a new upstream of the zone changes the pool.
--- a/internal/cookie/router/flow.go
+++ b/internal/cookie/router/flow.go
@@ -24,7 +24,8 @@
 // flow is the state of a flow that passed through this balancer.
 type flow struct {
 	target *target
-	seen   time.Time
+	// lastPacket is when the caller's latest packet arrived.
+	lastPacket time.Time
 	// opened is when this balancer placed the opening, zero if another balancer did.
 	opened time.Time
 	// opening is set until the caller completes the handshake.
@@ -50,7 +51,7 @@
 	if len(r.flows) >= maxFlows {
 		return
 	}
-	f := r.addFlow(k, flow{target: t, seen: now, opened: now, sent: now, opening: true})
+	f := r.addFlow(k, flow{target: t, lastPacket: now, opened: now, sent: now, opening: true})
 	t.addPending(1, 0)
 	t.noteSent()
 	t.zone.refusals.startTrial(now)
@@ -107,7 +108,7 @@
 		}
 		f = r.addFlow(k, flow{target: t, nextSequence: p.Sequence, acknowledged: p.Acknowledged})
 	}
-	f.seen = now
+	f.lastPacket = now
 	if f.opening {
 		f.opening = false
 		t.addPending(-1, 0)
@@ -177,7 +178,7 @@
 func (r *Router) Tick(now time.Time) {
 	r.compareResponseTimes(now)
 	for _, s := range r.services {
-		s.expire(now)
+		s.markOverdue(now)
 	}
 	r.detectAbandoned(now)
 	for _, z := range r.zones {
@@ -191,7 +192,7 @@
 	r.expireFormerInstances(now)
 	for k, f := range r.flows {
 		switch {
-		case f.opening && now.Sub(f.sent) > openingTTL, now.Sub(f.seen) > flowTTL:
+		case f.opening && now.Sub(f.sent) > openingTTL, now.Sub(f.lastPacket) > flowTTL:
 			r.removeFlow(k, f)
 		case f.requestPending && now.Sub(f.sent) > requestTTL:
 			f.requestPending = false
--- a/internal/cookie/router/load_test.go
+++ b/internal/cookie/router/load_test.go
@@ -358,8 +358,9 @@
 	fleetObjective = 500 * time.Millisecond
 )
 
-// simulateFleet simulates a load on balancers that know the number of balancers, or 0, and
-// on upstreams of which some accept requests and never answer.
+// simulateFleet simulates callers that offer a load, as a share of the capacity, to balancers
+// that know the given number of balancers (0: unknown). Hanging upstreams accept requests and
+// never answer.
 func simulateFleet(t *testing.T, load float64, known, hanging int) *simulation {
 	return simulateFleetSeeded(t, load, known, hanging, 1)
 }
@@ -443,8 +444,8 @@
 		if share >= 0.5 {
 			continue
 		}
-		// Pauses of 1, 2 and 4 s allow three attempts in five seconds, in addition to one
-		// that began before the first was known to be refused.
+		// Suspicions of 1, 2 and 4 s allow three attempts in five seconds, in addition to one
+		// that began before the first refusal was detected.
 		require.LessOrEqual(t, float64(s.refused), 4*share*fleetUpstreams*fleetBalancers)
 	}
 }
@@ -544,7 +545,7 @@
 		}
 	}
 	t.Logf("not served %d of %d, %d of them half a second after the crash and later; rejected %d", len(s.unserved), s.offered, late, s.rejected)
-	require.Less(t, len(s.unserved), s.offered/20, "a quarter of a second of ten")
+	require.Less(t, len(s.unserved), s.offered/20, "fewer than the requests of half a second")
 	require.Less(t, late, s.offered/200)
 	require.Zero(t, s.rejected)
 }
--- a/internal/cookie/router/overdue.go
+++ b/internal/cookie/router/overdue.go
@@ -7,10 +7,10 @@
 
 const (
 	// overdueAfter is the age from which a pending request no longer occupies its upstream,
-	// or overdueTimes the median response time of the service if that is longer: its
+	// or overdueFactor times the median response time of the service if that is longer: its
 	// packets were lost, or its upstream is down or hangs.
-	overdueAfter = 300 * time.Millisecond
-	overdueTimes = 4
+	overdueAfter  = 300 * time.Millisecond
+	overdueFactor = 4
 	// openingOverdueAfter is the same for an opening: upstreams accept connections without
 	// occupying a slot, within a few round trips between zones.
 	openingOverdueAfter = 100 * time.Millisecond
@@ -24,31 +24,31 @@
 }
 
 // stillPending reports whether the flow still waits for the same answer.
-func (w pendingAnswer) stillPending() bool {
-	f := w.flow
-	return f.target == w.target && f.sent.Equal(w.sent) && (f.opening || f.requestPending)
+func (p pendingAnswer) stillPending() bool {
+	f := p.flow
+	return f.target == p.target && f.sent.Equal(p.sent) && (f.opening || f.requestPending)
 }
 
-// pendingQueue holds pending answers in the order in which their packets were sent. The
-// first expired of them have been processed.
+// pendingQueue holds pending answers in the order in which their packets were sent; processed
+// is how many at its front have reached the queue's age limit.
 type pendingQueue struct {
-	pending []pendingAnswer
-	expired int
+	pending   []pendingAnswer
+	processed int
 }
 
-func (w *pendingQueue) add(f *flow) {
-	w.pending = append(w.pending, pendingAnswer{flow: f, target: f.target, sent: f.sent})
+func (q *pendingQueue) add(f *flow) {
+	q.pending = append(q.pending, pendingAnswer{flow: f, target: f.target, sent: f.sent})
 }
 
 // expire calls a function once for each entry that has reached the given age.
-func (w *pendingQueue) expire(now time.Time, age time.Duration, onExpired func(pendingAnswer)) {
-	for w.expired < len(w.pending) && now.Sub(w.pending[w.expired].sent) >= age {
-		onExpired(w.pending[w.expired])
-		w.expired++
+func (q *pendingQueue) expire(now time.Time, age time.Duration, onExpired func(pendingAnswer)) {
+	for q.processed < len(q.pending) && now.Sub(q.pending[q.processed].sent) >= age {
+		onExpired(q.pending[q.processed])
+		q.processed++
 	}
-	if 2*w.expired >= len(w.pending) {
-		w.pending = slices.Delete(w.pending, 0, w.expired)
-		w.expired = 0
+	if 2*q.processed >= len(q.pending) {
+		q.pending = slices.Delete(q.pending, 0, q.processed)
+		q.processed = 0
 	}
 }
 
@@ -58,22 +58,22 @@
 	s := f.target.service
 	if f.opening {
 		s.openings.add(f)
-		s.handshakes.add(f)
+		s.refusalChecks.add(f)
 	} else {
 		s.requests.add(f)
 	}
 	f.setOverdue(f.target.suspected(now) || f.target.suspectedByVoters())
 }
 
-// expire marks flows as overdue that have waited too long.
-func (s *service) expire(now time.Time) {
-	overdue := func(w pendingAnswer) {
-		if w.stillPending() {
-			w.flow.setOverdue(true)
+// markOverdue marks the flows as overdue that have waited too long.
+func (s *service) markOverdue(now time.Time) {
+	overdue := func(p pendingAnswer) {
+		if p.stillPending() {
+			p.flow.setOverdue(true)
 		}
 	}
 	s.openings.expire(now, openingOverdueAfter, overdue)
-	s.requests.expire(now, max(overdueAfter, overdueTimes*s.medianResponseTime), overdue)
+	s.requests.expire(now, max(overdueAfter, overdueFactor*s.medianResponseTime), overdue)
 }
 
 // setOverdue sets whether the flow's pending answer is overdue.
--- a/internal/cookie/router/packet.go
+++ b/internal/cookie/router/packet.go
@@ -9,7 +9,8 @@
 type Packet struct {
 	Caller  netip.AddrPort
 	Address netip.AddrPort
-	// Opening is set if the packet requests a new flow; Copy counts its retransmissions.
+	// Opening is set if the packet requests a new flow; Copy is then how often the caller has
+	// sent it before.
 	Opening bool
 	Copy    uint32
 	Finish  bool
@@ -26,12 +27,13 @@
 }
 
 // rejectableFor is the age up to which an opening may be rejected. Callers retransmit after
-// 200 ms, and the copy may open the flow through another balancer; the difference allows
-// for the reset's transit time.
+// 200 ms, and the retransmission may open the flow through another balancer; the difference
+// allows for the reset's transit time.
 const rejectableFor = 160 * time.Millisecond
 
-// Rejectable reports whether no copy of an opening can have opened its flow yet. A reset
-// would then abort an open flow; without one the caller's attempt times out.
+// Rejectable reports whether an opening may be answered by a reset, because no other
+// transmission of it can have opened the flow yet. Otherwise the reset might abort an open
+// flow; the opening is dropped instead, and the caller's attempt times out.
 func (p Packet) Rejectable() bool { return p.Copy == 0 && p.Waited < rejectableFor }
 
 // Flow identifies a flow by its two endpoints.
@@ -72,7 +74,7 @@
 	Unconfigured
 	// NoRoute means that no route has the address.
 	NoRoute
-	// NoUpstream means that the route's service has no upstream.
+	// NoUpstream means that the route's service has no upstream for new flows.
 	NoUpstream
 	// UnknownCookie means that the cookie matches no known upstream.
 	UnknownCookie
--- a/internal/cookie/router/place.go
+++ b/internal/cookie/router/place.go
@@ -9,18 +9,18 @@
 	"wasabideal/internal/cookie/mechanism"
 )
 
-// place decides on an opening. A copy goes to the upstream chosen for the first packet: a
-// second upstream that answers later would attract the caller's packets to a flow that is
-// not open there.
-func (r *Router) place(now time.Time, p Packet) Verdict {
-	v := r.placeOrReject(now, p)
+// routeOpening decides on an opening. A retransmission goes to the upstream chosen before: if
+// two upstreams answered, the caller would echo the cookie of the later answer, and its
+// packets would go to an upstream where the flow is not open.
+func (r *Router) routeOpening(now time.Time, p Packet) Verdict {
+	v := r.decideOpening(now, p)
 	if v.Action == Reset && !p.Rejectable() {
 		v.Action = Drop
 	}
 	return v
 }
 
-func (r *Router) placeOrReject(now time.Time, p Packet) Verdict {
+func (r *Router) decideOpening(now time.Time, p Packet) Verdict {
 	if r.revision == 0 {
 		return Verdict{Action: Drop, Reason: Unconfigured}
 	}
@@ -38,11 +38,11 @@
 		}
 		r.removeFlow(k, f)
 	}
-	return r.placeNew(now, k, route)
+	return r.decideNewFlow(now, k, route)
 }
 
-// placeNew decides on an opening of a flow that is not stored.
-func (r *Router) placeNew(now time.Time, k Flow, route route) Verdict {
+// decideNewFlow decides on an opening of a flow that is not stored.
+func (r *Router) decideNewFlow(now time.Time, k Flow, route route) Verdict {
 	r.detectAbandoned(now)
 	hash := k.hash()
 	service := pickBackend(route.backends, hash)
@@ -51,10 +51,10 @@
 		return v
 	}
 	t := r.choose(now, service, route.Class)
-	if t == nil && r.anyCold(now, service) {
+	if t == nil && r.anyColdLimited(now, service) {
 		return r.rejectCold(now, service)
 	}
-	if t == nil && r.allEvacuated(service) {
+	if t == nil && r.hasEvacuated(service) {
 		return Verdict{Action: Reset, Reason: Evacuated, Revision: r.revision}
 	}
 	if t == nil && !settled {
--- a/internal/cookie/router/pool.go
+++ b/internal/cookie/router/pool.go
@@ -2,25 +2,25 @@
 
 import "wasabideal/internal/cookie/mechanism"
 
-// placement classifies the upstreams of a service for new flows of this balancer.
-type placement int
+// poolList is one of the lists into which a pool divides the upstreams of a service.
+type poolList int
 
 const (
-	// excluded upstreams get no new flows.
-	excluded placement = iota
+	// excluded upstreams get no new flows and are in no list.
+	excluded poolList = iota
 	// localZone upstreams are in the balancer's own zone, remoteZone upstreams in another
 	// one.
 	localZone
 	remoteZone
-	// evacuated upstreams would be in one of these if their zone were not evacuated.
+	// evacuated upstreams would be in one of these lists if their zone were not evacuated.
 	evacuated
-	placementCount
+	poolListCount
 )
 
-// pool lists the ready upstreams of a service by placement. Each upstream stores its
+// pool holds the lists of the ready upstreams of a service. Each upstream stores its
 // position, so that an update takes constant time regardless of the pool's size.
 type pool struct {
-	lists [placementCount][]*target
+	lists [poolListCount][]*target
 	// slots is the number of requests that all upstreams with new flows process
 	// concurrently.
 	slots int
@@ -28,10 +28,10 @@
 
 // position is the location of an upstream in its pool, and the slots that it contributes.
 type position struct {
-	pool      *pool
-	placement placement
-	index     int
-	slots     int
+	pool  *pool
+	list  poolList
+	index int
+	slots int
 }
 
 // local and remote return the upstreams that get new flows.
@@ -39,19 +39,19 @@
 func (p *pool) remote() []*target { return p.lists[remoteZone] }
 
 // set moves an upstream to another list.
-func (p *pool) set(t *target, to placement) {
+func (p *pool) set(t *target, to poolList) {
 	slots := 0
 	if to == localZone || to == remoteZone {
 		slots = max(int(t.Slots), 1)
 	}
-	if t.position == (position{pool: p, placement: to, index: t.position.index, slots: slots}) {
+	if t.position == (position{pool: p, list: to, index: t.position.index, slots: slots}) {
 		return
 	}
 	t.removeFromPool()
 	if to == excluded {
 		return
 	}
-	t.position = position{pool: p, placement: to, index: len(p.lists[to]), slots: slots}
+	t.position = position{pool: p, list: to, index: len(p.lists[to]), slots: slots}
 	p.lists[to] = append(p.lists[to], t)
 	p.slots += slots
 }
@@ -59,21 +59,21 @@
 // removeFromPool removes an upstream from its list by swapping it with the last entry.
 func (t *target) removeFromPool() {
 	current := t.position
-	if current.placement == excluded {
+	if current.list == excluded {
 		return
 	}
-	list := current.pool.lists[current.placement]
+	list := current.pool.lists[current.list]
 	last := len(list) - 1
 	list[current.index] = list[last]
 	list[current.index].position.index = current.index
 	list[last] = nil
-	current.pool.lists[current.placement] = list[:last]
+	current.pool.lists[current.list] = list[:last]
 	current.pool.slots -= current.slots
 	t.position = position{}
 }
 
-// updatePool moves an upstream to the list of its current placement.
-func (r *Router) updatePool(t *target) { r.pool(t.Service).set(t, r.placement(t)) }
+// updatePool moves an upstream to the list of its current state.
+func (r *Router) updatePool(t *target) { r.pool(t.Service).set(t, r.poolListOf(t)) }
 
 func (r *Router) pool(service string) *pool {
 	p := r.pools[service]
@@ -84,7 +84,8 @@
 	return p
 }
 
-func (r *Router) placement(t *target) placement {
+// poolListOf returns the list for an upstream's current state.
+func (r *Router) poolListOf(t *target) poolList {
 	switch {
 	case !t.acceptsFlows():
 		return excluded
--- a/internal/cookie/router/refused.go
+++ b/internal/cookie/router/refused.go
@@ -18,8 +18,8 @@
 // ended resets callers directly, so the balancer sees only that the handshake is not
 // completed.
 type refusals struct {
-	// opened counts the openings of at least abandonedAfter, abandoned those of them that
-	// were abandoned.
+	// opened counts the openings that have reached the age abandonedAfter, abandoned those of
+	// them that were abandoned.
 	opened, abandoned float64
 	// until is when the zone may be tried again, zero if it is not suspected.
 	until time.Time
@@ -48,17 +48,17 @@
 func (r *Router) detectAbandoned(now time.Time) {
 	abandoned := r.abandoned[:0]
 	for _, s := range r.services {
-		s.handshakes.expire(now, abandonedAfter, func(w pendingAnswer) {
-			x := &w.target.zone.refusals
+		s.refusalChecks.expire(now, abandonedAfter, func(p pendingAnswer) {
+			x := &p.target.zone.refusals
 			x.opened++
-			if w.stillPending() && !w.flow.retransmitted {
+			if p.stillPending() && !p.flow.retransmitted {
 				x.abandoned++
-				abandoned = append(abandoned, w)
+				abandoned = append(abandoned, p)
 			}
 		})
 	}
-	for _, w := range abandoned {
-		r.suspectRefused(now, w)
+	for _, p := range abandoned {
+		r.suspectRefused(now, p)
 	}
 	r.abandoned = abandoned
 }
@@ -67,17 +67,17 @@
 // openings there are abandoned and none was answered since. Callers that lost connectivity,
 // or that never complete handshakes, look the same: if openings to another zone are
 // abandoned, too, no upstream is suspected.
-func (r *Router) suspectRefused(now time.Time, w pendingAnswer) {
-	z := w.target.zone
-	answering := z.lastAlive.After(w.sent)
+func (r *Router) suspectRefused(now time.Time, p pendingAnswer) {
+	z := p.target.zone
+	answering := z.lastAlive.After(p.sent)
 	switch x := &z.refusals; {
 	case answering || !x.mostAbandoned() && !x.suspected():
-		r.suspectLocally(now, w.flow)
+		r.suspectLocally(now, p.flow)
 	case r.abandonedElsewhere(z):
 		x.until = time.Time{}
 	default:
 		if !x.suspected() && r.settings.ZoneRefused != nil {
-			r.settings.ZoneRefused(w.target.Zone)
+			r.settings.ZoneRefused(p.target.Zone)
 		}
 		x.until = now.Add(zoneRefusalPeriod)
 	}
--- a/internal/cookie/router/reset.go
+++ b/internal/cookie/router/reset.go
@@ -28,8 +28,8 @@
 func (r *Router) resetFlow(k Flow, f *flow, t *target, reason Reason) Verdict {
 	x := FlowReset{Flow: k, Reason: reason, Incarnation: t.Incarnation, Born: t.Born, Live: t.Live, Handshake: true, Evidence: t.endObserved}
 	if reason == Unresponsive {
-		d := t.evidence()
-		x.Evidence, x.Voter = d.First, d.Voter
+		s := t.unresponsiveSuspicion()
+		x.Evidence, x.Voter = s.First, s.Voter
 	}
 	if f != nil {
 		x.Opened, x.Handshake = f.opened, !f.opening
--- a/internal/cookie/router/router.go
+++ b/internal/cookie/router/router.go
@@ -59,7 +59,7 @@
 	losses         losses
 	// abandoned are the openings found abandoned by the last check; the slice is reused.
 	abandoned []pendingAnswer
-	// suspects are the upstreams that voters suspect.
+	// suspects are the upstreams that the voters suspect.
 	suspects []*target
 	// reports are the queued events for the voters, reportBudget the number of unanswered
 	// packets that may still be reported.
@@ -121,17 +121,17 @@
 // Revision returns the revision in force, 0 before the first configuration.
 func (r *Router) Revision() uint64 { return r.revision }
 
-// settlePeriod is how long after a start running upstreams may still be unknown: one and a
-// half announcement intervals. Until then flows are neither reset for a missing upstream
-// nor rejected for overload. After an outage all callers return at once and are served
-// within a second: of 766 requests in the first two seconds, 136 failed with rejections and
-// 46 without.
+// settlePeriod is how long after the first upstreams became known others may still be
+// unknown: one and a half announcement intervals. Until then flows are neither reset for a
+// missing upstream nor rejected for overload. After an outage all callers return at once
+// and are served within a second: of 766 requests in the first two seconds, 136 failed with
+// rejections and 46 without.
 const settlePeriod = 1800 * time.Millisecond
 
 // Route decides on one packet from a caller.
 func (r *Router) Route(now time.Time, p Packet) Verdict {
 	if p.Opening {
-		return r.place(now, p)
+		return r.routeOpening(now, p)
 	}
 	if p.Cookie == 0 {
 		return Verdict{Action: Drop, Reason: Stray}
--- a/internal/cookie/router/router_test.go
+++ b/internal/cookie/router/router_test.go
@@ -107,8 +107,8 @@
 }
 
 // Guards against resets of openings for upstreams that are running but not yet known: after
-// a power loss, the first voter to answer a balancer has not yet heard from any upstream of
-// a service.
+// a power loss, the first voter to answer a balancer has not yet received an announcement of
+// any upstream of a service.
 func TestOpeningsAreDroppedUntilUpstreamsAreKnown(t *testing.T) {
 	r := router.New(router.Settings{Zone: "a"})
 	require.NoError(t, r.Configure(configured(1)))
@@ -152,7 +152,7 @@
 	r := newRouter(t, target(1, "orders", "a"), target(2, "orders", "a"))
 	first := r.Route(epoch, opening(1)).Incarnation
 	later := epoch.Add(200 * time.Millisecond)
-	require.Equal(t, first, r.Route(later, opening(1)).Incarnation, "a copy goes to the same upstream")
+	require.Equal(t, first, r.Route(later, opening(1)).Incarnation, "a retransmission goes to the same upstream")
 	for n := range 20 {
 		require.NotEqual(t, first, r.Route(later, opening(10+n)).Incarnation)
 	}
@@ -365,7 +365,7 @@
 	oldCookie := r.Route(epoch, opening(1)).Cookie
 	r.SetTargets(epoch, []view.Target{restarted})
 	retransmitted := r.Route(epoch, opening(1))
-	require.Equal(t, router.Placed, retransmitted.Reason, "a copy of an opening goes to the current instance")
+	require.Equal(t, router.Placed, retransmitted.Reason, "a retransmitted opening goes to the current instance")
 	require.NotEqual(t, oldCookie, retransmitted.Cookie)
 	v := r.Route(epoch, router.Packet{Caller: caller(2), Address: orders, Cookie: oldCookie, Length: 9})
 	require.Equal(t, router.Forward, v.Action, "the upstream resets flows that it does not hold")
--- a/internal/cookie/router/service.go
+++ b/internal/cookie/router/service.go
@@ -24,9 +24,10 @@
 	// limit.
 	coldRate float64
 	// overdue counts the flows in flight whose answer is late. The queues openings and
-	// requests hold all pending answers; handshakes holds openings to check for refusals.
-	overdue                        int
-	openings, requests, handshakes pendingQueue
+	// requests hold all pending answers until they are overdue, refusalChecks those to
+	// openings until they count as abandoned.
+	overdue                           int
+	openings, requests, refusalChecks pendingQueue
 	// concurrency tracks the recent number of flows in flight.
 	concurrency concurrency.InFlightAverage
 	// urgency determines which priorities are the most urgent among recent flows.
@@ -64,7 +65,7 @@
 		_, answers := t.response.Mean(now)
 		t.active = answers || t.recent.sent > recentMin || t.recent.unanswered > recentMin
 		if !t.active {
-			t.recent = recent{}
+			t.recent = packetCounts{}
 		}
 		return !t.active
 	})
@@ -80,7 +81,7 @@
 	return s
 }
 
-// admission returns the response times that apply to requests of a class.
+// admission returns the admission control that applies to requests of a class.
 func (s *service) admission(c configuration.Class) *admission.Admission {
 	if c == configuration.Upload {
 		return &s.uploadAdmission
@@ -132,7 +133,7 @@
 	}
 	share := concurrency.Share{Slots: p.slots, Balancers: r.balancers}
 	limit, known := share.Limit(urgent)
-	s.expire(now)
+	s.markOverdue(now)
 	inFlight := s.effectiveInFlight()
 	if !s.concurrency.Update(now, inFlight, limit) || !known {
 		return Verdict{}, false
--- a/internal/cookie/router/target.go
+++ b/internal/cookie/router/target.go
@@ -40,7 +40,7 @@
 	flows    int
 	response response.Tracker
 	zone     *zone
-	recent   recent
+	recent   packetCounts
 	// coldWindow limits the rate of flows that this balancer sends while the upstream is
 	// cold.
 	coldWindow slowstart.Window
@@ -48,8 +48,9 @@
 	endObserved time.Time
 	// active is set while the service's active list has the upstream.
 	active bool
-	// suspicion is the voters' suspicion of the upstream, nil if there is none.
-	suspicion *suspicion
+	// suspicion is the voters' suspicion of the upstream, nil if there is none;
+	// localSuspicion is that of this balancer.
+	suspicion *voterSuspicion
 	localSuspicion
 }
 
@@ -76,8 +77,9 @@
 type localSuspicion struct {
 	// lastAlive is the time of the latest answer.
 	lastAlive time.Time
-	until     time.Time
-	backoff   time.Duration
+	// until is when the suspicion ends, backoff how long the latest one lasts.
+	until   time.Time
+	backoff time.Duration
 }
 
 func (s *localSuspicion) suspected(now time.Time) bool { return now.Before(s.until) }
