--- a/internal/cookie/follower/fetcher.go
+++ b/internal/cookie/follower/fetcher.go
@@ -34,10 +34,10 @@
 
 // fetcher fetches configurations from one source at a time.
 type fetcher struct {
-	token    string
-	listener Listener
-	log      hclog.Logger
-	mu       sync.Mutex
+	token   string
+	handler Handler
+	log     hclog.Logger
+	mu      sync.Mutex
 	// voters returns the fallback sources for when a parent does not deliver the revision it
 	// announced.
 	voters func() []string
@@ -53,9 +53,9 @@
 	lastRevision uint64
 }
 
-func newFetcher(token string, l Listener, voters func() []string, log hclog.Logger) *fetcher {
+func newFetcher(token string, h Handler, voters func() []string, log hclog.Logger) *fetcher {
 	return &fetcher{
-		voters: voters, token: token, listener: l, log: log, available: map[string]uint64{}, attempts: map[string]int{}, wake: make(chan struct{}, 1),
+		voters: voters, token: token, handler: h, log: log, available: map[string]uint64{}, attempts: map[string]int{}, wake: make(chan struct{}, 1),
 	}
 }
 
@@ -144,7 +144,7 @@
 func (f *fetcher) fetchAll(ctx context.Context) {
 	pause := fetchBackoff
 	for {
-		current := f.listener.Configuration().Revision
+		current := f.handler.Configuration().Revision
 		address, again := f.nextSource(current)
 		if address == "" {
 			return
@@ -162,7 +162,7 @@
 			f.log.Warn("failed to fetch configuration", "Address", address, "Error", err)
 			continue
 		}
-		if f.listener.Configuration().Revision == current {
+		if f.handler.Configuration().Revision == current {
 			// The source counts as tried; an immediate retry would loop and keep both sides busy.
 			f.fallBackToVoters(address)
 			continue
@@ -199,7 +199,7 @@
 	defer cancel()
 	client := rpc.NewClient(address, f.token)
 	defer client.Close()
-	current := f.listener.Configuration()
+	current := f.handler.Configuration()
 	c, err := requestConfiguration(ctx, client, current, current.Revision)
 	var gap *history.GapError
 	var digest *history.DigestError
@@ -210,7 +210,7 @@
 	if err != nil {
 		return err
 	}
-	f.listener.OnConfiguration(address, c)
+	f.handler.OnConfiguration(address, c)
 	return nil
 }
 
--- a/internal/cookie/follower/fetcher_test.go
+++ b/internal/cookie/follower/fetcher_test.go
@@ -10,9 +10,9 @@
 
 // Guards against a balancer that places flows by a configuration replaced 5.5 s earlier, where 5 s
 // are allowed. During a series of quick changes its parent lost power after it announced the first
-// one, and the fetch took 2 s to time out. The next parent had just started and served no
-// configuration. Each further change reset its attempt count, and each refusal doubled the pause,
-// up to a second.
+// one, and the fetch took 2 s to time out. The next parent had just started and rejected each
+// fetch. Each further change reset its attempt count, and each rejected fetch doubled the pause, up
+// to a second.
 func TestFailedSourceIsRetriedLast(t *testing.T) {
 	f := newFetcher("", nil, func() []string { return []string{"voter"} }, hclog.NewNullLogger())
 	f.noteRevision("dead", 8)
--- a/internal/cookie/follower/follower.go
+++ b/internal/cookie/follower/follower.go
@@ -33,10 +33,10 @@
 	// voterGrace is the time beyond voterHold after which a poll times out. It covers several round
 	// trips to the farthest zone and the scheduling delay of a slow voter.
 	voterGrace = 700 * time.Millisecond
-	// voterExpiry is how long a failing voter is still polled after the last source listed it.
+	// voterExpiry is how long a failing voter is still polled once no source lists it any more.
 	voterExpiry = 30 * time.Second
-	// maxLocalVoters is how many voters of the own zone are polled in addition to the seeds while a
-	// subset of the voters is enough.
+	// maxLocalVoters is how many voters of the balancer's zone are polled in addition to the seeds
+	// while a subset of the voters is enough.
 	maxLocalVoters = 2
 	// reconcileInterval is the interval at which the sources are re-evaluated without an event.
 	reconcileInterval = 100 * time.Millisecond
@@ -46,9 +46,9 @@
 // two polls without a response.
 const ContactLease = 2 * (voterHold + voterGrace)
 
-// Listener receives the responses of the sources. Its methods are called one at a time, except those
-// for configurations, which several goroutines call.
-type Listener interface {
+// Handler receives the responses of the sources and returns the state in force. OnVoterState is
+// called by one goroutine at a time, the other methods by several concurrently.
+type Handler interface {
 	// Configuration returns the configuration in force.
 	Configuration() configuration.Configuration
 	// HasUpstreams reports whether any upstreams are known.
@@ -57,9 +57,9 @@
 	OnConfiguration(address string, c configuration.Configuration)
 	// OnVoterState receives the state that a voter sent.
 	OnVoterState(now time.Time, x origins.Update)
-	// Evacuations returns the evacuation orders in force, and OnEvacuations receives those of the voter
-	// or balancer at an address. OnEvacuations is called before the rest of the same response is applied,
-	// so that no flow is placed by that response without them.
+	// Evacuations returns the evacuation orders in force, and OnEvacuations receives those of the
+	// voter or balancer at an address. OnEvacuations is called before the rest of the same response
+	// is applied: otherwise flows would go to upstreams of that response in an evacuated zone.
 	Evacuations() evacuation.Evacuations
 	OnEvacuations(address string, e evacuation.Evacuations)
 }
@@ -70,7 +70,7 @@
 	// From identifies the balancer to voters; it is empty if the follower runs in a voter.
 	From  string
 	Clock func() time.Time
-	// Self describes this balancer to its followers. Without an address, only voters are followed.
+	// Self is this balancer as reported to its sources. Without an address, only voters are polled.
 	Self member.Member
 	// Shape is the shape of the zone's fan-out tree.
 	Shape tree.Shape
@@ -83,21 +83,21 @@
 type Follower struct {
 	settings Settings
 	log      hclog.Logger
-	listener Listener
+	handler  Handler
 	// applying serializes the responses of several sources.
 	applying sync.Mutex
 	mu       sync.Mutex
 	ctx      context.Context
-	// watches holds the polled sources by address.
-	watches map[string]*watch
-	// voterSeen maps each known voter to the time when a source last listed it; seeds are the
+	// polled holds the polled sources by address.
+	polled map[string]*source
+	// voterSeen maps each known voter to the time when any source last listed it; seeds are the
 	// voters from the settings.
 	voterSeen map[string]time.Time
 	seeds     map[string]bool
 	origins   *origins.Origins
 	// bootstrap decides which voter is polled first after the start.
 	bootstrap bootstrap.Sequencer
-	// selection is nil if only voters are followed.
+	// selection is nil if only voters are polled.
 	selection  *selection.Selection
 	membership *membership.Membership
 	// followers are the direct and indirect followers of this balancer.
@@ -107,8 +107,8 @@
 	running   sync.WaitGroup
 }
 
-// watch is one polled source.
-type watch struct {
+// source is a voter or balancer that is polled.
+type source struct {
 	// voter is false if the source is a balancer.
 	voter bool
 	stop  context.CancelFunc
@@ -116,16 +116,16 @@
 	responsive bool
 	// balancers is the number of balancers in all zones that the source knows.
 	balancers int
-	uplink    *uplink
+	reporter  *reporter
 }
 
 // New returns a follower; Start starts it.
-func New(s Settings, l Listener, log hclog.Logger) *Follower {
+func New(s Settings, h Handler, log hclog.Logger) *Follower {
 	f := &Follower{
-		settings: s, log: log, listener: l, watches: map[string]*watch{}, voterSeen: map[string]time.Time{},
+		settings: s, log: log, handler: h, polled: map[string]*source{}, voterSeen: map[string]time.Time{},
 		origins: origins.New(), membership: membership.New(), followers: members.New(), pool: pool.New(s.Token),
 	}
-	f.fetcher = newFetcher(s.Token, l, f.knownVoters, log)
+	f.fetcher = newFetcher(s.Token, h, f.knownVoters, log)
 	if s.Self.Address != "" {
 		f.selection = selection.New(selection.Settings{
 			Self: s.Self.Address, Shape: s.Shape, StaleAfter: s.StaleAfter, Jitter: jitter(s.Self.Address),
@@ -194,8 +194,8 @@
 	}
 }
 
-// reconcile starts watches for newly selected sources and stops those for the others. The caller
-// holds the lock.
+// reconcile starts to poll newly selected sources and stops polling those no longer selected. The
+// caller holds the lock.
 func (f *Follower) reconcile(now time.Time) {
 	if f.ctx == nil || f.ctx.Err() != nil {
 		return
@@ -207,17 +207,17 @@
 			f.expireVoter(now, a)
 		}
 	}
-	for a, w := range f.watches {
+	for a, src := range f.polled {
 		if !wanted[a] {
-			w.stop()
-			delete(f.watches, a)
+			src.stop()
+			delete(f.polled, a)
 			f.membership.RemoveSource(now, a)
 		}
 	}
 	for a := range wanted {
-		if f.watches[a] == nil {
+		if f.polled[a] == nil {
 			_, voter := f.voterSeen[a]
-			f.startWatch(a, voter)
+			f.startPolling(a, voter)
 		}
 	}
 }
@@ -245,7 +245,7 @@
 }
 
 // voterSubset returns the voters that are enough for a limited time: the seeds, and some voters of
-// the own zone, which stay reachable if the zone is cut off.
+// the balancer's zone, which stay reachable if the zone is partitioned.
 func (f *Follower) voterSubset() map[string]bool {
 	out := map[string]bool{}
 	maps.Copy(out, f.seeds)
@@ -270,7 +270,7 @@
 		return chosen
 	}
 	for a := range f.seeds {
-		if w := f.watches[a]; w == nil || !w.responsive {
+		if src := f.polled[a]; src == nil || !src.responsive {
 			continue
 		}
 		if chosen == "" || hash(a+f.settings.From) < hash(chosen+f.settings.From) {
@@ -296,7 +296,7 @@
 
 // countAnsweringVoters returns how many voters answered their last poll.
 func (f *Follower) countAnsweringVoters() int {
-	return lo.CountBy(lo.Values(f.watches), func(w *watch) bool { return w.voter && w.responsive })
+	return lo.CountBy(lo.Values(f.polled), func(src *source) bool { return src.voter && src.responsive })
 }
 
 // knownVoters returns the addresses of all known voters.
@@ -314,25 +314,25 @@
 	}
 }
 
-// startWatch starts polling a source. The caller holds the lock.
-func (f *Follower) startWatch(address string, voter bool) {
+// startPolling starts polling a source. The caller holds the lock.
+func (f *Follower) startPolling(address string, voter bool) {
 	ctx, cancel := context.WithCancel(f.ctx)
-	w := &watch{voter: voter, stop: cancel}
-	w.uplink = &uplink{
+	src := &source{voter: voter, stop: cancel}
+	src.reporter = &reporter{
 		token: f.settings.Token, to: address, clock: f.settings.Clock, log: f.log, wake: make(chan struct{}, 1),
 		followerReport: func() []members.Heartbeat { return f.followerReport(address) },
 	}
-	f.watches[address] = w
+	f.polled[address] = src
 	f.running.Add(2)
 	go func() {
 		defer f.running.Done()
-		w.uplink.run(ctx)
+		src.reporter.run(ctx)
 	}()
 	go func() {
 		defer f.running.Done()
 		defer cancel()
 		if voter {
-			f.pollVoter(ctx, address, w)
+			f.pollVoter(ctx, address, src)
 		} else {
 			f.pollParent(ctx, address)
 		}
@@ -346,35 +346,34 @@
 		return []string{f.selection.Parent()}
 	}
 	var out []string
-	for a, w := range f.watches {
-		if w.voter && w.responsive {
+	for a, src := range f.polled {
+		if src.voter && src.responsive {
 			out = append(out, a)
 		}
 	}
 	return out
 }
 
-// Report reports upstreams that stopped or resumed answering.
+// Report reports unanswered packets and answers that this balancer observed.
 func (f *Follower) Report(events []evidence.Event) {
 	f.Forward(evidence.Report{From: f.settings.From, Events: events})
 }
 
-// Forward forwards a follower's report. Each voter receives only the upstreams whose evidence it
-// evaluates.
+// Forward forwards a follower's report. Each voter receives only the evidence that it evaluates.
 func (f *Follower) Forward(r evidence.Report) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	targets := f.reportTargets()
 	shares := evaluators.Assign(targets, r.Events)
 	for _, a := range targets {
-		if w := f.watches[a]; w != nil && len(shares[a]) > 0 {
-			w.uplink.enqueue(r.From, shares[a])
+		if src := f.polled[a]; src != nil && len(shares[a]) > 0 {
+			src.reporter.enqueue(r.From, shares[a])
 		}
 	}
 }
 
-// Peers returns the addresses of the balancers in the own zone, including this one once the sources
-// list it.
+// Peers returns the addresses of the balancers in this balancer's zone, including this one once the
+// sources list it.
 func (f *Follower) Peers() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -391,8 +390,8 @@
 
 func (f *Follower) fleetSize() int {
 	most := 0
-	for _, w := range f.watches {
-		most = max(most, w.balancers)
+	for _, src := range f.polled {
+		most = max(most, src.balancers)
 	}
 	return most
 }
@@ -401,8 +400,8 @@
 func (f *Follower) setFleetSize(address string, balancers int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if w := f.watches[address]; w != nil {
-		w.balancers = balancers
+	if src := f.polled[address]; src != nil {
+		src.balancers = balancers
 	}
 }
 
--- a/internal/cookie/follower/follower_test.go
+++ b/internal/cookie/follower/follower_test.go
@@ -80,91 +80,92 @@
 	return v.fetched
 }
 
-// listener records what it receives.
-type listener struct {
+// handler records what it receives.
+type handler struct {
 	mu      sync.Mutex
 	current configuration.Configuration
 	notices map[string]int
-	// hasUpstreams is set on the first upstream, if marksUpstreams is set.
-	hasUpstreams, marksUpstreams bool
-	evacuations                  evacuation.Evacuations
+	// hasUpstreams is set by the first notice if tracksUpstreams is set.
+	hasUpstreams, tracksUpstreams bool
+	evacuations                   evacuation.Evacuations
 }
 
-func (l *listener) Evacuations() evacuation.Evacuations {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.evacuations
+func (h *handler) Evacuations() evacuation.Evacuations {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.evacuations
 }
 
-func (l *listener) OnEvacuations(_ string, e evacuation.Evacuations) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.evacuations = e
+func (h *handler) OnEvacuations(_ string, e evacuation.Evacuations) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.evacuations = e
 }
 
-func (l *listener) Configuration() configuration.Configuration {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.current
+func (h *handler) Configuration() configuration.Configuration {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.current
 }
 
-func (l *listener) HasUpstreams() bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.hasUpstreams
+func (h *handler) HasUpstreams() bool {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.hasUpstreams
 }
 
-func (l *listener) OnConfiguration(_ string, c configuration.Configuration) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.current = c
+func (h *handler) OnConfiguration(_ string, c configuration.Configuration) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.current = c
 }
 
-func (l *listener) OnVoterState(_ time.Time, x origins.Update) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.notices[x.Voter] += len(x.Notices)
-	l.hasUpstreams = l.hasUpstreams || l.marksUpstreams && len(x.Notices) > 0
+func (h *handler) OnVoterState(_ time.Time, x origins.Update) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.notices[x.Voter] += len(x.Notices)
+	h.hasUpstreams = h.hasUpstreams || h.tracksUpstreams && len(x.Notices) > 0
 }
 
-func (l *listener) noticesFrom(address string) int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.notices[address]
+func (h *handler) noticesFrom(address string) int {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.notices[address]
 }
 
-func startFollower(t *testing.T, addresses ...string) *listener {
+func startFollower(t *testing.T, addresses ...string) *handler {
 	return startFollowerHolding(t, 1, addresses...)
 }
 
-// startFollowerHolding starts a follower that already holds a revision of the configuration, none for 0.
-func startFollowerHolding(t *testing.T, revision uint64, addresses ...string) *listener {
-	l := &listener{notices: map[string]int{}, current: configuration.Configuration{Revision: revision}}
-	f := follower.New(follower.Settings{Token: "group", From: "balancer", Clock: time.Now}, l, hclog.NewNullLogger())
+// startFollowerHolding starts a follower that already holds a revision of the configuration, none for
+// 0.
+func startFollowerHolding(t *testing.T, revision uint64, addresses ...string) *handler {
+	h := &handler{notices: map[string]int{}, current: configuration.Configuration{Revision: revision}}
+	f := follower.New(follower.Settings{Token: "group", From: "balancer", Clock: time.Now}, h, hclog.NewNullLogger())
 	ctx, cancel := context.WithCancel(context.Background())
 	f.Start(ctx, addresses)
 	t.Cleanup(func() {
 		cancel()
 		f.Wait()
 	})
-	return l
+	return h
 }
 
 func eventually(t *testing.T, f func() bool) {
 	require.Eventually(t, f, 20*time.Second, 5*time.Millisecond)
 }
 
-// Guards against balancers that learn of departures more than a second late after a change of 1,400
-// routes. Every voter's response carried the change ahead of the notices, over a link on which one
-// copy takes half a second.
+// Guards against balancers that receive departures more than a second late after a change of 1,400
+// routes. Formerly every voter's response carried the change ahead of the notices, over a link on
+// which one such response takes half a second.
 func TestConfigurationIsFetchedFromOneVoter(t *testing.T) {
 	a, b, c := startVoter(t, 1), startVoter(t, 2), startVoter(t, 3)
-	l := startFollower(t, a.address, b.address, c.address)
+	h := startFollower(t, a.address, b.address, c.address)
 	for revision := uint64(2); revision <= 4; revision++ {
 		for _, v := range []*voter{a, b, c} {
 			v.publish(revision)
 		}
-		eventually(t, func() bool { return l.Configuration().Revision == revision })
+		eventually(t, func() bool { return h.Configuration().Revision == revision })
 	}
 	require.LessOrEqual(t, a.fetches()+b.fetches()+c.fetches(), 6, "one fetch per change or two in a race, not nine")
 }
@@ -172,23 +173,23 @@
 func TestStuckVoterDoesNotBlockConfiguration(t *testing.T) {
 	a, b := startVoter(t, 1), startVoter(t, 2)
 	a.stuck = true
-	l := startFollower(t, a.address)
+	h := startFollower(t, a.address)
 	a.publish(7)
 	eventually(t, func() bool { return a.fetches() > 0 })
 	a.feed.SetVoters([]string{a.address, b.address})
 	b.publish(7)
-	eventually(t, func() bool { return l.Configuration().Revision == 7 })
+	eventually(t, func() bool { return h.Configuration().Revision == 7 })
 }
 
 func TestNoticesDoNotWaitForConfiguration(t *testing.T) {
 	a := startVoter(t, 1)
 	a.stuck = true
-	l := startFollower(t, a.address)
+	h := startFollower(t, a.address)
 	a.publish(7)
 	eventually(t, func() bool { return a.fetches() > 0 })
 	a.feed.Announce(time.Now(), upstream.Upstream{Identity: upstream.Identity{Incarnation: 5}, Sequence: 1}, 0)
-	eventually(t, func() bool { return l.noticesFrom(a.address) == 1 })
-	require.Equal(t, uint64(1), l.Configuration().Revision)
+	eventually(t, func() bool { return h.noticesFrom(a.address) == 1 })
+	require.Equal(t, uint64(1), h.Configuration().Revision)
 }
 
 // Guards against a slow start without a configuration: balancers became ready 90 ms after the first
@@ -199,9 +200,9 @@
 	a.stuck = true
 	a.publish(7)
 	a.feed.Announce(time.Now(), upstream.Upstream{Identity: upstream.Identity{Incarnation: 5}, Sequence: 1}, 0)
-	l := startFollowerHolding(t, 0, a.address)
-	eventually(t, func() bool { return l.noticesFrom(a.address) == 1 })
-	require.Equal(t, uint64(7), l.Configuration().Revision, "the configuration is applied before the notices")
+	h := startFollowerHolding(t, 0, a.address)
+	eventually(t, func() bool { return h.noticesFrom(a.address) == 1 })
+	require.Equal(t, uint64(7), h.Configuration().Revision, "the configuration is applied before the notices")
 }
 
 // A large configuration is fetched separately: the responses of several voters would fill a narrow
@@ -216,13 +217,13 @@
 	}
 	a.history = a.history.With(large)
 	a.feed.Publish(a.history)
-	l := startFollowerHolding(t, 0, a.address)
-	eventually(t, func() bool { return l.Configuration().Revision == 7 })
+	h := startFollowerHolding(t, 0, a.address)
+	eventually(t, func() bool { return h.Configuration().Revision == 7 })
 	require.NotZero(t, a.fetches())
 }
 
-// nonRootShape is the tree shape of the zone that nonRootBalancer returns.
-var nonRootShape = tree.Shape{Roots: 4, Fanout: 8}
+// testShape is the shape of the balancer tree in these tests.
+var testShape = tree.Shape{Roots: 4, Fanout: 8}
 
 // nonRootBalancer returns the address of a balancer below the roots of its zone, and the zone.
 func nonRootBalancer() (string, []members.Heartbeat) {
@@ -234,7 +235,7 @@
 		zone = append(zone, members.Heartbeat{Member: member.Member{Zone: "a", Address: a}})
 	}
 	for _, a := range addresses {
-		if nonRootShape.PlaceOf(a, addresses).Level > 0 {
+		if testShape.PlaceOf(a, addresses).Level > 0 {
 			return a, zone
 		}
 	}
@@ -242,18 +243,18 @@
 }
 
 // startNonRoot starts a follower for a balancer below the roots of its zone.
-func startNonRoot(t *testing.T, clock func() time.Time, self string, voters []string) (*follower.Follower, *listener) {
-	l := &listener{notices: map[string]int{}, marksUpstreams: true}
+func startNonRoot(t *testing.T, clock func() time.Time, self string, voters []string) (*follower.Follower, *handler) {
+	h := &handler{notices: map[string]int{}, tracksUpstreams: true}
 	f := follower.New(follower.Settings{
-		Token: "group", From: "balancer", Clock: clock, Self: member.Member{Zone: "a", Address: self}, Shape: nonRootShape, StaleAfter: time.Second,
-	}, l, hclog.NewNullLogger())
+		Token: "group", From: "balancer", Clock: clock, Self: member.Member{Zone: "a", Address: self}, Shape: testShape, StaleAfter: time.Second,
+	}, h, hclog.NewNullLogger())
 	ctx, cancel := context.WithCancel(context.Background())
 	f.Start(ctx, voters)
 	t.Cleanup(func() {
 		cancel()
 		f.Wait()
 	})
-	return f, l
+	return f, h
 }
 
 // Guards against balancers that stay unready for seconds although voters answer. After all VMs lost
@@ -268,8 +269,8 @@
 	complete.publish(7)
 	// The clock stands still, so the period after which all voters are polled never ends.
 	frozen := time.Now()
-	_, l := startNonRoot(t, func() time.Time { return frozen }, self, []string{empty.address, complete.address})
-	eventually(t, func() bool { return l.Configuration().Revision == 7 && l.HasUpstreams() })
+	_, h := startNonRoot(t, func() time.Time { return frozen }, self, []string{empty.address, complete.address})
+	eventually(t, func() bool { return h.Configuration().Revision == 7 && h.HasUpstreams() })
 }
 
 // Guards against slow starts of a large fleet. After all VMs lost power, balancers became ready 265
@@ -287,8 +288,8 @@
 		voters = append(voters, v)
 		addresses = append(addresses, v.address)
 	}
-	f, l := startNonRoot(t, time.Now, self, addresses)
-	eventually(t, func() bool { return l.Configuration().Revision == 7 })
+	f, h := startNonRoot(t, time.Now, self, addresses)
+	eventually(t, func() bool { return h.Configuration().Revision == 7 })
 	time.Sleep(100 * time.Millisecond)
 	polls := 0
 	for _, v := range voters {
@@ -303,12 +304,12 @@
 
 func TestEvacuationsAreReceivedImmediately(t *testing.T) {
 	v := startVoter(t, 1)
-	l := startFollower(t, v.address)
+	h := startFollower(t, v.address)
 	eventually(t, func() bool {
 		v.mu.Lock()
 		defer v.mu.Unlock()
 		return v.initialPolls > 0
 	})
 	v.feed.PublishEvacuations(evacuation.Evacuations{}.With(evacuation.Zone{Name: "a", Evacuated: true}))
-	eventually(t, func() bool { return l.Evacuations().Evacuated("a") })
+	eventually(t, func() bool { return h.Evacuations().Evacuated("a") })
 }
--- a/internal/cookie/follower/handover.go
+++ b/internal/cookie/follower/handover.go
@@ -30,12 +30,12 @@
 	voters := f.reachableVoters()
 	f.mu.Unlock()
 	if parent != "" {
-		return f.handOverTo(ctx, parent, all)
+		return f.forwardTo(ctx, parent, all)
 	}
 	byOwner := lo.GroupBy(all, func(a handover.Announcement) string { return owner.Of(a.Upstream, voters) })
 	results := make(chan error, len(byOwner))
 	for to, announcements := range byOwner {
-		go func() { results <- f.handOverTo(ctx, to, announcements) }()
+		go func() { results <- f.forwardTo(ctx, to, announcements) }()
 	}
 	var failed error
 	for range byOwner {
@@ -44,7 +44,7 @@
 	return failed
 }
 
-func (f *Follower) handOverTo(ctx context.Context, to string, all []handover.Announcement) error {
+func (f *Follower) forwardTo(ctx context.Context, to string, all []handover.Announcement) error {
 	if to == "" {
 		return &NobodyError{}
 	}
@@ -53,14 +53,14 @@
 }
 
 // reachableVoters returns the polled voters that answer, and the unpolled ones whose state is at
-// most ContactLease old. Unpolled voters count because an upstream that moves to another voter is
-// announced to the whole fleet again. The caller holds the lock.
+// most ContactLease old. Unpolled voters count because an upstream whose owner changes is announced
+// to the whole fleet again. The caller holds the lock.
 func (f *Follower) reachableVoters() []owner.Voter {
 	now := f.settings.Clock()
 	var out []owner.Voter
 	for a := range f.voterSeen {
-		w, asked := f.watches[a]
-		if asked && w.responsive || !asked && f.origins.State(now, a).Age <= ContactLease {
+		src, polled := f.polled[a]
+		if polled && src.responsive || !polled && f.origins.State(now, a).Age <= ContactLease {
 			out = append(out, owner.Voter{Address: a, Zone: f.origins.Zone(a)})
 		}
 	}
--- a/internal/cookie/follower/parent.go
+++ b/internal/cookie/follower/parent.go
@@ -43,12 +43,12 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if ctx.Err() != nil {
-		// The watch was stopped.
+		// The source is no longer selected.
 		return
 	}
 	f.log.Info("balancer does not answer", "Address", address, "Error", err)
 	now := f.settings.Clock()
-	delete(f.watches, address)
+	delete(f.polled, address)
 	f.membership.RemoveSource(now, address)
 	f.selection.RecordFailure(now, address)
 	f.reconcile(now)
@@ -68,7 +68,7 @@
 	roundTrip := max(now.Sub(sent)-a.Held, 0)
 	updated, fresh := a.Revision > q.Revision, 0
 	if a.Evacuations != nil {
-		f.listener.OnEvacuations(address, *a.Evacuations)
+		f.handler.OnEvacuations(address, *a.Evacuations)
 		updated = true
 	}
 	for _, x := range a.Origins {
@@ -76,7 +76,7 @@
 		if x.Age <= f.settings.StaleAfter {
 			fresh++
 		}
-		if f.applyOrigin(now, x) {
+		if f.applyVoterState(now, x) {
 			updated = true
 		}
 	}
@@ -94,7 +94,7 @@
 }
 
 func (f *Follower) parentRequest(address string) relay.Request {
-	evacuations := f.listener.Evacuations().Revision
+	evacuations := f.handler.Evacuations().Revision
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return relay.Request{
--- a/internal/cookie/follower/uplink.go
+++ b/internal/cookie/follower/reporter.go
@@ -37,9 +37,9 @@
 	at   time.Time
 }
 
-// uplink reports to one voter or parent which upstreams left packets unanswered or answer again,
+// reporter reports to one voter or parent which upstreams left packets unanswered or answer again,
 // and which balancers follow this one.
-type uplink struct {
+type reporter struct {
 	token, to string
 	clock     func() time.Time
 	log       hclog.Logger
@@ -53,28 +53,28 @@
 // enqueue adds a balancer's events to the next report. Above the limit, the oldest unanswered
 // packets are dropped, as the least significant events. A lost liveness report could mark a live
 // upstream as unresponsive.
-func (u *uplink) enqueue(from string, events []evidence.Event) {
-	now := u.clock()
-	u.mu.Lock()
+func (r *reporter) enqueue(from string, events []evidence.Event) {
+	now := r.clock()
+	r.mu.Lock()
 	for _, e := range events {
-		u.pending = append(u.pending, pendingEvent{Event: e, from: from, at: now})
+		r.pending = append(r.pending, pendingEvent{Event: e, from: from, at: now})
 	}
-	excess := len(u.pending) - maxEvents
-	u.pending = slices.DeleteFunc(u.pending, func(s pendingEvent) bool {
+	excess := len(r.pending) - maxEvents
+	r.pending = slices.DeleteFunc(r.pending, func(s pendingEvent) bool {
 		excess--
 		return excess >= 0 && !s.Answered
 	})
-	u.pending = u.pending[max(len(u.pending)-maxAnsweredEvents, 0):]
-	u.mu.Unlock()
+	r.pending = r.pending[max(len(r.pending)-maxAnsweredEvents, 0):]
+	r.mu.Unlock()
 	select {
-	case u.wake <- struct{}{}:
+	case r.wake <- struct{}{}:
 	default:
 	}
 }
 
 // run sends one report at a time until the context ends.
-func (u *uplink) run(ctx context.Context) {
-	client := rpc.NewClient(u.to, u.token)
+func (r *reporter) run(ctx context.Context) {
+	client := rpc.NewClient(r.to, r.token)
 	defer client.Close()
 	followerTimer := time.NewTimer(firstFollowerReport)
 	defer followerTimer.Stop()
@@ -83,12 +83,12 @@
 		case <-ctx.Done():
 			return
 		case <-followerTimer.C:
-			u.sendFollowers(ctx, client)
+			r.sendFollowers(ctx, client)
 			followerTimer.Reset(members.ReportInterval)
 			continue
-		case <-u.wake:
+		case <-r.wake:
 		}
-		u.sendReports(ctx, client)
+		r.sendReports(ctx, client)
 		select {
 		case <-ctx.Done():
 			return
@@ -99,25 +99,25 @@
 
 // sendReports sends the pending events. Failed reports are not retried, since their evidence would
 // be outdated.
-func (u *uplink) sendReports(ctx context.Context, client *rpc.Client) {
-	reports := u.drain()
+func (r *reporter) sendReports(ctx context.Context, client *rpc.Client) {
+	reports := r.drain()
 	if len(reports) == 0 {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	if _, err := rpc.Call[[]evidence.Report, empty](ctx, client, feed.ReportsMethod, reports); err != nil {
-		u.log.Debug("failed to report upstream events", "Address", u.to, "Error", err)
+		r.log.Debug("failed to report upstream events", "Address", r.to, "Error", err)
 	}
 }
 
 // drain returns the pending reports, one per balancer, with up-to-date ages.
-func (u *uplink) drain() []evidence.Report {
-	now := u.clock()
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	byBalancer := lo.GroupBy(u.pending, func(s pendingEvent) string { return s.from })
-	u.pending = nil
+func (r *reporter) drain() []evidence.Report {
+	now := r.clock()
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	byBalancer := lo.GroupBy(r.pending, func(s pendingEvent) string { return s.from })
+	r.pending = nil
 	return lo.MapToSlice(byBalancer, func(from string, all []pendingEvent) evidence.Report {
 		return evidence.Report{From: from, Events: lo.Map(all, func(s pendingEvent, _ int) evidence.Event {
 			s.Age += now.Sub(s.at)
@@ -126,15 +126,15 @@
 	})
 }
 
-func (u *uplink) sendFollowers(ctx context.Context, client *rpc.Client) {
-	all := u.followerReport()
+func (r *reporter) sendFollowers(ctx context.Context, client *rpc.Client) {
+	all := r.followerReport()
 	if len(all) == 0 {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	if _, err := rpc.Call[[]members.Heartbeat, empty](ctx, client, feed.RecordFollowersMethod, all); err != nil {
-		u.log.Debug("failed to report followers", "Address", u.to, "Error", err)
+		r.log.Debug("failed to report followers", "Address", r.to, "Error", err)
 	}
 }
 
--- a/internal/cookie/follower/retry.go
+++ b/internal/cookie/follower/retry.go
@@ -12,9 +12,9 @@
 	minRetryPause = 25 * time.Millisecond
 	maxRetryPause = 200 * time.Millisecond
 	// isolatedRetryPause and isolatedDialTimeout apply while no voter answers. After a full power
-	// loss every millisecond until the first response costs a millisecond's worth of requests, and a
-	// connection attempt made before the voter is up hangs until its timeout. With these values
-	// balancers are ready 20 ms after the first voter starts instead of 67 ms (mean of 20 starts).
+	// loss, requests fail until the first response arrives, and a connection attempt made before the
+	// voter is up hangs until its timeout. With these values balancers are ready 20 ms after the
+	// first voter starts instead of 67 ms (mean of 20 starts).
 	isolatedRetryPause  = 10 * time.Millisecond
 	isolatedDialTimeout = 30 * time.Millisecond
 	// isolatedDialInterval is the time between two connection attempts while no voter answers,
--- a/internal/cookie/follower/retry_test.go
+++ b/internal/cookie/follower/retry_test.go
@@ -11,7 +11,7 @@
 
 // Guards against balancers that become ready up to 0.2 s after the first voter answers. After all
 // VMs lost power, the balancers started a third of a second before the voters: their pauses had
-// grown meanwhile, and connection attempts made too early were waited for.
+// grown meanwhile, and connection attempts made before a voter was up hung until their timeout.
 func TestPausesGrowOnlyWhileAnotherVoterAnswers(t *testing.T) {
 	var r backoff
 	for range 50 {
--- a/internal/cookie/follower/serving.go
+++ b/internal/cookie/follower/serving.go
@@ -9,8 +9,8 @@
 	"wasabideal/internal/fanout/relay"
 )
 
-// Updates answers a follower's poll, except for the configuration revision and the notices. It reports
-// whether the response contains anything new.
+// Updates answers a follower's poll, except for the configuration revision and the notices. It
+// reports whether the response contains anything new.
 func (f *Follower) Updates(now time.Time, q relay.Request) (relay.Response, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -25,8 +25,8 @@
 	return a, updated
 }
 
-// UnavailableRevision returns the newest announced revision that this balancer has failed to get for some time,
-// 0 if there is none.
+// UnavailableRevision returns the newest announced revision that this balancer has failed to get for
+// some time, 0 if there is none.
 func (f *Follower) UnavailableRevision(now time.Time, current uint64) uint64 {
 	return f.fetcher.unavailableRevision(now, current)
 }
@@ -49,8 +49,8 @@
 		return nil
 	}
 	all := f.followers.Heartbeats(f.settings.Clock())
-	if w := f.watches[address]; w != nil && !w.voter {
-		// A voter learns of this balancer from its polls.
+	if src := f.polled[address]; src != nil && !src.voter {
+		// A voter knows this balancer by its polls.
 		all = append(all, members.Heartbeat{Member: f.settings.Self})
 	}
 	return all
--- a/internal/cookie/follower/status.go
+++ b/internal/cookie/follower/status.go
@@ -4,15 +4,15 @@
 
 // Status is the position of a balancer in the fan-out tree and the age of its state.
 type Status struct {
-	// Parent is empty if the voters are followed.
+	// Parent is empty if the voters are polled.
 	Parent string
 	Level  int
-	// Fresh is the number of voters with recent contact, direct or relayed.
+	// Fresh is the number of voters whose last contact, direct or relayed, is at most StaleAfter ago.
 	Fresh int
 	// Balancers is the number of known balancers in the zone, Followers the number of direct and
 	// indirect followers.
 	Balancers, Followers int
-	// Age is the time since the most recent contact with any voter.
+	// Age is the time since the most recent contact with any voter, direct or relayed.
 	Age time.Duration
 }
 
--- a/internal/cookie/follower/voters.go
+++ b/internal/cookie/follower/voters.go
@@ -15,35 +15,35 @@
 	"wasabideal/internal/wire/rpc"
 )
 
-// bootstrapPollInterval is how often a connected voter is rechecked during startup for whether it
-// may be polled.
+// bootstrapPollInterval is the interval at which a connected voter's poll, held back during startup,
+// checks whether it may be sent.
 const bootstrapPollInterval = 5 * time.Millisecond
 
 // pollVoter polls one voter until the context ends or the voter expires.
-func (f *Follower) pollVoter(ctx context.Context, address string, w *watch) {
+func (f *Follower) pollVoter(ctx context.Context, address string, src *source) {
 	client := rpc.NewClient(address, f.settings.Token)
 	client.SetDialTimeout(isolatedDialTimeout)
 	defer client.Close()
 	var retries backoff
-	answered, failing := f.settings.Clock(), false
+	lastAnswered, failing := f.settings.Clock(), false
 	for ctx.Err() == nil {
 		err := client.Connect(ctx)
 		if err == nil && f.waitForBootstrap(ctx, address) {
 			err = f.pollVoterOnce(ctx, client, address)
 		}
-		f.recordResponse(address, w, err == nil && ctx.Err() == nil)
+		f.recordResponse(address, src, err == nil && ctx.Err() == nil)
 		if err == nil {
 			if failing {
 				f.log.Info("voter answers again", "Address", address)
 			}
-			retries, answered, failing = backoff{}, f.settings.Clock(), false
+			retries, lastAnswered, failing = backoff{}, f.settings.Clock(), false
 			continue
 		}
 		if !failing && ctx.Err() == nil {
 			f.log.Warn("voter does not answer", "Address", address, "Error", err)
 		}
 		failing = true
-		if f.dropIfExpired(address, w, f.settings.Clock().Sub(answered)) {
+		if f.dropIfExpired(address, src, f.settings.Clock().Sub(lastAnswered)) {
 			return
 		}
 		pause, dial := retries.next(f.isolation())
@@ -77,11 +77,11 @@
 }
 
 // recordResponse records whether a voter answered its last poll.
-func (f *Follower) recordResponse(address string, w *watch, responded bool) {
-	complete := f.listener.HasUpstreams() && f.listener.Configuration().Revision > 0
+func (f *Follower) recordResponse(address string, src *source, responded bool) {
+	complete := f.handler.HasUpstreams() && f.handler.Configuration().Revision > 0
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	w.responsive = responded
+	src.responsive = responded
 	switch {
 	case !responded:
 		f.bootstrap.RecordFailure(address)
@@ -93,14 +93,14 @@
 
 // dropIfExpired stops polling a voter that has failed and gone unlisted for voterExpiry, and
 // reports whether it did.
-func (f *Follower) dropIfExpired(address string, w *watch, failing time.Duration) bool {
+func (f *Follower) dropIfExpired(address string, src *source, failing time.Duration) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.settings.Clock()
-	if failing < voterExpiry || now.Sub(f.voterSeen[address]) < voterExpiry || f.watches[address] != w {
+	if failing < voterExpiry || now.Sub(f.voterSeen[address]) < voterExpiry || f.polled[address] != src {
 		return false
 	}
-	delete(f.watches, address)
+	delete(f.polled, address)
 	f.membership.RemoveSource(now, address)
 	f.expireVoter(now, address)
 	return true
@@ -110,12 +110,12 @@
 func (f *Follower) isolation() (isolated bool, voters int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return len(f.reportTargets()) == 0, lo.CountBy(lo.Values(f.watches), func(w *watch) bool { return w.voter })
+	return len(f.reportTargets()) == 0, lo.CountBy(lo.Values(f.polled), func(src *source) bool { return src.voter })
 }
 
 // voterRequest returns the next poll for a voter.
 func (f *Follower) voterRequest(address string, current configuration.Configuration) feed.Request {
-	hasUpstreams, evacuations := f.listener.HasUpstreams(), f.listener.Evacuations().Revision
+	hasUpstreams, evacuations := f.handler.HasUpstreams(), f.handler.Evacuations().Revision
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	known := f.origins.State(f.settings.Clock(), address)
@@ -137,7 +137,7 @@
 }
 
 func (f *Follower) pollVoterOnce(ctx context.Context, client *rpc.Client, address string) error {
-	current := f.listener.Configuration()
+	current := f.handler.Configuration()
 	q := f.voterRequest(address, current)
 	call, cancel := context.WithTimeout(ctx, voterHold+voterGrace)
 	defer cancel()
@@ -149,12 +149,12 @@
 		return err
 	}
 	if a.Evacuations != nil {
-		f.listener.OnEvacuations(address, *a.Evacuations)
+		f.handler.OnEvacuations(address, *a.Evacuations)
 	}
 	if len(a.Configuration) > 0 {
 		f.applyInlineConfiguration(address, current, a.Configuration)
 	}
-	f.applyOrigin(f.settings.Clock(), origins.Update{
+	f.applyVoterState(f.settings.Clock(), origins.Update{
 		Known:   origins.Known{Voter: address, Life: a.Life, Version: a.Version, Doubts: a.DoubtsVersion},
 		Notices: a.Notices, Subjects: a.Doubts, Doubted: a.Life != q.Life || a.DoubtsVersion != q.Doubts, Zone: a.Zone,
 	})
@@ -184,7 +184,7 @@
 
 // applyOrigin applies a voter's state, in the order of its versions, and reports whether it was
 // new.
-func (f *Follower) applyOrigin(now time.Time, x origins.Update) bool {
+func (f *Follower) applyVoterState(now time.Time, x origins.Update) bool {
 	f.applying.Lock()
 	defer f.applying.Unlock()
 	f.mu.Lock()
@@ -194,7 +194,7 @@
 	if !accepted {
 		return false
 	}
-	f.listener.OnVoterState(now, x)
+	f.handler.OnVoterState(now, x)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.origins.Apply(now, x)
@@ -208,8 +208,8 @@
 		current, err = history.Apply(current, a)
 	}
 	if err != nil {
-		f.log.Warn("failed to decode configuration in voter answer", "Address", address, "Error", err)
+		f.log.Warn("failed to decode configuration in voter response", "Address", address, "Error", err)
 		return
 	}
-	f.listener.OnConfiguration(address, current)
+	f.handler.OnConfiguration(address, current)
 }
