--- a/internal/overload/admission/admission.go
+++ b/internal/overload/admission/admission.go
@@ -15,9 +15,9 @@
 	// minResponses is the number of responses that a prediction needs: a packet that is lost
 	// on the way delays a response by 200 ms.
 	minResponses = 8
-	// slowestPart is the divisor of the slowest responses that are left out, one in four:
+	// slowestDivisor sets the share of the slowest responses that are left out, one in four:
 	// they are due to lost packets, and to upstreams that are not yet known to be slow.
-	slowestPart = 4
+	slowestDivisor = 4
 	// growthOffset dampens the growth of small numbers: two requests in flight instead of
 	// one do not mean that a queue has doubled.
 	growthOffset = 4
@@ -25,8 +25,9 @@
 	// responses has seen.
 	minGrowth, maxGrowth = 0.5, 3
 	// slowestShare bounds the prediction from below, as a share of the slowest response
-	// counted. Full upstreams may refuse requests at once, and the more they refuse, the
-	// shorter the mean: a service that was overloaded when a balancer started would stay so.
+	// counted. Upstreams with full queues may refuse requests at once, and the more they
+	// refuse, the shorter the mean: a service that was overloaded when a balancer started
+	// would stay so.
 	slowestShare = 0.45
 )
 
@@ -62,7 +63,7 @@
 	Objective time.Duration
 	// Urgent flows are rejected last.
 	Urgent bool
-	// Number is evenly distributed over its lowest 16 bits, and constant for each flow.
+	// Number is a hash of the flow whose lowest 16 bits are evenly distributed.
 	Number uint64
 }
 
@@ -71,7 +72,7 @@
 	at   time.Time
 	took time.Duration
 	// atSend is the number of the service's requests in flight when the request was sent.
-	atSend int
+	inFlightAtSend int
 }
 
 // Admission predicts the response time of one service from the latest responses. The zero
@@ -86,7 +87,7 @@
 // Record records the duration of an answered request, and the number of requests in flight
 // when it was sent.
 func (a *Admission) Record(now time.Time, took time.Duration, atSend int) {
-	a.responses[a.next] = response{at: now, took: took, atSend: atSend}
+	a.responses[a.next] = response{at: now, took: took, inFlightAtSend: atSend}
 	a.next = (a.next + 1) % maxResponses
 }
 
@@ -104,12 +105,12 @@
 	}
 	fastest := buffer[:n]
 	slices.SortFunc(fastest, func(x, y response) int { return cmp.Compare(x.took, y.took) })
-	fastest = fastest[:n-n/slowestPart]
+	fastest = fastest[:n-n/slowestDivisor]
 	var sum time.Duration
 	atSend := 0
 	for _, x := range fastest {
 		sum += x.took
-		atSend += x.atSend
+		atSend += x.inFlightAtSend
 	}
 	usual := float64(atSend) / float64(len(fastest))
 	growth := min(max((float64(inFlight)+growthOffset)/(usual+growthOffset), minGrowth), maxGrowth)
