--- a/internal/overload/backlog/backlog.go
+++ b/internal/overload/backlog/backlog.go
@@ -36,7 +36,8 @@
 	return true
 }
 
-// Dispatch removes and returns the openings that admits accepts, and those that expired.
+// Dispatch removes and returns the openings for which admits returns true, and those that have
+// expired.
 func (b *Backlog[K, T]) Dispatch(now time.Time, admits func(K) bool) (admitted, expired []T) {
 	kept := b.items[:0]
 	for _, x := range b.items {
--- a/internal/overload/backlog/backlog_test.go
+++ b/internal/overload/backlog/backlog_test.go
@@ -22,7 +22,7 @@
 	var b backlog.Backlog[int, string]
 	require.True(t, b.Push(epoch, 1, "first"))
 	require.True(t, b.Push(after(10), 2, "second"))
-	require.True(t, b.Push(after(20), 1, "copy"), "the same key is already queued")
+	require.True(t, b.Push(after(20), 1, "retransmission"), "the same key is already queued")
 	require.False(t, b.Push(after(20), 3, "third"), "the queue is full")
 	admitted, expired := b.Dispatch(after(50), never)
 	require.Empty(t, admitted)
