--- a/internal/overload/concurrency/concurrency_test.go
+++ b/internal/overload/concurrency/concurrency_test.go
@@ -24,18 +24,18 @@
 	require.False(t, known, "no limit without a known number of balancers")
 }
 
-func TestLevelIgnoresShortPeaks(t *testing.T) {
+func TestAverageIgnoresShortPeaks(t *testing.T) {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
-	var l concurrency.InFlightAverage
-	require.False(t, l.Update(now, 3, 10))
+	var average concurrency.InFlightAverage
+	require.False(t, average.Update(now, 3, 10))
 	for range 10 {
 		now = now.Add(10 * time.Millisecond)
-		require.False(t, l.Update(now, 14, 10), "0.1 s")
+		require.False(t, average.Update(now, 14, 10), "0.1 s")
 	}
 	for range 70 {
 		now = now.Add(10 * time.Millisecond)
-		l.Update(now, 14, 10)
+		average.Update(now, 14, 10)
 	}
-	require.True(t, l.Update(now, 14, 10), "0.8 s")
-	require.False(t, l.Update(now, 9, 10), "the current number is below the limit")
+	require.True(t, average.Update(now, 14, 10), "0.8 s")
+	require.False(t, average.Update(now, 9, 10), "the current number is below the limit")
 }
