--- a/internal/overload/meter/meter.go
+++ b/internal/overload/meter/meter.go
@@ -7,14 +7,14 @@
 
 // Meter is an exponentially decaying rate. It is not safe for concurrent use.
 type Meter struct {
-	constant time.Duration
-	sum      float64
-	updated  time.Time
+	timeConstant time.Duration
+	sum          float64
+	updated      time.Time
 }
 
-// New returns a meter with the given time constant, after which the rate has followed two
+// New returns a meter with the given time constant, within which the rate follows about two
 // thirds of a change.
-func New(constant time.Duration) *Meter { return &Meter{constant: constant} }
+func New(constant time.Duration) *Meter { return &Meter{timeConstant: constant} }
 
 // Add records an amount.
 func (m *Meter) Add(now time.Time, amount float64) {
@@ -25,7 +25,7 @@
 // Rate returns the rate in amounts per second.
 func (m *Meter) Rate(now time.Time) float64 {
 	m.decay(now)
-	return m.sum / m.constant.Seconds()
+	return m.sum / m.timeConstant.Seconds()
 }
 
 // decayParts divides the time constant into the intervals between two decays. A rate is too
@@ -34,8 +34,8 @@
 const decayParts = 50
 
 func (m *Meter) decay(now time.Time) {
-	if elapsed := now.Sub(m.updated); elapsed > m.constant/decayParts {
-		m.sum *= math.Exp(-elapsed.Seconds() / m.constant.Seconds())
+	if elapsed := now.Sub(m.updated); elapsed > m.timeConstant/decayParts {
+		m.sum *= math.Exp(-elapsed.Seconds() / m.timeConstant.Seconds())
 		m.updated = now
 	}
 }
