--- a/internal/overload/response/response.go
+++ b/internal/overload/response/response.go
@@ -28,7 +28,7 @@
 // zero value has recorded no response.
 type Tracker struct {
 	mean     float64
-	at       time.Time
+	updated  time.Time
 	slowness float64
 }
 
@@ -39,10 +39,12 @@
 	} else {
 		t.mean = took.Seconds()
 	}
-	t.at = now
+	t.updated = now
 }
 
-func (t *Tracker) fresh(now time.Time) bool { return !t.at.IsZero() && now.Sub(t.at) < meanTTL }
+func (t *Tracker) fresh(now time.Time) bool {
+	return !t.updated.IsZero() && now.Sub(t.updated) < meanTTL
+}
 
 // Slowness returns the ratio of the upstream's response time to the median of its
 // service, or 1 if the ratio is unknown or below slowThreshold.
