--- a/internal/overload/uplink/uplink.go
+++ b/internal/overload/uplink/uplink.go
@@ -71,17 +71,18 @@
 type Pacer[K comparable, T any] struct {
 	bytesPerSecond float64
 	// others measures the bytes of packets that belong to no upload.
-	others      *meter.Meter
-	uploads     map[K]time.Time
+	others *meter.Meter
+	// lastPacket is the time of the latest packet of each active upload.
+	lastPacket  map[K]time.Time
 	queue       []Packet[K, T]
 	queuedBytes int
 	tokens      float64
-	refilled    time.Time
+	lastRefill  time.Time
 }
 
 // New returns the Pacer of a link with the given bandwidth.
 func New[K comparable, T any](bytesPerSecond float64) *Pacer[K, T] {
-	return &Pacer[K, T]{bytesPerSecond: bytesPerSecond, others: meter.New(meterTimeConstant), uploads: map[K]time.Time{}}
+	return &Pacer[K, T]{bytesPerSecond: bytesPerSecond, others: meter.New(meterTimeConstant), lastPacket: map[K]time.Time{}}
 }
 
 // RecordOther records the bytes of a packet that belongs to no upload.
@@ -116,29 +117,29 @@
 
 // Active returns the number of active uploads.
 func (u *Pacer[K, T]) Active(now time.Time) int {
-	for k, seen := range u.uploads {
+	for k, seen := range u.lastPacket {
 		if now.Sub(seen) > inactivityTimeout {
-			delete(u.uploads, k)
+			delete(u.lastPacket, k)
 		}
 	}
-	return len(u.uploads)
+	return len(u.lastPacket)
 }
 
 // Admit reports whether an upload may start; an active one stays admitted.
 func (u *Pacer[K, T]) Admit(now time.Time, flow K) bool {
-	if _, active := u.uploads[flow]; !active && u.Active(now) >= u.Limit(now) {
+	if _, active := u.lastPacket[flow]; !active && u.Active(now) >= u.Limit(now) {
 		return false
 	}
-	u.uploads[flow] = now
+	u.lastPacket[flow] = now
 	return true
 }
 
-// Remove ends an upload.
-func (u *Pacer[K, T]) Remove(flow K) { delete(u.uploads, flow) }
+// Remove ends an upload, which no longer counts as active.
+func (u *Pacer[K, T]) Remove(flow K) { delete(u.lastPacket, flow) }
 
 // Enqueue queues a packet of an upload, which may have been admitted by another balancer.
 func (u *Pacer[K, T]) Enqueue(now time.Time, p Packet[K, T]) Verdict {
-	u.uploads[p.Flow] = now
+	u.lastPacket[p.Flow] = now
 	for _, q := range u.queue {
 		if q.Flow == p.Flow && q.Sequence == p.Sequence && q.Length == p.Length {
 			return Duplicate
@@ -163,8 +164,8 @@
 	if len(u.queue) == 0 {
 		return Packet[K, T]{}, false
 	}
-	u.tokens = min(u.tokens+now.Sub(u.refilled).Seconds()*u.rate(now), maxBurst)
-	u.refilled = now
+	u.tokens = min(u.tokens+now.Sub(u.lastRefill).Seconds()*u.rate(now), maxBurst)
+	u.lastRefill = now
 	p := u.queue[0]
 	if u.tokens < float64(p.Size) {
 		return Packet[K, T]{}, false
@@ -178,8 +179,8 @@
 	return p, true
 }
 
-// NextDelay returns the time from a failed Dequeue until the next packet may be sent, and false if
-// the queue is empty.
+// NextDelay returns the time from a failed Dequeue until the next packet may be sent, and
+// false if the queue is empty.
 func (u *Pacer[K, T]) NextDelay(now time.Time) (time.Duration, bool) {
 	if len(u.queue) == 0 {
 		return 0, false
