--- a/internal/control/agreement/agreement.go
+++ b/internal/control/agreement/agreement.go
@@ -70,13 +70,15 @@
 	match, next uint64
 	// ackedSendTime is the send time of the last acknowledged message.
 	ackedSendTime time.Time
-	pending       bool
+	// pending is set while a message is in flight.
+	pending bool
 	// sentCommit is the last commit index sent to the follower.
 	sentCommit     uint64
 	snapshotSentAt time.Time
 }
 
-// joinRequest is the last join request of one voter.
+// joinRequest is the last join request of one voter; bootstrapped is set if that voter
+// has a list of voters.
 type joinRequest struct {
 	voter        Voter
 	bootstrapped bool
@@ -103,8 +105,9 @@
 	electionDeadline time.Time
 	// lastLeaderContact is the time of the last leader message, or of the start.
 	lastLeaderContact time.Time
-	lastHeartbeat     time.Time
-	rng               *rand.Rand
+	// lastSent is when this voter last sent heartbeats as the leader, or join requests.
+	lastSent time.Time
+	rng      *rand.Rand
 	// termStartIndex is the index of this leader's first entry in its term,
 	// leaderSince the time of its election.
 	termStartIndex uint64
@@ -149,7 +152,8 @@
 	Voters  []Voter
 	// VotersAt is the index of the entry that holds the list of voters.
 	VotersAt uint64
-	// HoldsLease reports whether this voter has every committed entry.
+	// Current reports whether this voter holds the leader's lease, and so has every
+	// committed entry.
 	Current bool
 	// Silence is the time since the last leader message, 0 on the leader itself.
 	Silence time.Duration
@@ -262,7 +266,7 @@
 	a.effects = append(a.effects, Effect{Send: &m})
 }
 
-// persist writes a vote or entries to disk and sends the messages after that.
+// persist emits an effect that syncs data to disk and then sends p.SendAfterSync.
 func (a *Node) persist(p Persist) {
 	for i := range p.SendAfterSync {
 		p.SendAfterSync[i].From, p.SendAfterSync[i].Address = a.settings.Self.Id, a.settings.Self.Address
@@ -271,10 +275,10 @@
 	a.effects = append(a.effects, Effect{Persist: &p})
 }
 
-func (a *Node) setVote(term uint64, candidate string, then ...Message) {
+func (a *Node) setVote(term uint64, candidate string, sendAfterSync ...Message) {
 	a.vote = Vote{Term: term, For: candidate}
 	v := a.vote
-	a.persist(Persist{Vote: &v, SendAfterSync: then})
+	a.persist(Persist{Vote: &v, SendAfterSync: sendAfterSync})
 }
 
 func (a *Node) tick(now time.Time) {
@@ -310,12 +314,13 @@
 	a.persistSnapshot()
 }
 
-func (a *Node) persistSnapshot(then ...Message) {
+func (a *Node) persistSnapshot(sendAfterSync ...Message) {
 	s, v := a.snapshot, a.vote
-	a.persist(Persist{Vote: &v, Snapshot: &s, Entries: a.entries, SendAfterSync: then})
+	a.persist(Persist{Vote: &v, Snapshot: &s, Entries: a.entries, SendAfterSync: sendAfterSync})
 }
 
-// persisted counts this voter's own disk towards the majority once it is synced.
+// persisted records that the log is synced up to an index. On the leader, this may
+// advance the commit index.
 func (a *Node) persisted(now time.Time, index uint64) {
 	a.durableIndex = max(a.durableIndex, min(index, a.lastIndex()))
 	if a.role == Leader {
--- a/internal/control/agreement/durable.go
+++ b/internal/control/agreement/durable.go
@@ -40,13 +40,14 @@
 	Data   []byte
 }
 
-// Voter is one control process; Id changes when its disk is replaced.
+// Voter is a control process as a member of the cluster; Id changes when its disk is
+// replaced.
 type Voter struct {
 	_       struct{} `cbor:",toarray"`
 	Name    string
 	Id      string
 	Address string
-	// Learner voters receive the log but have no vote.
+	// Learner is set while the process only receives the log and does not vote.
 	Learner bool
 }
 
@@ -66,7 +67,7 @@
 	return fmt.Sprintf("log entry %d leaves a gap: expected index %d or lower", e.Index, e.Expected)
 }
 
-// Put adds an entry and drops all entries from its index on.
+// Put replaces all entries from e's index on by e.
 func (p *PersistentState) Put(e Entry) error {
 	next := p.Snapshot.Index + uint64(len(p.Entries)) + 1
 	if e.Index > next {
--- a/internal/control/agreement/election.go
+++ b/internal/control/agreement/election.go
@@ -8,12 +8,12 @@
 	"github.com/samber/lo"
 )
 
-// sendJoinRequests asks to bootstrap the cluster or to be added to its voters.
+// sendJoinRequests sends requests to bootstrap the cluster or to be added to its voters.
 func (a *Node) sendJoinRequests(now time.Time) {
-	if now.Sub(a.lastHeartbeat) < a.settings.Heartbeat {
+	if now.Sub(a.lastSent) < a.settings.Heartbeat {
 		return
 	}
-	a.lastHeartbeat = now
+	a.lastSent = now
 	contacted := map[string]bool{a.settings.Self.Name: true}
 	for _, f := range slices.Concat(a.settings.Founders, a.settings.JoinTargets, a.voters) {
 		if !contacted[f.Name] {
@@ -25,7 +25,8 @@
 }
 
 // bootstrap writes the initial list of voters once all founders have reported an
-// empty disk: a founder that does not respond may already hold a log.
+// empty disk: a founder that does not respond may already hold a log. Only the
+// founder whose name sorts first does so.
 func (a *Node) bootstrap(now time.Time) {
 	if a.role != Unfounded || a.settings.JoinOnly {
 		return
@@ -35,11 +36,11 @@
 		if f.Name == a.settings.Self.Name {
 			continue
 		}
-		h, ok := a.joinRequests[f.Name]
-		if !ok || h.bootstrapped || now.Sub(h.receivedAt) > a.settings.Election || f.Name < a.settings.Self.Name {
+		j, ok := a.joinRequests[f.Name]
+		if !ok || j.bootstrapped || now.Sub(j.receivedAt) > a.settings.Election || f.Name < a.settings.Self.Name {
 			return
 		}
-		voters = append(voters, h.voter)
+		voters = append(voters, j.voter)
 	}
 	if len(a.settings.Founders) == 0 {
 		return
@@ -141,10 +142,10 @@
 		return
 	}
 	for _, v := range m.Voters {
-		h, ok := a.joinRequests[v.Name]
+		j, ok := a.joinRequests[v.Name]
 		// A list with a former id of any founder is stale: that founder's disk was
 		// replaced since, and a newer list may be in flight.
-		if v.Name != a.settings.Self.Name && (!ok || h.voter.Id != v.Id) {
+		if v.Name != a.settings.Self.Name && (!ok || j.voter.Id != v.Id) {
 			return
 		}
 		if v.Name == a.settings.Self.Name && v.Id != a.settings.Self.Id {
@@ -238,9 +239,9 @@
 	}
 }
 
-// TransferLeadership makes a leader that is about to stop transfer leadership to the
-// follower with the most complete log. Without it, each planned stop would block
-// all changes for an election timeout.
+// TransferLeadership transfers leadership to the follower with the most complete log.
+// It is called before a planned stop, which would otherwise block all changes for an
+// election timeout.
 func (a *Node) TransferLeadership(now time.Time) []Effect {
 	a.effects = nil
 	if a.role != Leader {
@@ -275,15 +276,15 @@
 	requests := lo.Map(a.peers(), func(v Voter, _ int) Message {
 		return Message{Kind: RequestVote, To: v.Id, Index: a.lastIndex(), LogTerm: a.lastTerm(), Granted: transfer}
 	})
-	// The own vote is sent as a message too, so that it counts only once synced.
+	// The candidate's own vote is sent as a message too, so that it counts only once synced.
 	requests = append(requests, Message{Kind: VoteResponse, To: a.settings.Self.Id, Granted: true})
 	a.setVote(term, a.settings.Self.Id, requests...)
 }
 
-// receiveRequestVote grants votes even if this voter's own log gives it no vote:
-// the candidate's list decides. Otherwise a voter that was just promoted and has
-// not received that list could be missing from the majority forever. A replaced
-// disk cannot vote for its predecessor, since it has a different id.
+// receiveRequestVote grants votes even if this voter does not vote according to the
+// list in its own log: the candidate's list decides. Otherwise a voter that was just
+// promoted and has not received that list could be missing from the majority forever.
+// A replaced disk cannot vote for its predecessor, since it has a different id.
 func (a *Node) receiveRequestVote(now time.Time, m Message) {
 	canGrant := a.vote.For == "" || a.vote.For == m.From
 	if !canGrant || !a.isUpToDate(m) || a.role == Leader {
--- a/internal/control/agreement/members.go
+++ b/internal/control/agreement/members.go
@@ -10,9 +10,9 @@
 
 func (a *Node) self() Voter { return a.voter(a.settings.Self.Id) }
 
-// canVote reports whether this voter is in the list as a full voter. A voter with
-// a replaced disk is not: it has lost its votes and entries, and its vote could
-// help to elect a leader without committed entries.
+// canVote reports whether this voter is in the list and not a learner. A voter with
+// a replaced disk is not in the list: it has lost its votes and entries, and its vote
+// could help to elect a leader without committed entries.
 func (a *Node) canVote() bool {
 	v := a.self()
 	return v.Id != "" && !v.Learner
@@ -148,7 +148,8 @@
 	a.append(now, Voters, data)
 }
 
-// Remove removes a voter from the list.
+// Remove proposes a list without the named voter. It has no effect while another change
+// of voters is pending.
 func (a *Node) Remove(now time.Time, name string) ([]Effect, error) {
 	if a.role != Leader {
 		return nil, &NotLeaderError{Leader: a.voter(a.leader)}
@@ -160,7 +161,7 @@
 	return a.effects, nil
 }
 
-// joinRequestTTL is how long the address from a join request stays known.
+// joinRequestTTL is how long the address from a join request is kept.
 const joinRequestTTL = 30 * time.Second
 
 // Addresses returns the sorted addresses of this voter, the voters in the list
@@ -170,17 +171,17 @@
 	for _, v := range a.voters {
 		known = append(known, v.Address)
 	}
-	for _, h := range a.joinRequests {
-		if now.Sub(h.receivedAt) < joinRequestTTL {
-			known = append(known, h.voter.Address)
+	for _, j := range a.joinRequests {
+		if now.Sub(j.receivedAt) < joinRequestTTL {
+			known = append(known, j.voter.Address)
 		}
 	}
 	slices.Sort(known)
 	return slices.Compact(known)
 }
 
-// VotingAddresses returns the addresses of the voters that have a vote. It is empty while
-// there is no list of voters: with an empty disk or before the bootstrap.
+// VotingAddresses returns the addresses of the voters that are not learners. It is empty
+// while there is no list of voters: with an empty disk or before the bootstrap.
 func (a *Node) VotingAddresses() []string {
 	return lo.Map(a.voting(), func(v Voter, _ int) string { return v.Address })
 }
@@ -195,9 +196,9 @@
 // AddressOf returns the address of a voter that sent a join request, by id, or of
 // one that join requests are sent to, by name.
 func (a *Node) AddressOf(id string) string {
-	for _, h := range a.joinRequests {
-		if h.voter.Id == id {
-			return h.voter.Address
+	for _, j := range a.joinRequests {
+		if j.voter.Id == id {
+			return j.voter.Address
 		}
 	}
 	for _, v := range a.settings.JoinTargets {
--- a/internal/control/agreement/message.go
+++ b/internal/control/agreement/message.go
@@ -26,21 +26,23 @@
 
 // Message is a message between two voters.
 type Message struct {
-	_        struct{} `cbor:",toarray"`
-	Kind     MessageKind
-	From     string
-	To       string
-	Term     uint64
-	Index    uint64
-	LogTerm  uint64
-	Commit   uint64
+	_       struct{} `cbor:",toarray"`
+	Kind    MessageKind
+	From    string
+	To      string
+	Term    uint64
+	Index   uint64
+	LogTerm uint64
+	Commit  uint64
+	// Granted is the result in a response. In a JoinRequest, it is set if the sender has a
+	// list of voters; in a RequestVote, if the leader asked for the election.
 	Granted  bool
 	Entries  []Entry
 	Snapshot *Snapshot
 	Voter    Voter
 	Voters   []Voter
 	// Address is where the sender receives responses: a receiver with an empty
-	// disk has no list of voters to look it up in.
+	// disk has no list of voters that contains it.
 	Address string
 	// Sent is the leader's send time in nanoseconds, echoed in responses.
 	Sent int64
--- a/internal/control/agreement/replication.go
+++ b/internal/control/agreement/replication.go
@@ -38,10 +38,10 @@
 
 // tickLeader sends heartbeats, and steps down if a majority does not respond.
 func (a *Node) tickLeader(now time.Time) {
-	if now.Sub(a.lastHeartbeat) < a.settings.Heartbeat {
+	if now.Sub(a.lastSent) < a.settings.Heartbeat {
 		return
 	}
-	a.lastHeartbeat = now
+	a.lastSent = now
 	if now.Sub(a.leaderSince) > a.settings.Election && now.Sub(a.leaseEnd(now)) > a.settings.Election {
 		a.stepDown(now, a.vote.Term)
 		return
@@ -168,8 +168,8 @@
 }
 
 // replicateCommit sends followers missing entries and the new commit index at
-// once. A follower that learned of a commit only with the next heartbeat delayed
-// the balancers that follow it by a quarter of a second.
+// once. If they received the commit index only with the next heartbeat, the
+// balancers that poll them would get changes up to a quarter of a second late.
 func (a *Node) replicateCommit(now time.Time) {
 	for _, v := range a.peers() {
 		p := a.progressOf(v.Id)
