--- a/internal/control/feed/feed.go
+++ b/internal/control/feed/feed.go
@@ -31,7 +31,7 @@
 	ConfigurationMethod = "Feed.Configuration"
 )
 
-// minWakeInterval is the least time between two responses with changes of upstreams. While
+// minWakeInterval is the minimum time between two responses with changes of upstreams. While
 // thousands of upstreams are replaced in turn, one response per change and balancer would take
 // most of a voter's CPU time; a delay of 100 ms does not affect callers.
 const minWakeInterval = 100 * time.Millisecond
@@ -58,9 +58,9 @@
 	// Life and Version identify the state of the voter's directory that the balancer
 	// received last.
 	Life, Version uint64
-	// Recalled also requests upstreams that have not announced themselves to this voter
-	// since it restarted. A starting balancer needs them from one voter only; from each,
-	// they would saturate the links of a fleet of hundreds.
+	// Recalled also requests restored upstreams: those that have not announced themselves to
+	// this voter since it restarted. A starting balancer needs them from one voter only; from
+	// each, they would saturate the links of a fleet of hundreds.
 	Recalled bool
 	// Hold is how long the response may wait for updates.
 	Hold time.Duration
@@ -126,17 +126,19 @@
 	evacuations evacuation.Evacuations
 	services    map[string]bool
 	directory   *directory.Directory
-	members     []string
-	changed     chan struct{}
+	// voterAddresses are the RPC addresses of all known voters.
+	voterAddresses []string
+	// changed is closed to complete the waiting polls.
+	changed chan struct{}
 	// lastWake is when polls were last completed for changes of upstreams; pending is set
 	// while further changes are batched.
 	lastWake time.Time
 	pending  bool
-	// silence accrues evidence of unresponsive upstreams; evaluationScheduled is set while a
+	// detector accrues evidence of unresponsive upstreams; evaluationScheduled is set while a
 	// timer for its next evaluation runs.
-	silence             *accrual.Detector
+	detector            *accrual.Detector
 	evaluationScheduled bool
-	// confirmation holds the results of probes of those upstreams' hosts.
+	// confirmation holds the results of probes of the hosts of suspected upstreams.
 	confirmation *confirmation.Confirmer
 	prober       Prober
 	// suspicionsPacer limits the rate of responses with suspicions.
@@ -148,8 +150,8 @@
 	zone  string
 	fleet *members.Members
 	// notices and configuration cache responses that many starting balancers request.
-	notices       encoded[noticesKey]
-	configuration encoded[configurationKey]
+	notices       responseCache[noticesKey]
+	configuration responseCache[configurationKey]
 }
 
 // lastPoll is the time and relay depth of a balancer's last poll.
@@ -170,7 +172,7 @@
 // New returns an empty feed. life must differ from that of earlier processes of this voter.
 func New(life uint64, d *directory.Directory, clock func() time.Time) *Feed {
 	return &Feed{
-		life: life, clock: clock, directory: d, changed: make(chan struct{}), silence: accrual.New(), lastPoll: map[string]lastPoll{},
+		life: life, clock: clock, directory: d, changed: make(chan struct{}), detector: accrual.New(), lastPoll: map[string]lastPoll{},
 		fleet: members.New(), confirmation: confirmation.New(),
 	}
 }
@@ -185,7 +187,7 @@
 	f.serveFleet(r, token)
 }
 
-// Publish sets the configuration unless the held one is as new.
+// Publish sets the configuration if it is newer than the current one.
 func (f *Feed) Publish(h history.History) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -196,7 +198,7 @@
 	}
 }
 
-// PublishEvacuations sets the evacuation orders unless the held ones are as new.
+// PublishEvacuations sets the evacuation orders if they are newer than the current ones.
 func (f *Feed) PublishEvacuations(e evacuation.Evacuations) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -206,7 +208,8 @@
 	}
 }
 
-// Configured reports whether the configuration contains a service. It is true while no configuration is known.
+// Configured reports whether the configuration contains a service. It returns true while no
+// configuration is known.
 func (f *Feed) Configured(service string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -217,28 +220,29 @@
 func (f *Feed) SetVoters(addresses []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.members = addresses
+	f.voterAddresses = addresses
 }
 
 // Announce records an upstream's announcement. It reports whether that changes the directory and
-// whether it clears a suspicion.
-func (f *Feed) Announce(now time.Time, u upstream.Upstream, cold time.Duration) (hasUpdates, clearsSuspicion bool) {
-	return f.AnnounceRelayed(now, handover.Announcement{Upstream: u, Cold: cold})
+// whether it refutes a suspicion.
+func (f *Feed) Announce(now time.Time, u upstream.Upstream, cold time.Duration) (changed, refutesSuspicion bool) {
+	return f.AnnounceForwarded(now, handover.Announcement{Upstream: u, Cold: cold})
 }
 
-// AnnounceRelayed records an announcement that a balancer received some time ago.
-func (f *Feed) AnnounceRelayed(now time.Time, a handover.Announcement) (hasUpdates, clearsSuspicion bool) {
+// AnnounceForwarded records an announcement that was received a.Age ago, usually by a process that
+// forwarded it.
+func (f *Feed) AnnounceForwarded(now time.Time, a handover.Announcement) (changed, refutesSuspicion bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	hasUpdates, newer := f.directory.Announce(now.Add(-a.Age), a.Upstream, a.Cold)
-	if hasUpdates {
+	changed, newer := f.directory.Announce(now.Add(-a.Age), a.Upstream, a.Cold)
+	if changed {
 		f.pending = true
 		f.wakeIfDue(now)
 	}
-	return hasUpdates, newer && a.Upstream.State != upstream.Withdrawn && f.clearSuspicion(now, a)
+	return changed, newer && a.Upstream.State != upstream.Withdrawn && f.refuteSuspicion(now, a)
 }
 
-// Restore restores an upstream from the state of another voter after a restart of this one.
+// Restore records an upstream of another voter from the state that this voter saved before a restart.
 func (f *Feed) Restore(now time.Time, u upstream.Upstream, cold time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/control/feed/feed_test.go
+++ b/internal/control/feed/feed_test.go
@@ -35,7 +35,7 @@
 
 // Guards against overloaded voters that acknowledge departures late during a rolling replacement.
 // With 50 changes of upstreams a second and 290 polling balancers, each change was a separate
-// answer to each balancer.
+// response to each balancer.
 func TestUpstreamChangesAreBatched(t *testing.T) {
 	f := newFeed()
 	responses := make(chan feed.Response)
@@ -52,7 +52,7 @@
 	f.Tick(epoch.Add(50 * time.Millisecond))
 	select {
 	case <-responses:
-		t.Fatal("answered too early")
+		t.Fatal("responded too early")
 	case <-time.After(20 * time.Millisecond):
 	}
 	f.Tick(epoch.Add(100 * time.Millisecond))
@@ -73,7 +73,7 @@
 
 // Guards against saturated links of voters after a power loss of all VMs. Each voter restored
 // the upstreams of all voters and sent them to every balancer, so that balancers got them once per
-// voter and announcements were answered late.
+// voter and announcements were acknowledged late.
 func TestRestoredUpstreamsAreSentOnRequestOnly(t *testing.T) {
 	f := newFeed()
 	f.Announce(epoch, announced(1), 0)
@@ -83,17 +83,17 @@
 }
 
 // Guards against balancers that each have to detect a failed upstream themselves. Two balancers
-// report unanswered packets, and a third one that polls the voter learns of it.
-func TestSilenceIsReportedToAllBalancers(t *testing.T) {
+// report unanswered packets, and a third one that polls the voter receives the suspicion.
+func TestSuspicionsAreReportedToAllBalancers(t *testing.T) {
 	f := newFeed()
 	f.SetProber(fixedProber(probe.Unanswered))
 	f.Announce(epoch.Add(-time.Second), announced(1), 0)
 	responses := make(chan feed.Response)
-	ask := func(version uint64) {
+	poll := func(version uint64) {
 		a := f.Since(context.Background(), feed.Request{Life: 1, From: "b3", Version: f.Version(), Doubts: version, Hold: time.Hour})
 		responses <- a
 	}
-	go ask(0)
+	go poll(0)
 	u := announced(1)
 	u.Sequence++
 	missed := evidence.Event{Incarnation: 1, Age: 200 * time.Millisecond, Weight: 5}
@@ -101,19 +101,19 @@
 	first := <-responses
 	require.Equal(t, evidence.Subject{Incarnation: 1}, first.Doubts[0].Subject)
 	require.False(t, first.Doubts[0].Unresponsive)
-	go ask(first.DoubtsVersion)
+	go poll(first.DoubtsVersion)
 	f.Report(epoch, evidence.Report{From: "b2", Events: []evidence.Event{missed}})
 	f.Tick(epoch.Add(100 * time.Millisecond))
 	second := <-responses
 	if !second.Doubts[0].Unresponsive {
 		// The evidence sufficed before the probe finished.
-		go ask(second.DoubtsVersion)
+		go poll(second.DoubtsVersion)
 		second = <-responses
 	}
 	require.True(t, second.Doubts[0].Unresponsive)
-	go ask(second.DoubtsVersion)
-	_, answered := f.Announce(epoch.Add(200*time.Millisecond), u, 0)
-	require.True(t, answered, "an announcement is a sign of life that other voters do not receive")
+	go poll(second.DoubtsVersion)
+	_, refuted := f.Announce(epoch.Add(200*time.Millisecond), u, 0)
+	require.True(t, refuted, "the other voters need a liveness report, since they do not receive the announcement")
 	require.Empty(t, (<-responses).Doubts)
 }
 
@@ -124,7 +124,8 @@
 	return probe.Outcome(p)
 }
 
-// Guards against resets of flows whose upstream is only short of CPU time while its host responds.
+// Guards against resets of the flows of an upstream that is short of CPU time: while its host responds
+// to probes, the upstream is only suspected.
 func TestUpstreamWhoseHostAnswersIsOnlySuspected(t *testing.T) {
 	for _, o := range []probe.Outcome{probe.Accepted, probe.Inconclusive} {
 		f := newFeed()
@@ -200,7 +201,7 @@
 	f.Tick(epoch.Add(200 * time.Millisecond))
 	select {
 	case <-responses:
-		t.Fatal("answered too early")
+		t.Fatal("responded too early")
 	case <-time.After(20 * time.Millisecond):
 	}
 	f.Tick(epoch.Add(300 * time.Millisecond))
--- a/internal/control/feed/fleet.go
+++ b/internal/control/feed/fleet.go
@@ -9,7 +9,8 @@
 	"wasabideal/internal/wire/rpc"
 )
 
-// RecordFollowersMethod is the RPC by which a balancer reports its followers to the processes that it follows.
+// RecordFollowersMethod is the RPC by which a balancer reports its followers to its parent or to the
+// voters.
 const RecordFollowersMethod = "Feed.Attend"
 
 func (f *Feed) serveFleet(r *rpc.Server, token string) {
@@ -44,7 +45,7 @@
 
 // attachFleet records the polling balancer and adds the balancers of its zone to the response, if
 // their list has changed. Such a change does not complete a poll: a position in the tree that is
-// one second out of date does no harm.
+// out of date for a second does no harm.
 func (f *Feed) attachFleet(now time.Time, q Request, a *Response) {
 	if q.Self == nil {
 		return
--- a/internal/control/feed/probe.go
+++ b/internal/control/feed/probe.go
@@ -30,8 +30,8 @@
 
 // suspicions returns the suspicions that follow from the evidence of balancers.
 func (f *Feed) suspicions(now time.Time) []confirmation.Candidate {
-	return lo.Map(f.silence.Suspicions(now), func(d evidence.Suspicion, _ int) confirmation.Candidate {
-		return confirmation.Candidate{Suspicion: d, Upstreams: f.silence.Implicated(d.Subject)}
+	return lo.Map(f.detector.Suspicions(now), func(s evidence.Suspicion, _ int) confirmation.Candidate {
+		return confirmation.Candidate{Suspicion: s, Upstreams: f.detector.Implicated(s.Subject)}
 	})
 }
 
@@ -40,8 +40,8 @@
 	return f.confirmation.Confirm(now, f.suspicions(now))
 }
 
-// suspicionsVersion rises whenever the suspicions may have changed.
-func (f *Feed) suspicionsVersion() uint64 { return f.silence.Version() + f.confirmation.Version() }
+// suspicionsVersion returns a number that rises whenever the suspicions may have changed.
+func (f *Feed) suspicionsVersion() uint64 { return f.detector.Version() + f.confirmation.Version() }
 
 // startProbes starts the probes that are due.
 func (f *Feed) startProbes(now time.Time) {
@@ -53,7 +53,7 @@
 		return
 	}
 	references := f.directory.RecentAddresses(referenceCount, func(incarnation uint64) bool {
-		return f.silence.Refutes(evidence.Event{Incarnation: incarnation})
+		return f.detector.Refutes(evidence.Event{Incarnation: incarnation})
 	})
 	for _, u := range due {
 		address, known := f.address(now, u)
--- a/internal/control/feed/response.go
+++ b/internal/control/feed/response.go
@@ -44,16 +44,16 @@
 
 // inlineConfiguration returns the encoded configuration, or nil if there is none or it exceeds
 // maxInlineConfiguration. A starting balancer may poll several voters at once, and their copies
-// of a large configuration would saturate a slow link; it fetches a large one separately.
+// of a large configuration would saturate a slow link; the balancer fetches it separately.
 func (f *Feed) inlineConfiguration() cbor.RawMessage {
 	if f.history.Current().Revision == 0 {
 		return nil
 	}
-	encoded, err := f.encodedSince(0)
-	if err != nil || len(encoded) > maxInlineConfiguration {
+	body, err := f.encodedSince(0)
+	if err != nil || len(body) > maxInlineConfiguration {
 		return nil
 	}
-	return encoded
+	return body
 }
 
 // Configuration returns the deltas from a held revision to the newest, or the whole configuration.
@@ -71,7 +71,7 @@
 	return a
 }
 
-// noticesSince returns the notices that changed after a version. Recalled ones are included
+// noticesSince returns the notices that changed after a version. Restored ones are included
 // only on request.
 func (f *Feed) noticesSince(now time.Time, version uint64, restored bool) []directory.Notice {
 	notices := f.directory.Since(now, version)
@@ -82,7 +82,7 @@
 }
 
 // attachEncodedNotices adds all notices to a response in encoded form, cached across balancers. It
-// reports false if the balancer asks for changes only or does not accept that form.
+// reports false if the balancer requests changes only or does not accept that form.
 func (f *Feed) attachEncodedNotices(now time.Time, q Request, version uint64, a *Response) bool {
 	if version != 0 || !q.Encoded {
 		return false
@@ -103,9 +103,9 @@
 // Decoded returns the response with all notices decoded into Notices. Those that the voter received
 // itself come last, so that they override those of other voters.
 func (r Response) Decoded() (Response, error) {
-	var remoteUpstreams, own []directory.Notice
+	var remote, own []directory.Notice
 	if len(r.Elsewhere) > 0 {
-		if err := cbor.Unmarshal(r.Elsewhere, &remoteUpstreams); err != nil {
+		if err := cbor.Unmarshal(r.Elsewhere, &remote); err != nil {
 			return r, err
 		}
 	}
@@ -114,7 +114,7 @@
 			return r, err
 		}
 	}
-	r.Notices = slices.Concat(remoteUpstreams, own, r.Notices)
+	r.Notices = slices.Concat(remote, own, r.Notices)
 	r.Elsewhere, r.Encoded = nil, nil
 	return r, nil
 }
@@ -128,7 +128,7 @@
 	}
 	now := f.clock()
 	a := Response{
-		Revision: f.history.Current().Revision, Life: f.life, Version: f.directory.Version(), Members: f.members,
+		Revision: f.history.Current().Revision, Life: f.life, Version: f.directory.Version(), Members: f.voterAddresses,
 		DoubtsVersion: f.suspicionsVersion(), Zone: f.zone,
 	}
 	if q.Life != f.life || q.Doubts != a.DoubtsVersion {
--- a/internal/control/feed/silence.go
+++ b/internal/control/feed/silence.go
@@ -10,14 +10,14 @@
 	"wasabideal/internal/wire/rpc"
 )
 
-// ReportMethod is the RPC by which balancers report unanswered packets of upstreams, and
-// balancers and voters report signs of life.
+// ReportMethod is the RPC by which balancers report packets that upstreams left unanswered, and
+// balancers and voters send liveness reports.
 const ReportMethod = "Feed.Report"
 
-// ReportsMethod is the same for the reports of several balancers, relayed by one.
+// ReportsMethod is the RPC by which a balancer forwards the reports of several balancers.
 const ReportsMethod = "Feed.Reports"
 
-// suspicionsIntervalPerBalancer is the least time between two responses with suspicions, per polling
+// suspicionsIntervalPerBalancer is the minimum time between two responses with suspicions, per polling
 // balancer: 44 balancers get at most 500 responses a second together.
 const suspicionsIntervalPerBalancer = 2 * time.Millisecond
 
@@ -41,39 +41,40 @@
 	})
 }
 
-// Report records the observations of a balancer, or a sign of life received by a voter.
+// Report records the observations of a balancer, or a liveness report of a voter.
 func (f *Feed) Report(now time.Time, r evidence.Report) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, e := range r.Events {
-		f.silence.Record(now, r.From, e)
+		f.detector.Record(now, r.From, e)
 	}
 	f.evaluate(now)
 }
 
-// clearSuspicion records an announcement as a sign of life and reports whether the upstream was suspected.
-func (f *Feed) clearSuspicion(now time.Time, a handover.Announcement) bool {
+// refuteSuspicion records the announcement of a suspected upstream as a liveness report. It reports
+// whether the upstream was suspected.
+func (f *Feed) refuteSuspicion(now time.Time, a handover.Announcement) bool {
 	e := LivenessEvent(a.Upstream)
 	e.Age = a.Age
-	if !f.silence.Refutes(e) {
+	if !f.detector.Refutes(e) {
 		return false
 	}
-	f.silence.Record(now, "", e)
+	f.detector.Record(now, "", e)
 	f.evaluate(now)
 	return true
 }
 
-// LivenessEvent returns the sign-of-life event of an announcement.
+// LivenessEvent returns the event of a liveness report on an announced upstream.
 func LivenessEvent(u upstream.Upstream) evidence.Event {
 	return evidence.Event{Incarnation: u.Incarnation, Born: u.Born, Zone: u.Zone, Answered: true}
 }
 
-// evaluate decides on the evidence and reports changes to balancers, at once unless the rate limit
-// applies. Each delay of 100 ms costs further requests that are sent on flows of an unresponsive
-// upstream.
+// evaluate updates the suspicions from the evidence and reports changes to balancers, at once unless
+// the rate limit applies. During each delay of 100 ms, further requests are sent on flows of an
+// unresponsive upstream.
 func (f *Feed) evaluate(now time.Time) {
 	before := f.suspicionsVersion()
-	next := f.silence.Evaluate(now, f.activeBalancers(now), f.relayHops())
+	next := f.detector.Evaluate(now, f.activeBalancers(now), f.relayHops())
 	if f.suspicionsVersion() != before {
 		f.wakeForSuspicions(now)
 	}
@@ -90,8 +91,8 @@
 	})
 }
 
-// wakeForSuspicions completes polls because suspicions changed. Where balancers relay the suspicions, it
-// limits its rate, so that hundreds of upstreams that fail together are reported together.
+// wakeForSuspicions completes polls because suspicions changed. Where balancers relay the suspicions, its
+// rate is limited, so that hundreds of upstreams that fail together are reported together.
 func (f *Feed) wakeForSuspicions(now time.Time) {
 	pause := time.Duration(0)
 	if f.relayHops() > 0 {
--- a/internal/control/upstreams/upstreams.go
+++ b/internal/control/upstreams/upstreams.go
@@ -25,7 +25,7 @@
 // ShareMethod is the RPC method by which voters share announcements.
 const ShareMethod = "Upstreams.Share"
 
-// ForwardMethod is the RPC method by which balancers forward announcements.
+// ForwardMethod is the RPC method by which balancers and voters forward announcements.
 const ForwardMethod = "Upstreams.HandOver"
 
 // shareTimeout limits the wait for other voters. An upstream waits about a second
@@ -50,7 +50,7 @@
 	return "this voter holds no list of voters yet and cannot count a majority; announce the departure again or elsewhere"
 }
 
-// UnknownServiceError reports that the configuration has no such service. An announcement
+// UnknownServiceError rejects an announcement of a service that is not configured. An announcement
 // with a mistyped service would otherwise take over the address of a serving upstream.
 type UnknownServiceError struct{ Service string }
 
@@ -94,15 +94,15 @@
 	clients  map[string]*rpc.Client
 	referral *referral.Referral
 	limiter  *ratelimit.Limiter
-	// voterHandovers are the queues of announcements for other voters, by address.
-	voterHandovers map[string]*handover.Batcher
+	// forwardBatchers batch the announcements that are forwarded to other voters, by address.
+	forwardBatchers map[string]*handover.Batcher
 }
 
 // New returns a Receiver that records announcements in a feed.
 func New(s Settings, f *feed.Feed, log hclog.Logger) *Receiver {
 	return &Receiver{
 		settings: s, feed: f, log: log, clients: map[string]*rpc.Client{}, referral: referral.New(s.Shape), limiter: ratelimit.New(rejectedLogsPerSecond),
-		voterHandovers: map[string]*handover.Batcher{},
+		forwardBatchers: map[string]*handover.Batcher{},
 	}
 }
 
@@ -115,16 +115,16 @@
 	rpc.Handle(r, ForwardMethod, u.settings.Token, func(_ context.Context, all []handover.Announcement) (empty, error) {
 		now := u.settings.Clock()
 		for _, a := range all {
-			u.receiveHandover(now, a)
+			u.receiveForwarded(now, a)
 		}
 		return empty{}, nil
 	})
 }
 
-// receiveHandover records an announcement that a balancer forwarded. Departures are
+// receiveForwarded records an announcement that a balancer or voter forwarded. Departures are
 // accepted only from the upstream itself, since they are acknowledged only once a majority
 // holds them.
-func (u *Receiver) receiveHandover(now time.Time, a handover.Announcement) {
+func (u *Receiver) receiveForwarded(now time.Time, a handover.Announcement) {
 	if a.Upstream.State != upstream.Ready || !u.feed.Configured(a.Upstream.Service) {
 		u.logRejected(now, a.Upstream)
 		return
@@ -154,8 +154,8 @@
 }
 
 // forwardToOwner forwards an announcement to the voter that owns the upstream and reports whether
-// that voter accepted it. Such an announcement arrives here after the upstream's balancer
-// ended. In zones whose upstreams announce to voters only, it stays at the receiving voter.
+// that voter accepted it. The announcement arrives here if the upstream's balancer has ended.
+// In zones whose upstreams announce to voters only, it stays at the receiving voter.
 func (u *Receiver) forwardToOwner(ctx context.Context, a handover.Announcement) bool {
 	zone := lo.Map(u.feed.Fleet(a.Upstream.Zone), func(m member.Member, _ int) string { return m.Address })
 	if !u.settings.Shape.MultiLevel(zone) {
@@ -165,34 +165,34 @@
 	if to == "" || to == u.settings.Self {
 		return false
 	}
-	err := u.handoverTo(to).Add(ctx, handover.BatchDelay(u.settings.AnnounceInterval, 1, false), a)
+	err := u.forwardBatcher(to).Add(ctx, handover.BatchDelay(u.settings.AnnounceInterval, 1, false), a)
 	if err != nil {
 		u.log.Debug("failed to forward announcement", "Address", to, "Error", err)
 	}
 	return err == nil
 }
 
-// handoverTo returns the queue of announcements for another voter.
-func (u *Receiver) handoverTo(to string) *handover.Batcher {
+// forwardBatcher returns the batcher of announcements that are forwarded to another voter.
+func (u *Receiver) forwardBatcher(to string) *handover.Batcher {
 	client := u.client(to)
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	h := u.voterHandovers[to]
-	if h == nil {
-		h = handover.New(u.settings.Clock, func(ctx context.Context, all []handover.Announcement) error {
+	batcher := u.forwardBatchers[to]
+	if batcher == nil {
+		batcher = handover.New(u.settings.Clock, func(ctx context.Context, all []handover.Announcement) error {
 			ctx, cancel := context.WithTimeout(ctx, shareTimeout)
 			defer cancel()
 			_, err := rpc.Call[[]handover.Announcement, empty](ctx, client, ForwardMethod, all)
 			return err
 		})
-		u.voterHandovers[to] = h
+		u.forwardBatchers[to] = batcher
 	}
-	return h
+	return batcher
 }
 
-// record stores an announcement in the feed, whether received now or earlier.
+// record stores an announcement in the feed and logs it if it changes the directory.
 func (u *Receiver) record(now time.Time, x handover.Announcement) {
-	changed, refutesSuspicion := u.feed.AnnounceRelayed(now, x)
+	changed, refutesSuspicion := u.feed.AnnounceForwarded(now, x)
 	a := x.Upstream
 	if refutesSuspicion {
 		u.reportAlive(a)
@@ -206,7 +206,8 @@
 // Announce handles an upstream's announcement and returns once it may be
 // acknowledged. A departure must first be stored by a majority of the voters: if
 // only this voter had it and failed, balancers would still send new flows to an
-// upstream whose departure was acknowledged.
+// upstream whose departure was acknowledged. A departure that is not acknowledged is
+// published to balancers all the same.
 func (u *Receiver) Announce(ctx context.Context, a upstream.Upstream, cold time.Duration) error {
 	if a.State != upstream.Withdrawn && !u.feed.Configured(a.Service) {
 		return &UnknownServiceError{Service: a.Service}
@@ -241,7 +242,7 @@
 func (u *Receiver) share(ctx context.Context, s sharedAnnouncement) error {
 	others, voting := lo.Without(u.settings.Known(), u.settings.Self), u.settings.VotingPeers()
 	needed := len(voting)/2 + 1
-	// The other voters must receive the announcement even if the caller gives up.
+	// The other voters must receive the announcement even if the caller disconnects.
 	ctx = context.WithoutCancel(ctx)
 	acceptedBy := make(chan string, len(others))
 	for _, address := range others {
--- a/internal/control/upstreams/upstreams_test.go
+++ b/internal/control/upstreams/upstreams_test.go
@@ -31,8 +31,8 @@
 	upstreams *upstreams.Receiver
 }
 
-// voters starts n voters, the last down of which do not listen.
-func voters(t *testing.T, n, down int) []voter {
+// voters starts n voters; those at the end of the list, as many as unreachable, do not listen.
+func voters(t *testing.T, n, unreachable int) []voter {
 	var addresses []string
 	var listeners []rpctest.Server
 	for range n {
@@ -52,7 +52,7 @@
 			},
 		}, f, hclog.NewNullLogger())
 		out = append(out, voter{addresses, f, u})
-		if i >= n-down {
+		if i >= n-unreachable {
 			require.NoError(t, l.Listener.Close())
 			continue
 		}
@@ -111,7 +111,7 @@
 // Guards against an acknowledged departure that is lost with two of five voters, a loss that
 // must be tolerated. Two learners and one voter hold the departure, two voters do not;
 // learners must not count towards the majority.
-func TestOnlyVotersCountTowardsTheMajority(t *testing.T) {
+func TestLearnersDoNotCountTowardsTheMajority(t *testing.T) {
 	vs := voters(t, 5, 2)
 	known := vs[0].known
 	voting := append([]string{known[0]}, known[3:]...)
@@ -153,7 +153,7 @@
 	}
 }
 
-func inZoneA() upstream.Upstream {
+func upstreamInZoneA() upstream.Upstream {
 	return upstream.Upstream{
 		Identity: upstream.Identity{Service: "orders", Incarnation: 9, Address: netip.MustParseAddrPort("10.1.64.1:80")},
 		Zone:     "a", Sequence: 5,
@@ -171,16 +171,16 @@
 func TestAnnouncementIsForwardedToVoterOfItsZone(t *testing.T) {
 	all := voters(t, 2, 0)
 	withBalancers(all[1], 9)
-	require.NoError(t, all[1].upstreams.Announce(t.Context(), inZoneA(), 0))
+	require.NoError(t, all[1].upstreams.Announce(t.Context(), upstreamInZoneA(), 0))
 	require.Equal(t, 1, noticeCount(all[0]))
 	require.Zero(t, noticeCount(all[1]))
-	require.NotEmpty(t, all[1].upstreams.Refer(inZoneA()))
+	require.NotEmpty(t, all[1].upstreams.Refer(upstreamInZoneA()))
 }
 
 func TestAnnouncementStaysIfVoterOfItsZoneDoesNotRespond(t *testing.T) {
 	all := voters(t, 3, 1)
 	withBalancers(all[0], 9)
-	u := inZoneA()
+	u := upstreamInZoneA()
 	u.Zone = "c"
 	for i := range 9 {
 		m := member.Member{Zone: "c", Address: fmt.Sprintf("10.3.0.%d:7720", i+1)}
@@ -193,9 +193,9 @@
 func TestAnnouncementsOfSmallZonesStayWithReceivingVoter(t *testing.T) {
 	all := voters(t, 2, 0)
 	withBalancers(all[1], 4)
-	require.NoError(t, all[1].upstreams.Announce(t.Context(), inZoneA(), 0))
+	require.NoError(t, all[1].upstreams.Announce(t.Context(), upstreamInZoneA(), 0))
 	require.Equal(t, 1, noticeCount(all[1]))
-	require.Empty(t, all[1].upstreams.Refer(inZoneA()))
+	require.Empty(t, all[1].upstreams.Refer(upstreamInZoneA()))
 }
 
 // A departure forwarded by a balancer would be acknowledged before a majority holds it.
@@ -204,7 +204,7 @@
 	client := rpc.NewClient(all[0].known[0], "group")
 	t.Cleanup(client.Close)
 	_, err := rpc.Call[[]handover.Announcement, struct{}](t.Context(), client, upstreams.ForwardMethod, []handover.Announcement{
-		{Upstream: drainingUpstream()}, {Upstream: inZoneA(), Age: time.Second},
+		{Upstream: drainingUpstream()}, {Upstream: upstreamInZoneA(), Age: time.Second},
 	})
 	require.NoError(t, err)
 	notices, _ := all[0].feed.Notices(time.Now())
