--- a/internal/control/ledger/evacuate_test.go
+++ b/internal/control/ledger/evacuate_test.go
@@ -22,11 +22,11 @@
 	return answer
 }
 
-// Guards against a zone without flows after its evacuation ended. An evacuation command
+// Guards against a zone without flows after its evacuation ended. An evacuation order
 // waits in a stalled voter; the operator resends it to another voter and later ends the
-// evacuation; then the stalled voter proposes the first command. Commands carry no number,
-// so without the expected revision the last to arrive would apply.
-func TestDelayedCommandDoesNotUndoLaterOne(t *testing.T) {
+// evacuation; then the stalled voter proposes the first order. Orders carry no sequence
+// number, so without the expected revision the last to arrive would apply.
+func TestDelayedOrderDoesNotUndoLaterOne(t *testing.T) {
 	l := ledger.New()
 	require.Equal(t, ledger.Accepted, applyEvacuation(t, l, "again", "a", true, 0).Verdict)
 	require.Equal(t, ledger.Accepted, applyEvacuation(t, l, "back", "a", false, 1).Verdict)
@@ -36,7 +36,7 @@
 	require.False(t, l.Evacuations().Evacuated("a"))
 }
 
-func TestCommandThatMatchesCurrentStateIsAccepted(t *testing.T) {
+func TestOrderThatMatchesCurrentStateIsAccepted(t *testing.T) {
 	l := ledger.New()
 	require.Equal(t, ledger.Superseded, applyEvacuation(t, l, "end first", "a", false, 0).Verdict)
 	require.Equal(t, ledger.Accepted, applyEvacuation(t, l, "start", "a", true, 0).Verdict)
@@ -75,20 +75,20 @@
 	require.Zero(t, l.Evacuations().Revision)
 }
 
-// Checks that delayed, repeated and concurrent commands leave a zone in the state of the last
-// acknowledged command that was issued after its predecessor had been applied.
-func TestAcknowledgedCommandsAreNotUndoneByOlderOnes(t *testing.T) {
+// Checks that delayed, repeated and concurrent orders leave a zone in the state of the last
+// acknowledged order that was issued after its predecessor had been applied.
+func TestAcknowledgedOrdersAreNotUndoneByOlderOnes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := ledger.New()
-		type command struct {
+		type order struct {
 			on     bool
 			expect uint64
 			at     int
 		}
-		var delayed []command
+		var delayed []order
 		last, lastAt := false, -1
 		for i := range rapid.IntRange(1, 40).Draw(t, "steps") {
-			x := command{on: rapid.Bool().Draw(t, "on"), expect: l.Evacuations().Lookup("a").Revision, at: i}
+			x := order{on: rapid.Bool().Draw(t, "on"), expect: l.Evacuations().Lookup("a").Revision, at: i}
 			if rapid.Bool().Draw(t, "delayed") {
 				delayed = append(delayed, x)
 				continue
@@ -99,7 +99,7 @@
 			}
 			switch a := applyEvacuation(t, l, fmt.Sprint("key-", i), "a", x.on, x.expect); a.Verdict {
 			case ledger.Accepted:
-				require.Greater(t, x.at, lastAt, "a command issued before the last change was applied")
+				require.Greater(t, x.at, lastAt, "an order issued before the last change was applied")
 				last, lastAt = x.on, i
 			case ledger.Superseded:
 				require.Equal(t, last, x.on)
--- a/internal/control/ledger/ledger.go
+++ b/internal/control/ledger/ledger.go
@@ -13,8 +13,8 @@
 	"wasabideal/internal/model/roster"
 )
 
-// KeyWindow is the number of change keys whose answers are stored: six days at
-// 16,000 changes a day.
+// KeyWindow is the number of change keys whose answers are stored, enough for six days
+// with 16,000 changes a day.
 const KeyWindow = 100_000
 
 // Change is a change requested by an operator.
@@ -159,7 +159,7 @@
 }
 
 // RosterChange replaces the list of balancers that store idempotency keys, or
-// marks the handover from the previous list as settled.
+// marks the move of the keys from the previous list as settled.
 type RosterChange struct {
 	ExpectVersion uint64
 	Members       []roster.Member
@@ -190,7 +190,7 @@
 func (l *Ledger) Roster() roster.Roster { return l.roster }
 
 // applyRoster applies a change that is based on the current version. The second
-// of two concurrent changes is dropped; its author decides again.
+// of two concurrent changes has no effect; the roster manager then proposes a new one.
 func (l *Ledger) applyRoster(c RosterChange) {
 	switch {
 	case c.ExpectVersion != l.roster.Version:
@@ -201,8 +201,8 @@
 	}
 }
 
-// Apply applies one committed log entry. A repeated key gets its first answer
-// again and a nil record.
+// Apply applies one committed log entry. For a change key that was applied before, it
+// returns the first answer and a nil record.
 func (l *Ledger) Apply(data []byte) (Change, Answer, *Record) {
 	var x command
 	if err := cbor.Unmarshal(data, &x); err != nil {
@@ -219,7 +219,7 @@
 		return c, a, nil
 	}
 	before := l.summary()
-	a := l.decide(c)
+	a := l.applyChange(c)
 	l.storeAnswer(c.ChangeKey, a)
 	return c, a, &Record{
 		When: c.When, Who: c.Who, ChangeKey: c.ChangeKey, Verdict: a.Verdict, Revision: a.Revision,
@@ -227,8 +227,9 @@
 	}
 }
 
-// decide applies a change by rules that all voters share.
-func (l *Ledger) decide(c Change) Answer {
+// applyChange applies a change and returns the answer. It is deterministic, so that all voters
+// reach the same state.
+func (l *Ledger) applyChange(c Change) Answer {
 	current := l.Current()
 	switch {
 	case c.Evacuate != nil:
@@ -248,9 +249,9 @@
 	return Answer{Verdict: Accepted, Revision: next.Revision}
 }
 
-// publish applies a configuration whose revision is set by the operator. An equal
-// revision with different content has no effect: the content of a revision that
-// was read must not change.
+// publish applies a configuration whose revision is set by the operator. A revision
+// that is not newer has no effect, even if the content of an equal one differs:
+// balancers may already have applied that revision.
 func (l *Ledger) publish(c Change) Answer {
 	current := l.Current()
 	if answer := ValidatePublished(*c.Publish); answer.Verdict == Invalid {
--- a/internal/control/referral/referral.go
+++ b/internal/control/referral/referral.go
@@ -17,7 +17,7 @@
 
 // maxPerBalancer limits the upstreams that one voter refers to one balancer per decay
 // interval, to three times the mean of a fleet of 3,000 upstreams and 300 balancers. Voters
-// that have just started know few balancers; without the limit, one received 190 upstreams.
+// that have just started know few balancers; without the limit, a single balancer received 190 upstreams.
 const maxPerBalancer = 30
 
 // Referral chooses balancers by the number of upstreams referred to each.
@@ -33,8 +33,9 @@
 // Choose returns the announcement address of a balancer in the upstream's zone, or "" if the
 // upstream stays with the voter, as in zones with few balancers. A hash of the announcement's
 // sequence number selects two candidates, and the one with fewer upstreams is chosen. An
-// upstream that returns because its balancer did not respond thus gets another balancer.
-// Balancers at the top of the tree are excluded, since they relay the reports of the others.
+// upstream that announces itself to a voter again because its balancer did not respond thus gets
+// another balancer.
+// Root balancers are excluded, since they forward the reports of the others.
 func (r *Referral) Choose(now time.Time, u upstream.Upstream, zone []member.Member) string {
 	candidates := r.candidates(zone)
 	if len(candidates) == 0 {
--- a/internal/control/referral/referral_test.go
+++ b/internal/control/referral/referral_test.go
@@ -36,19 +36,19 @@
 	require.Empty(t, referral.New(shape).Choose(epoch, announced(1, 1), zone(4)))
 }
 
-func TestUpstreamsAreSpreadOverBalancersBelowTop(t *testing.T) {
+func TestUpstreamsAreSpreadOverNonRootBalancers(t *testing.T) {
 	r, all := referral.New(shape), zone(20)
 	addresses := make([]string, len(all))
 	for i, m := range all {
 		addresses[i] = m.Address
 	}
-	top := shape.RootsOf(addresses)
+	roots := shape.RootsOf(addresses)
 	counts := map[string]int{}
 	for i := range uint64(160) {
 		counts[r.Choose(epoch, announced(i, 1), all)]++
 	}
 	for i, m := range all {
-		if top[addresses[i]] {
+		if roots[addresses[i]] {
 			require.Zero(t, counts[m.Announcements])
 		} else {
 			require.InDelta(t, 10, counts[m.Announcements], 5)
@@ -69,7 +69,7 @@
 
 // Guards against a balancer whose link is saturated by the announcements of 190 upstreams:
 // after a restart, all voters know only nine balancers of a zone and refer all upstreams to
-// the only one below the top of the tree.
+// the only one that is not a root.
 func TestReferralsPerBalancerAreLimited(t *testing.T) {
 	r, referred := referral.New(shape), 0
 	for i := range uint64(200) {
--- a/internal/control/rostermanager/doc.go
+++ b/internal/control/rostermanager/doc.go
@@ -1,3 +1,3 @@
-// Package rostermanager decides, at the leading voter, which balancers store idempotency
-// keys.
+// Package rostermanager determines, at the leader of the voters, which balancers store
+// idempotency keys.
 package rostermanager
--- a/internal/control/rostermanager/rostermanager.go
+++ b/internal/control/rostermanager/rostermanager.go
@@ -41,7 +41,7 @@
 	leaderSince time.Time
 	lastChange  time.Time
 	reports     map[string]report
-	// endedAt is when the manager learned that a listed balancer process had ended.
+	// endedAt is when each listed balancer process was first known to have ended, by name.
 	endedAt map[string]time.Time
 }
 
@@ -51,44 +51,44 @@
 }
 
 // Record records a balancer's report.
-func (k *Manager) Record(now time.Time, h Report) {
-	k.reports[h.Member.Name] = report{Report: h, receivedAt: now}
+func (mgr *Manager) Record(now time.Time, r Report) {
+	mgr.reports[r.Member.Name] = report{Report: r, receivedAt: now}
 }
 
 // Forget records that a balancer is gone for good, as stated by an operator.
-func (k *Manager) Forget(now time.Time, name string) { k.endedAt[name] = now }
+func (mgr *Manager) Forget(now time.Time, name string) { mgr.endedAt[name] = now }
 
 // Decide returns the next change of the roster, if any.
-func (k *Manager) Decide(now time.Time, r roster.Roster) *ledger.RosterChange {
-	if now.Sub(k.lastChange) < k.settings.ChangeInterval {
+func (mgr *Manager) Decide(now time.Time, r roster.Roster) *ledger.RosterChange {
+	if now.Sub(mgr.lastChange) < mgr.settings.ChangeInterval {
 		return nil
 	}
 	if !r.Settled() {
-		if k.settled(now, r) {
-			k.lastChange = now
+		if mgr.settled(now, r) {
+			mgr.lastChange = now
 			return &ledger.RosterChange{ExpectVersion: r.Version, Settle: true}
 		}
 		return nil
 	}
-	desiredMembers := k.desiredMembers(now, r)
+	desiredMembers := mgr.desiredMembers(now, r)
 	if len(desiredMembers) == 0 || slices.Equal(desiredMembers, r.Members) {
 		return nil
 	}
-	k.lastChange = now
+	mgr.lastChange = now
 	return &ledger.RosterChange{ExpectVersion: r.Version, Members: desiredMembers}
 }
 
 // desiredMembers returns the balancers that report and are not leaving. A new
 // leader also keeps the listed ones until they have had time to report.
-func (k *Manager) desiredMembers(now time.Time, r roster.Roster) []roster.Member {
+func (mgr *Manager) desiredMembers(now time.Time, r roster.Roster) []roster.Member {
 	var ms []roster.Member
-	for _, h := range k.reports {
-		if !h.Leaving && now.Sub(h.receivedAt) < k.settings.Silent {
-			ms = append(ms, h.Member)
+	for _, last := range mgr.reports {
+		if !last.Leaving && now.Sub(last.receivedAt) < mgr.settings.Silent {
+			ms = append(ms, last.Member)
 		}
 	}
 	for _, m := range r.Members {
-		if _, ok := k.reports[m.Name]; !ok && now.Sub(k.leaderSince) < k.settings.Silent {
+		if _, ok := mgr.reports[m.Name]; !ok && now.Sub(mgr.leaderSince) < mgr.settings.Silent {
 			ms = append(ms, m)
 		}
 	}
@@ -96,46 +96,46 @@
 	return ms
 }
 
-// settled reports whether the previous list is no longer needed. In every slot, a
-// majority of it has moved to the new epoch: no claim can succeed under the old
-// epoch, and every record that a majority held is copied. If a majority is known to
-// have ended, its records are unreachable and expire after a window.
-func (k *Manager) settled(now time.Time, r roster.Roster) bool {
+// settled reports whether the previous list is no longer needed: in every slot, a
+// majority of its members has copied its records. Then no claim can succeed under the
+// old epoch, and every record that a majority held is copied. If a majority is known to
+// have ended, its records are unreachable and expire after KeyRetention.
+func (mgr *Manager) settled(now time.Time, r roster.Roster) bool {
 	v := roster.NewView(r)
 	for slot := range ownership.Slots {
-		set := v.Previous(slot)
-		if !k.slotSettled(now, r.Epoch, set) {
+		replicas := v.Previous(slot)
+		if !mgr.slotSettled(now, r.Epoch, replicas) {
 			return false
 		}
 	}
 	return true
 }
 
-// slotSettled reports whether one slot of the previous list is settled.
-func (k *Manager) slotSettled(now time.Time, epoch uint64, set []roster.Member) bool {
+// slotSettled reports whether one slot, stored by the given replicas of the previous list, is settled.
+func (mgr *Manager) slotSettled(now time.Time, epoch uint64, replicas []roster.Member) bool {
 	moved, expiredCount := 0, 0
-	for _, m := range set {
-		switch h, ok := k.reports[m.Name]; {
-		case ok && h.Member.Start == m.Start:
-			if h.Moved >= epoch {
+	for _, m := range replicas {
+		switch last, ok := mgr.reports[m.Name]; {
+		case ok && last.Member.Start == m.Start:
+			if last.Moved >= epoch {
 				moved++
 			}
-		case k.expired(now, m):
+		case mgr.expired(now, m):
 			expiredCount++
 		}
 	}
-	return moved >= roster.Majority(set) || moved+expiredCount >= roster.Majority(set) && moved+expiredCount == len(set)
+	return moved >= roster.Majority(replicas) || moved+expiredCount >= roster.Majority(replicas) && moved+expiredCount == len(replicas)
 }
 
 // expired reports whether a listed balancer process is known to have ended at
-// least a window ago: a newer process of the same name reported, or an operator
+// least KeyRetention ago: a newer process of the same name reported, or an operator
 // removed the balancer.
-func (k *Manager) expired(now time.Time, m roster.Member) bool {
-	if h, ok := k.reports[m.Name]; ok && h.Member.Start > m.Start {
-		if _, known := k.endedAt[m.Name]; !known {
-			k.endedAt[m.Name] = now
+func (mgr *Manager) expired(now time.Time, m roster.Member) bool {
+	if last, ok := mgr.reports[m.Name]; ok && last.Member.Start > m.Start {
+		if _, known := mgr.endedAt[m.Name]; !known {
+			mgr.endedAt[m.Name] = now
 		}
 	}
-	at, known := k.endedAt[m.Name]
-	return known && now.Sub(at) >= k.settings.KeyRetention
+	at, known := mgr.endedAt[m.Name]
+	return known && now.Sub(at) >= mgr.settings.KeyRetention
 }
