--- a/internal/control/voter/evacuate.go
+++ b/internal/control/voter/evacuate.go
@@ -10,8 +10,8 @@
 )
 
 // abandonCheckDelay is the delay before an evacuation order is proposed. A voter that resumes
-// after a stall reads orders whose callers have timed out and may have sent a contrary order
-// elsewhere. Within the delay the server detects the closed connection, which takes two
+// after a stall reads orders whose callers have timed out and may have sent a contrary order to
+// another voter. Within the delay the server detects the closed connection, which takes two
 // scheduler rounds.
 const abandonCheckDelay = 20 * time.Millisecond
 
--- a/internal/control/voter/leadership.go
+++ b/internal/control/voter/leadership.go
@@ -32,8 +32,8 @@
 	}
 }
 
-// AddJoinTargets adds addresses of other voters as contacts. A voter that is not yet in the membership
-// asks them to admit it. The address also serves as the contact's name.
+// AddJoinTargets adds the addresses of other voters to which join requests are sent while this voter
+// has no vote. The address also serves as the target's name.
 func (v *Voter) AddJoinTargets(addresses []string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/internal/control/voter/metrics.go
+++ b/internal/control/voter/metrics.go
@@ -13,24 +13,24 @@
 
 // counts holds the voter's metrics and their registry.
 type counts struct {
-	registry                     metrics.Registry
-	applied, failedWrites        metrics.Counter
-	refusedAnnouncements         metrics.Counter
-	acceptLatency, syncLatency   latency.Latency
-	confirmedReads, refusedReads metrics.Counter
+	registry                         metrics.Registry
+	applied, failedWrites            metrics.Counter
+	rejectedAnnouncements            metrics.Counter
+	acceptLatency, syncLatency       latency.Latency
+	confirmedReads, unconfirmedReads metrics.Counter
 }
 
 func newCounts() *counts {
 	r := metrics.NewRegistry()
 	return &counts{
-		registry:             r,
-		applied:              metrics.NewRegisteredCounter("ChangesAppliedTotal", r),
-		failedWrites:         metrics.NewRegisteredCounter("DiskFailuresTotal", r),
-		refusedAnnouncements: metrics.NewRegisteredCounter("AnnouncementsRefusedTotal", r),
-		confirmedReads:       metrics.NewRegisteredCounter("ReadsConfirmedTotal", r),
-		refusedReads:         metrics.NewRegisteredCounter("ReadsRefusedTotal", r),
-		acceptLatency:        latency.New("Accept", r),
-		syncLatency:          latency.New("DiskSync", r),
+		registry:              r,
+		applied:               metrics.NewRegisteredCounter("ChangesAppliedTotal", r),
+		failedWrites:          metrics.NewRegisteredCounter("DiskFailuresTotal", r),
+		rejectedAnnouncements: metrics.NewRegisteredCounter("AnnouncementsRefusedTotal", r),
+		confirmedReads:        metrics.NewRegisteredCounter("ReadsConfirmedTotal", r),
+		unconfirmedReads:      metrics.NewRegisteredCounter("ReadsRefusedTotal", r),
+		acceptLatency:         latency.New("Accept", r),
+		syncLatency:           latency.New("DiskSync", r),
 	}
 }
 
@@ -55,4 +55,4 @@
 }
 
 // CountRejectedAnnouncement counts an announcement that is rejected because it does not identify an upstream.
-func (v *Voter) CountRejectedAnnouncement() { v.counts.refusedAnnouncements.Inc(1) }
+func (v *Voter) CountRejectedAnnouncement() { v.counts.rejectedAnnouncements.Inc(1) }
--- a/internal/control/voter/publish.go
+++ b/internal/control/voter/publish.go
@@ -141,7 +141,7 @@
 	case <-timeout.C:
 	case <-ctx.Done():
 	}
-	v.counts.refusedReads.Inc(1)
+	v.counts.unconfirmedReads.Inc(1)
 	return configuration.Configuration{}, UnconfirmedError{}
 }
 
--- a/internal/control/voter/roster.go
+++ b/internal/control/voter/roster.go
@@ -22,12 +22,12 @@
 	return v.rosterManager, nil
 }
 
-func (v *Voter) recordReport(_ context.Context, h rostermanager.Report) (empty, error) {
-	return empty{}, v.withRosterManager(func(now time.Time, k *rostermanager.Manager) { k.Record(now, h) })
+func (v *Voter) recordReport(_ context.Context, r rostermanager.Report) (empty, error) {
+	return empty{}, v.withRosterManager(func(now time.Time, mgr *rostermanager.Manager) { mgr.Record(now, r) })
 }
 
 func (v *Voter) forget(_ context.Context, name string) (empty, error) {
-	return empty{}, v.withRosterManager(func(now time.Time, k *rostermanager.Manager) { k.Forget(now, name) })
+	return empty{}, v.withRosterManager(func(now time.Time, mgr *rostermanager.Manager) { mgr.Forget(now, name) })
 }
 
 // withRosterManager calls a function with the roster manager, or returns an error that names the leader.
@@ -35,24 +35,24 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	now := v.settings.Clock()
-	k, err := v.leaderRosterManager(now)
+	mgr, err := v.leaderRosterManager(now)
 	if err != nil {
 		return err
 	}
-	update(now, k)
+	update(now, mgr)
 	return nil
 }
 
-// updateRoster proposes the roster change that the roster manager decides on, if any.
+// updateRoster proposes the roster manager's next change, if any.
 func (v *Voter) updateRoster() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	now := v.settings.Clock()
-	k, err := v.leaderRosterManager(now)
+	mgr, err := v.leaderRosterManager(now)
 	if err != nil {
 		return
 	}
-	c := k.Decide(now, v.ledger.Roster())
+	c := mgr.Decide(now, v.ledger.Roster())
 	if c == nil {
 		return
 	}
--- a/internal/control/voter/voter.go
+++ b/internal/control/voter/voter.go
@@ -97,7 +97,7 @@
 	// persistedCommit is the commit index last written to disk, commitPersistedAt the time of that write.
 	persistedCommit   uint64
 	commitPersistedAt time.Time
-	// reads are waiting for a majority to confirm that this voter leads.
+	// reads holds the reads that wait for a majority to confirm that this voter leads.
 	reads  []*pendingRead
 	counts *counts
 	// replaying is set while the log is replayed at a start.
@@ -108,9 +108,10 @@
 	members atomic.Pointer[members]
 }
 
-// members holds the RPC addresses of all known voters and of those with a vote.
+// members holds the RPC addresses of all known voters and of those that are not learners.
 type members struct{ known, voting []string }
 
+// waiter is a call that waits until the log entry of its change is applied.
 type waiter struct {
 	term   uint64
 	answer chan ledger.Answer
@@ -130,7 +131,7 @@
 	return v, nil
 }
 
-// load replaces the voter's state by that read from a disk.
+// load replaces the voter's state by the state read from its disk.
 func (v *Voter) load(w *wal.Log, d agreement.PersistentState) error {
 	fresh := ledger.New()
 	if err := fresh.Restore(d.Snapshot.Data); err != nil {
@@ -145,7 +146,7 @@
 	return nil
 }
 
-// replay applies the entries that the disk records as committed. Followers receive only the
+// replay applies the entries that the disk records as committed. Balancers receive only the
 // final state: publishing each of 60 changes with 600 routes took 0.8 s on a quarter of a
 // core, during which no balancer had a configuration.
 func (v *Voter) replay() {
@@ -170,8 +171,8 @@
 	v.source.PublishRoster(v.ledger.Roster())
 }
 
-// current reports whether this voter is considered up to date: it leads with a lease, or it heard
-// from a leader within the election timeout.
+// current reports whether this voter is considered up to date: it leads with a lease, or it received
+// a leader's message within the election timeout.
 func (v *Voter) current() bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -196,7 +197,7 @@
 	rpc.Handle(r, ZonesMethod, operator, v.evacuations)
 }
 
-// Run calls the periodic work every Tick until the context is canceled.
+// Run does the periodic work every Tick until the context is canceled.
 func (v *Voter) Run(ctx context.Context) {
 	v.mu.Lock()
 	v.ctx = ctx
@@ -280,6 +281,6 @@
 // Members returns the RPC addresses of all known voters, including this one.
 func (v *Voter) Members() []string { return v.members.Load().known }
 
-// VotingMembers returns the RPC addresses of the voters that have a vote. It is empty while the
-// membership is unknown.
+// VotingMembers returns the RPC addresses of the voters that are not learners. It is empty while
+// this voter has no list of voters.
 func (v *Voter) VotingMembers() []string { return v.members.Load().voting }
--- a/internal/control/voter/voter_test.go
+++ b/internal/control/voter/voter_test.go
@@ -33,7 +33,7 @@
 	return g.Folder.Create(name)
 }
 
-func (g *lockedFolder) full(full bool) {
+func (g *lockedFolder) setFull(full bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.FailAt = 0
@@ -98,10 +98,10 @@
 	disk := &lockedFolder{Folder: fault.New(1)}
 	v := startSingleVoter(t, disk)
 	eventually(t, func() bool { return publish(v, 5) == nil })
-	disk.full(true)
+	disk.setFull(true)
 	require.Error(t, publish(v, 6))
 	require.Equal(t, uint64(5), v.AppliedConfiguration().Revision, "a change that was not synced is not applied")
-	disk.full(false)
+	disk.setFull(false)
 	eventually(t, func() bool { return publish(v, 7) == nil })
 	c, err := v.Read(t.Context())
 	require.NoError(t, err)
