--- a/internal/daemon/balancer/balancer.go
+++ b/internal/daemon/balancer/balancer.go
@@ -55,38 +55,38 @@
 
 // Balancer is a running balancer process.
 type Balancer struct {
-	settings         Settings
-	log              hclog.Logger
-	mu               sync.Mutex
-	reducer          *reducer.Reducer
-	effects          effect.List
-	fabric           *datagram.Socket
-	peer             *datagram.Socket
-	rpc              net.Listener
-	admin            net.Listener
-	source           *source.Source
-	puller           *puller.Puller
-	fetching         atomic.Bool
-	drained          chan struct{}
-	drainedOnce      sync.Once
-	stopAsked        chan struct{}
-	stopOnce         sync.Once
-	ctx              context.Context
-	cancel           context.CancelFunc
-	running          sync.WaitGroup
-	storedRevision   uint64
-	logLimiter       logLimiter
-	reportedBadInput uint64
-	pool             *pool.Pool
-	memory           *memory.Replica
-	doors            map[string]*doorServer
-	leaving          atomic.Bool
-	cancelMove       context.CancelFunc
+	settings               Settings
+	log                    hclog.Logger
+	mu                     sync.Mutex
+	reducer                *reducer.Reducer
+	effects                effect.List
+	fabric                 *datagram.Socket
+	peer                   *datagram.Socket
+	rpc                    net.Listener
+	admin                  net.Listener
+	source                 *source.Source
+	puller                 *puller.Puller
+	fetching               atomic.Bool
+	drained                chan struct{}
+	drainedOnce            sync.Once
+	stopRequested          chan struct{}
+	stopOnce               sync.Once
+	ctx                    context.Context
+	cancel                 context.CancelFunc
+	running                sync.WaitGroup
+	storedRevision         uint64
+	logLimiter             logLimiter
+	loggedInvalidDatagrams uint64
+	pool                   *pool.Pool
+	memory                 *memory.Replica
+	doors                  map[string]*doorServer
+	leaving                atomic.Bool
+	cancelMove             context.CancelFunc
 }
 
 // Listen opens the sockets; for port 0 the system picks a free port, see Addresses.
 func Listen(s Settings, log hclog.Logger) (*Balancer, error) {
-	b := &Balancer{settings: s, log: log, drained: make(chan struct{}), stopAsked: make(chan struct{})}
+	b := &Balancer{settings: s, log: log, drained: make(chan struct{}), stopRequested: make(chan struct{})}
 	if err := b.listen(); err != nil {
 		b.close()
 		return nil, err
@@ -162,7 +162,7 @@
 	b.goRun(func() { b.puller.Run(b.ctx) })
 	b.goRun(b.serveRPC)
 	b.goRun(b.serveAdmin)
-	b.startRequests()
+	b.startDoors()
 }
 
 func (b *Balancer) goRun(f func()) {
@@ -174,7 +174,7 @@
 }
 
 // Stop stops the process gracefully: it hands flows over within the stop timeout, and
-// announces its departure to the group.
+// notifies the group.
 func (b *Balancer) Stop(ctx context.Context) error {
 	b.leaving.Store(true)
 	_ = b.reduce(event.Event{Kind: event.StopPlanned})
@@ -232,9 +232,9 @@
 func (b *Balancer) Drained() <-chan struct{} { return b.drained }
 
 // StopRequested returns a channel that is closed when an operator requests a planned stop.
-func (b *Balancer) StopRequested() <-chan struct{} { return b.stopAsked }
+func (b *Balancer) StopRequested() <-chan struct{} { return b.stopRequested }
 
-func (b *Balancer) requestStop() { b.stopOnce.Do(func() { close(b.stopAsked) }) }
+func (b *Balancer) requestStop() { b.stopOnce.Do(func() { close(b.stopRequested) }) }
 
 // Status returns the status shown to operators.
 func (b *Balancer) Status() reducer.Status {
@@ -270,14 +270,14 @@
 	}
 }
 
-// Evacuations returns the evacuation commands in force.
+// Evacuations returns the evacuation orders in force.
 func (b *Balancer) Evacuations() evacuation.Evacuations {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.reducer.Evacuations()
 }
 
-// OfferEvacuations applies evacuation commands if they are newer.
+// OfferEvacuations applies evacuation orders if they are newer.
 func (b *Balancer) OfferEvacuations(e evacuation.Evacuations) {
 	before := b.Evacuations()
 	_ = b.reduce(event.Event{Kind: event.EvacuationsReceived, Evacuations: &e})
--- a/internal/daemon/balancer/events.go
+++ b/internal/daemon/balancer/events.go
@@ -19,22 +19,22 @@
 			return
 		case <-t.C:
 			_ = b.reduce(event.Event{Kind: event.Ticked})
-			b.reportBadInput()
+			b.logInvalidDatagrams()
 		}
 	}
 }
 
-// reportBadInput logs the number of dropped datagrams; with a line for each, anyone who can
+// logInvalidDatagrams logs the number of dropped datagrams; with a line for each, anyone who can
 // send datagrams could fill the disk.
-func (b *Balancer) reportBadInput() {
+func (b *Balancer) logInvalidDatagrams() {
 	b.mu.Lock()
 	bad := b.reducer.InvalidDatagrams()
 	b.mu.Unlock()
-	if bad == b.reportedBadInput {
+	if bad == b.loggedInvalidDatagrams {
 		return
 	}
-	if b.logLimiter.log(b.settings.Clock(), b.log, "invalid datagrams dropped", &BadInputError{Datagrams: bad - b.reportedBadInput}) {
-		b.reportedBadInput = bad
+	if b.logLimiter.log(b.settings.Clock(), b.log, "invalid datagrams dropped", &BadInputError{Datagrams: bad - b.loggedInvalidDatagrams}) {
+		b.loggedInvalidDatagrams = bad
 	}
 }
 
--- a/internal/daemon/balancer/requests.go
+++ b/internal/daemon/balancer/requests.go
@@ -94,7 +94,7 @@
 	return p
 }
 
-func (b *Balancer) startRequests() {
+func (b *Balancer) startDoors() {
 	for _, e := range b.doors {
 		b.goRun(func() { e.door.Run(b.ctx) })
 		b.goRun(func() {
@@ -164,8 +164,8 @@
 	service, _ := c.Service(e.service)
 	e.door.SetService(service.Repeatable, service.Priority)
 	names := lo.FilterMap(members, func(m swim.Member, _ int) (string, bool) { return m.Name, !m.Passive })
-	h := slotassignment.Assign(lo.Map(upstreams, func(u upstream.Upstream, _ int) slotassignment.Upstream {
-		return slotassignment.Upstream{Name: u.Address.String(), Slots: slots(u, c)}
+	assignment := slotassignment.Assign(lo.Map(upstreams, func(u upstream.Upstream, _ int) slotassignment.Upstream {
+		return slotassignment.Upstream{Name: u.Address.String(), Slots: usableSlots(u, c)}
 	}), names)
 	targets := make([]dispatch.Target, 0, len(upstreams))
 	doors := map[string]string{}
@@ -176,14 +176,15 @@
 		}
 		doors[name] = u.Door
 		targets = append(targets, dispatch.Target{
-			Name: name, Slots: slots(u, c), Share: shares[i], AssignedSlots: h.Slots(b.settings.Reducer.Router.Self, name),
+			Name: name, Slots: usableSlots(u, c), Share: shares[i], AssignedSlots: assignment.Slots(b.settings.Reducer.Router.Self, name),
 		})
 	}
 	p := c.Preset()
 	e.door.SetTargets(dispatch.Settings{SlotLimit: p.SlotLimit, QueueLimit: p.QueueLimit, RetryPercent: p.RetryPercent}, targets, doors)
 }
 
-func slots(u upstream.Upstream, c configuration.Configuration) int {
+// usableSlots returns the slots of an upstream, limited by the preset in force.
+func usableSlots(u upstream.Upstream, c configuration.Configuration) int {
 	return min(int(u.Slots), max(c.Preset().SlotLimit, 1))
 }
 
@@ -213,7 +214,7 @@
 	return done
 }
 
-// holdsKeys reports whether the roster still relies on the keys of this balancer.
+// holdsKeys reports whether the current or the previous roster lists this balancer.
 func (b *Balancer) holdsKeys() bool {
 	r := b.memory.View().Roster
 	self := b.rosterMember()
@@ -223,7 +224,7 @@
 	return lo.Contains(r.Previous, self)
 }
 
-func (b *Balancer) doorMetrics(set func(string, uint64)) {
+func (b *Balancer) setDoorMetrics(set func(string, uint64)) {
 	var total [6]int64
 	for _, e := range b.doors {
 		c := &e.door.Counters
