--- a/internal/daemon/control/control_test.go
+++ b/internal/daemon/control/control_test.go
@@ -155,7 +155,7 @@
 }
 
 // Guards against balancers that have no upstreams for a second after a site-wide power loss:
-// restarted voters knew none until they announced themselves again, which they do every
+// restarted voters knew no upstream until it announced itself again, which upstreams do every
 // 1.2 s.
 func TestRestartedVoterRestoresUpstreams(t *testing.T) {
 	f := newCluster(t, 1)
@@ -181,7 +181,7 @@
 
 // Guards against first flows that are placed on a third of the upstreams after a site-wide
 // power loss: each voter had saved only the upstreams that announced to it, and the first
-// voter to restart answered the balancers alone.
+// voter to restart was the only one that responded to balancers.
 func TestRestartedVoterRestoresRemoteUpstreams(t *testing.T) {
 	f := newCluster(t, 3)
 	f.waitForVoters(3)
@@ -230,7 +230,7 @@
 	require.False(t, holds("upstreams-elsewhere", "orders"))
 }
 
-// Guards against balancers that learn of a departure seconds late: the goroutine that saved
+// Guards against balancers that receive a departure seconds late: the goroutine that saved
 // upstreams also published batched updates, and waited for a hanging disk.
 func TestHangingDiskDoesNotDelayUpdates(t *testing.T) {
 	f := newCluster(t, 1)
--- a/internal/daemon/control/persistence.go
+++ b/internal/daemon/control/persistence.go
@@ -70,11 +70,11 @@
 	}
 }
 
-// saveUpstreams saves this voter's upstreams and those of the others when they change, so
-// that balancers have upstreams after all voters restart at once. It runs in its own
-// goroutine, because a hanging disk must not delay updates to balancers. This voter's part
-// of a large fleet is small; in its own file it is saved often, and is recent after a
-// site-wide power loss.
+// saveUpstreams saves this voter's upstreams and those of the other voters when they change,
+// so that balancers have upstreams after all voters restart at once. It runs in its own
+// goroutine, because a hanging disk must not delay updates to balancers. This voter's
+// upstreams are a small part of a large fleet: their own file is written often, and so is
+// recent after a site-wide power loss.
 func (c *Control) saveUpstreams(ctx context.Context) {
 	t := time.NewTicker(tickInterval)
 	defer t.Stop()
--- a/internal/daemon/control/prober.go
+++ b/internal/daemon/control/prober.go
@@ -23,6 +23,6 @@
 // Check probes the host of an upstream that leaves packets unanswered.
 func (p prober) Check(ctx context.Context, suspect netip.AddrPort, references []netip.AddrPort) probe.Outcome {
 	o := p.Prober.Check(ctx, suspect, references)
-	p.log.Info("silent upstream probed", "Address", suspect.String(), "Outcome", o.String(), "References", len(references))
+	p.log.Info("suspected upstream probed", "Address", suspect.String(), "Outcome", o.String(), "References", len(references))
 	return o
 }
--- a/internal/daemon/control/remote.go
+++ b/internal/daemon/control/remote.go
@@ -17,8 +17,8 @@
 )
 
 // remoteUpstreams holds the upstreams that other voters report. They are saved to disk:
-// balancers follow each voter directly, but after a site-wide power loss the first voter to
-// respond has to know all upstreams.
+// usually balancers receive them from those voters, but after a site-wide power loss the first
+// voter to respond has to know all upstreams.
 type remoteUpstreams struct {
 	mu   sync.Mutex
 	view *view.View
@@ -37,7 +37,7 @@
 }
 
 // HasUpstreams returns true so that other voters leave out upstreams that they only restored
-// from disk: here those would never expire.
+// from disk: restored upstreams would never expire here.
 func (o *remoteUpstreams) HasUpstreams() bool { return true }
 
 // OnConfiguration ignores a configuration.
@@ -49,7 +49,7 @@
 	return evacuation.Evacuations{Revision: math.MaxUint64}
 }
 
-// OnEvacuations ignores evacuation commands.
+// OnEvacuations ignores evacuation orders.
 func (o *remoteUpstreams) OnEvacuations(string, evacuation.Evacuations) {}
 
 // OnVoterState applies a voter's update.
