--- a/internal/daemon/cookie/announcements.go
+++ b/internal/daemon/cookie/announcements.go
@@ -8,8 +8,8 @@
 	"wasabideal/internal/upstream/handover"
 )
 
-// DepartureError reports that an upstream announced its departure to a balancer; only voters
-// accept departures.
+// DepartureError rejects a departure that was announced to a balancer; only voters accept
+// departures.
 type DepartureError struct{}
 
 func (*DepartureError) Error() string { return "balancers take no departures; announce it to a voter" }
@@ -27,10 +27,11 @@
 	case b.leaving.Load() && b.Refer(u) == "":
 		return &StoppingError{}
 	}
-	return b.fanout.handover.Add(ctx, b.batchDelay(true), handover.Announcement{Upstream: u, Cold: cold})
+	return b.fanout.announcements.Add(ctx, b.batchDelay(true), handover.Announcement{Upstream: u, Cold: cold})
 }
 
-// batchDelay returns how long announcements wait to be forwarded in a batch.
+// batchDelay returns how long announcements wait to be forwarded in a batch; own is set for those
+// that upstreams sent to this balancer.
 func (b *Balancer) batchDelay(own bool) time.Duration {
 	return handover.BatchDelay(b.settings.AnnounceInterval, b.follower.Level(), own)
 }
--- a/internal/daemon/cookie/cookie.go
+++ b/internal/daemon/cookie/cookie.go
@@ -39,9 +39,10 @@
 }
 
 const (
-	// provisionalTTL covers three announcements, by which time a restarted voter has
-	// received one from each live upstream.
-	provisionalTTL = 4 * time.Second
+	// restoredTTL is how long a restored upstream counts as live: three announcement
+	// intervals, within which a restarted voter receives an announcement from each live
+	// upstream.
+	restoredTTL = 4 * time.Second
 	// forgetAfter is how long a silent upstream stays known, for flows that may still
 	// be open there.
 	forgetAfter = 90 * time.Second
@@ -53,12 +54,12 @@
 	drainQuietPeriod = 600 * time.Millisecond
 	minDrainTime     = 1500 * time.Millisecond
 	// minSuspicionInterval is the minimum time between two updates of the router's
-	// suspicions: when hundreds of upstreams fall silent together, many voters report
+	// suspicions: when hundreds of upstreams fail together, many voters report
 	// them within some tenths of a second.
 	minSuspicionInterval = 20 * time.Millisecond
 	// livenessReportInterval is how often liveness reports on suspected upstreams are
 	// repeated: if one is lost, a live upstream would count as unresponsive. A report and
-	// its answer take less time over three levels of balancers.
+	// the update that follows it take less time over three levels of balancers.
 	livenessReportInterval = 300 * time.Millisecond
 	// readErrorDelay prevents a socket that fails repeatedly from filling the log.
 	readErrorDelay = 100 * time.Millisecond
@@ -114,14 +115,14 @@
 	unresponsive map[evidence.Subject]bool
 	// unplaced buffers packets that cannot be placed yet.
 	unplaced *pending.Buffer[packetKey, bufferedPacket]
-	// unplacedCold is set if some of them wait for an upstream to warm up.
+	// unplacedCold is set if unplaced holds packets that wait for an upstream to warm up.
 	unplacedCold bool
 	// awaitingCapacity buffers packets that wait for capacity at their upstream.
 	awaitingCapacity *pending.Buffer[packetKey, bufferedPacket]
 	// uploads is nil if pacing is disabled.
 	uploads       *uploads
 	configuration configuration.Configuration
-	// evacuations are the evacuation commands in force for availability zones.
+	// evacuations are the evacuation orders in force for availability zones.
 	evacuations evacuation.Evacuations
 	// refreshDue is set if a new configuration may allow placing buffered packets.
 	refreshDue  bool
@@ -147,7 +148,7 @@
 		settings: s, log: log, socket: socket, counts: newCounts(),
 		suspicions: suspicions.New(follower.ContactLease), unresponsive: map[evidence.Subject]bool{},
 		unplaced: pending.New[packetKey, bufferedPacket](), awaitingCapacity: pending.New[packetKey, bufferedPacket](),
-		view: view.New(view.Settings{ContactLease: follower.ContactLease, ProvisionalTTL: provisionalTTL, ForgetAfter: forgetAfter}),
+		view: view.New(view.Settings{ContactLease: follower.ContactLease, ProvisionalTTL: restoredTTL, ForgetAfter: forgetAfter}),
 	}
 	if uplink.NeedsPacing(s.LinkBytesPerSecond) && !s.Off.Has(mechanism.Pacing) {
 		b.uploads = newUploads(s.LinkBytesPerSecond)
@@ -186,7 +187,7 @@
 	}()
 }
 
-// SetSources sets the voters that the settings list now.
+// SetSources replaces the list of voters after a change of the settings.
 func (b *Balancer) SetSources(sources []string) { b.follower.SetSources(sources) }
 
 // Ready reports whether the balancer can place flows and is not stopping.
@@ -232,7 +233,7 @@
 	b.view.Apply(now, view.Update{Voter: x.Voter, Life: x.Life, Version: x.Version, Contact: contact, Notices: x.Notices})
 	b.refresh(now)
 	switch {
-	case !x.Doubted:
+	case !x.Doubted: // the update carries no suspicions; the stored ones stay valid
 		b.suspicions.RecordContact(contact, x.Voter)
 	case b.suspicions.UpdateRelayed(now, contact, x.Voter, x.Subjects):
 		b.scheduleSuspicions(now)
@@ -253,8 +254,8 @@
 	if ready != b.ready.Swap(ready) {
 		b.log.Info("readiness", "Ready", ready, "Revision", b.configuration.Revision, "Upstreams", b.router.Upstreams())
 	}
-	// Placed after the readiness update: a client that sees a placed packet must also see
-	// the balancer ready.
+	// Buffered packets are placed after the readiness update: a client that sees a placed
+	// packet must also see the balancer ready.
 	b.placeBuffered(now, b.unplaced)
 }
 
--- a/internal/daemon/cookie/cookie_test.go
+++ b/internal/daemon/cookie/cookie_test.go
@@ -133,8 +133,8 @@
 	require.NoError(t, err)
 }
 
-// Guards against dropping an opening that reaches a balancer before any voter has answered
-// it. After a site-wide power loss callers waited up to 1.6 s for their next
+// Guards against dropping an opening that reaches a balancer before any voter has responded
+// to it. After a site-wide power loss callers waited up to 1.6 s for their next
 // retransmission, although all processes were running.
 func TestEarlyOpeningIsPlacedWithConfiguration(t *testing.T) {
 	voter, backend, caller := startVoter(t), listenUDP(t), listenUDP(t)
@@ -292,8 +292,8 @@
 		require.True(t, b.Ready())
 		require.Equal(t, 1, b.FollowerStatus().Fresh)
 	}
-	child := followersOf(all)[0]
-	send(t, caller, child, router.Packet{Opening: true})
+	follower := followersOf(all)[0]
+	send(t, caller, follower, router.Packet{Opening: true})
 	_, ok := receive(backend, 20*time.Second)
 	require.True(t, ok)
 
@@ -302,13 +302,13 @@
 	u := upstream.Upstream{
 		Identity: upstream.Identity{Service: "orders", Address: addressOf(other), Incarnation: 78}, Zone: "a", Slots: 2, Sequence: 1,
 	}
-	require.NoError(t, child.Announce(t.Context(), u, 0))
+	require.NoError(t, follower.Announce(t.Context(), u, 0))
 	for _, b := range all {
 		require.Eventually(t, func() bool { return b.Upstreams() == 2 }, 20*time.Second, 10*time.Millisecond)
 	}
 	u.State = upstream.Draining
 	var departure *cookie.DepartureError
-	require.ErrorAs(t, child.Announce(t.Context(), u, 0), &departure, "only voters accept departures")
+	require.ErrorAs(t, follower.Announce(t.Context(), u, 0), &departure, "only voters accept departures")
 
 	// A configuration change reaches the followers.
 	_, err := c.Voter().Publish(t.Context(), configuration.Configuration{
--- a/internal/daemon/cookie/decisionlog.go
+++ b/internal/daemon/cookie/decisionlog.go
@@ -61,8 +61,8 @@
 	log.Info("flow", args...)
 }
 
-// reset logs the reset of a flow that may be open, with its evidence: only that shows
-// afterwards whether the reset was justified.
+// reset logs the reset of a flow that may be open, with the evidence that shows afterwards
+// whether the reset was justified.
 func (r *decisionLog) reset(now time.Time, log hclog.Logger, x router.FlowReset) {
 	r.resets++
 	if r.resets > maxResetLines {
--- a/internal/daemon/cookie/evacuate.go
+++ b/internal/daemon/cookie/evacuate.go
@@ -4,14 +4,14 @@
 	"wasabideal/internal/model/evacuation"
 )
 
-// Evacuations returns the evacuation commands in force.
+// Evacuations returns the evacuation orders in force.
 func (b *Balancer) Evacuations() evacuation.Evacuations {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.evacuations
 }
 
-// OnEvacuations applies evacuation commands if they are newer than those in force.
+// OnEvacuations applies evacuation orders if they are newer than those in force.
 func (b *Balancer) OnEvacuations(address string, e evacuation.Evacuations) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/daemon/cookie/fanout.go
+++ b/internal/daemon/cookie/fanout.go
@@ -46,11 +46,12 @@
 	listener net.Listener
 	server   *rpc.Server
 	relay    *relay.Relay
-	handover *handover.Batcher
-	mu       sync.Mutex
-	history  history.History
-	sample   *sample.Sampler
-	referral *referral.Referral
+	// announcements batches the announcements that are forwarded to the parent or the voters.
+	announcements *handover.Batcher
+	mu            sync.Mutex
+	history       history.History
+	sample        *sample.Sampler
+	referral      *referral.Referral
 }
 
 // OversizeError reports that the configuration response exceeds maxConfigurationBytes;
@@ -79,21 +80,21 @@
 	b.follower = follower.New(f, b, b.log)
 	x := &fanout{
 		listener: l, history: history.New(maxDeltas), sample: sample.New(), referral: referral.New(s.Shape),
-		relay:    relay.New(b, s.Clock, int(followerHeadroom*float64(s.Shape.Fanout))),
-		handover: handover.New(s.Clock, b.follower.HandOver),
-		server:   rpc.NewServer(func(method string) { b.log.Warn("rejected call without valid token", "Method", method) }),
+		relay:         relay.New(b, s.Clock, int(followerHeadroom*float64(s.Shape.Fanout))),
+		announcements: handover.New(s.Clock, b.follower.HandOver),
+		server:        rpc.NewServer(func(method string) { b.log.Warn("rejected call without valid token", "Method", method) }),
 	}
 	x.relay.Serve(x.server, s.Token)
 	rpc.Handle(x.server, feed.ConfigurationMethod, s.Token, func(_ context.Context, revision uint64) (cbor.RawMessage, error) {
 		return x.configuration(revision)
 	})
-	rpc.Handle(x.server, feed.ReportsMethod, s.Token, b.relayReports)
+	rpc.Handle(x.server, feed.ReportsMethod, s.Token, b.forwardReports)
 	rpc.Handle(x.server, feed.RecordFollowersMethod, s.Token, func(_ context.Context, all []members.Heartbeat) (empty, error) {
 		b.follower.RecordFollowers(s.Clock(), all)
 		return empty{}, nil
 	})
 	rpc.Handle(x.server, upstreams.ForwardMethod, s.Token, func(ctx context.Context, all []handover.Announcement) (empty, error) {
-		return empty{}, x.handover.Add(ctx, b.batchDelay(false), all...)
+		return empty{}, x.announcements.Add(ctx, b.batchDelay(false), all...)
 	})
 	b.fanout = x
 	return f.Self.Address, nil
@@ -107,7 +108,7 @@
 	}
 }
 
-// publishConfiguration adds the configuration to the history and wakes the followers' long
+// publishConfiguration adds the configuration to the history and completes the followers' long
 // polls. The caller holds the lock.
 func (b *Balancer) publishConfiguration(c configuration.Configuration) {
 	if b.fanout == nil {
@@ -134,7 +135,8 @@
 	return body, nil
 }
 
-// wakeFollowers wakes the followers' long polls if a voter's update holds anything for them.
+// wakeFollowers schedules responses to the followers' long polls if a voter's update holds
+// notices or suspicions.
 func (b *Balancer) wakeFollowers(x origins.Update) {
 	if b.fanout == nil {
 		return
@@ -177,8 +179,8 @@
 // ShuttingDown reports whether the balancer is stopping.
 func (b *Balancer) ShuttingDown() bool { return b.leaving.Load() }
 
-// relayReports relays a sample of the followers' reports on silent upstreams.
-func (b *Balancer) relayReports(_ context.Context, reports []evidence.Report) (empty, error) {
+// forwardReports forwards a sample of the followers' reports on unanswered packets.
+func (b *Balancer) forwardReports(_ context.Context, reports []evidence.Report) (empty, error) {
 	now := b.settings.Clock()
 	x := b.fanout
 	for _, r := range reports {
@@ -192,7 +194,7 @@
 	return empty{}, nil
 }
 
-// FollowerStatus returns the balancer's position in the tree and the freshness of its state.
+// FollowerStatus returns the balancer's position in the tree and the age of its state.
 func (b *Balancer) FollowerStatus() follower.Status { return b.follower.Status(b.settings.Clock()) }
 
 // Upstreams returns the number of known upstreams.
--- a/internal/daemon/cookie/metrics.go
+++ b/internal/daemon/cookie/metrics.go
@@ -20,22 +20,22 @@
 	suspicions       metrics.Counter
 	zonesRefused     metrics.Counter
 	unresponsive     metrics.Counter
-	silenceReported  metrics.Counter
+	reportedEvents   metrics.Counter
 	opened, answered latency.Latency
 }
 
 func newCounts() *counts {
 	r := metrics.NewRegistry()
 	c := &counts{
-		registry:        r,
-		malformed:       metrics.NewRegisteredCounter("DatagramsMalformedTotal", r),
-		sendErrors:      metrics.NewRegisteredCounter("SendErrorsTotal", r),
-		suspicions:      metrics.NewRegisteredCounter("SuspicionsTotal", r),
-		zonesRefused:    metrics.NewRegisteredCounter("ZonesRefusedTotal", r),
-		unresponsive:    metrics.NewRegisteredCounter("UnresponsiveTotal", r),
-		silenceReported: metrics.NewRegisteredCounter("SilenceReportedTotal", r),
-		opened:          latency.New("Opening", r),
-		answered:        latency.New("Answer", r),
+		registry:       r,
+		malformed:      metrics.NewRegisteredCounter("DatagramsMalformedTotal", r),
+		sendErrors:     metrics.NewRegisteredCounter("SendErrorsTotal", r),
+		suspicions:     metrics.NewRegisteredCounter("SuspicionsTotal", r),
+		zonesRefused:   metrics.NewRegisteredCounter("ZonesRefusedTotal", r),
+		unresponsive:   metrics.NewRegisteredCounter("UnresponsiveTotal", r),
+		reportedEvents: metrics.NewRegisteredCounter("SilenceReportedTotal", r),
+		opened:         latency.New("Opening", r),
+		answered:       latency.New("Answer", r),
 	}
 	for reason := router.Known; reason <= router.Stray; reason++ {
 		c.decisions[reason] = metrics.NewRegisteredCounter("Packets"+reason.String()+"Total", r)
@@ -63,7 +63,7 @@
 }
 
 // setFanoutMetrics sets the gauges of the tree: the balancer's level, its followers and
-// the freshness of its state.
+// the age of its state.
 func (b *Balancer) setFanoutMetrics(set func(name string, v int)) {
 	if b.fanout == nil {
 		return
--- a/internal/daemon/cookie/packets.go
+++ b/internal/daemon/cookie/packets.go
@@ -36,7 +36,7 @@
 			b.recordSendError(err)
 		}
 		b.placeBuffered(now, b.awaitingCapacity)
-		b.reportToVoters()
+		b.sendReports()
 		b.mu.Unlock()
 	}
 }
@@ -50,7 +50,7 @@
 	}
 	if b.awaitingCapacity.Len() > 0 {
 		// If the buffered copy were routed after this one, it would count as a
-		// retransmission and thus as a sign that the upstream is silent.
+		// retransmission and thus as evidence that the upstream is unresponsive.
 		b.awaitingCapacity.Remove(bufferedPacket{packet: p}.key())
 	}
 	arrived := now
@@ -64,7 +64,7 @@
 // soon, and executes the verdict.
 func (b *Balancer) routePacket(now, arrived time.Time, p router.Packet, data []byte) {
 	p.Waited = now.Sub(arrived)
-	v := b.decide(now, p, data)
+	v := b.routeOrQueue(now, p, data)
 	if v.Action == router.Drop && v.Reason.Temporary() && !b.settings.Off.Has(mechanism.KeptPackets) {
 		b.bufferPacket(now, arrived, p, data)
 		b.unplacedCold = b.unplacedCold || v.Reason == router.Cold
--- a/internal/daemon/cookie/suspicions.go
+++ b/internal/daemon/cookie/suspicions.go
@@ -27,7 +27,7 @@
 	}
 }
 
-// applySuspicions updates the router's suspicions and resets the flows that the router gives up.
+// applySuspicions updates the router's suspicions and resets the flows that the router returns.
 // The caller holds the lock.
 func (b *Balancer) applySuspicions(now time.Time) {
 	b.suspicionsApplied = now
@@ -42,17 +42,17 @@
 	if err := b.socket.Flush(); err != nil {
 		b.recordSendError(err)
 	}
-	b.reportToVoters()
+	b.sendReports()
 }
 
 // logUnresponsive logs the subjects that became unresponsive, and those that no longer are.
 func (b *Balancer) logUnresponsive(now time.Time, all map[evidence.Subject]suspicions.Suspicion, resets int) {
-	for s, d := range all {
-		if d.Unresponsive && !b.unresponsive[s] {
+	for s, suspicion := range all {
+		if suspicion.Unresponsive && !b.unresponsive[s] {
 			b.unresponsive[s] = true
 			b.counts.unresponsive.Inc(1)
 			b.log.Info("upstream unresponsive", "Incarnation", fmt.Sprintf("%x", s.Incarnation), "Born", s.Born,
-				"Zone", s.Zone, "SilentFor", now.Sub(d.First).String(), "Voter", d.Voter, "FlowsReset", resets)
+				"Zone", s.Zone, "SilentFor", now.Sub(suspicion.First).String(), "Voter", suspicion.Voter, "FlowsReset", resets)
 		}
 	}
 	for s := range b.unresponsive {
@@ -63,10 +63,11 @@
 	}
 }
 
-// reportToVoters reports the router's observations of silent upstreams to the voters.
-func (b *Balancer) reportToVoters() {
+// sendReports reports the router's observations of unanswered packets and of responses to the
+// parent or the voters.
+func (b *Balancer) sendReports() {
 	if events := b.router.Reports(); len(events) > 0 {
-		b.counts.silenceReported.Inc(int64(len(events)))
+		b.counts.reportedEvents.Inc(int64(len(events)))
 		b.follower.Report(events)
 	}
 }
--- a/internal/daemon/cookie/uploads.go
+++ b/internal/daemon/cookie/uploads.go
@@ -58,10 +58,10 @@
 	}
 }
 
-// decide routes a packet. If the link is busy with other uploads, an upload's opening is
+// routeOrQueue routes a packet. If the link is busy with other uploads, an upload's opening is
 // queued briefly, and rejected if the link stays busy: the caller's next attempt reaches
 // another balancer.
-func (b *Balancer) decide(now time.Time, p router.Packet, data []byte) router.Verdict {
+func (b *Balancer) routeOrQueue(now time.Time, p router.Packet, data []byte) router.Verdict {
 	if b.uploads == nil || b.router.Class(p.Address) != configuration.Upload {
 		return b.router.Route(now, p)
 	}
@@ -143,8 +143,8 @@
 		case <-b.uploads.wake:
 		}
 		for {
-			pause, waits := b.sendDue()
-			if !waits {
+			pause, queued := b.sendDue()
+			if !queued {
 				break
 			}
 			time.Sleep(max(pause, minPacingPause))
@@ -169,11 +169,11 @@
 	if err := b.socket.Flush(); err != nil {
 		b.recordSendError(err)
 	}
-	pause, waits := b.uploads.link.NextDelay(now)
+	pause, queued := b.uploads.link.NextDelay(now)
 	if b.uploads.backlog.Len() == 0 {
-		return pause, waits
+		return pause, queued
 	}
-	if !waits {
+	if !queued {
 		pause = admitInterval
 	}
 	return min(pause, admitInterval), true
