--- a/internal/control/agreement/members_test.go
+++ b/internal/control/agreement/members_test.go
@@ -121,8 +121,8 @@
 
 // Guards against a cluster that elects no leader after a lost disk (soak, seed 227).
 // A voter with a replaced disk is promoted, and the leader fails before that
-// voter receives the new list. The others need its vote, but by its own list it
-// has none.
+// voter receives the new list. The others need its vote, although it is not a voting
+// member by the list in its own log.
 func TestPromotedVoterVotesBeforeReceivingNewList(t *testing.T) {
 	c := bootstrappedCluster(t)
 	leader := c.leader()
--- a/internal/control/feed/feed.go
+++ b/internal/control/feed/feed.go
@@ -224,7 +224,7 @@
 }
 
 // Announce records an upstream's announcement. It reports whether that changes the directory and
-// whether it refutes a suspicion.
+// whether it refutes a suspicion. cold is the remaining time of the upstream's slow start.
 func (f *Feed) Announce(now time.Time, u upstream.Upstream, cold time.Duration) (changed, refutesSuspicion bool) {
 	return f.AnnounceForwarded(now, handover.Announcement{Upstream: u, Cold: cold})
 }
--- a/internal/control/upstreams/upstreams.go
+++ b/internal/control/upstreams/upstreams.go
@@ -80,7 +80,8 @@
 type sharedAnnouncement struct {
 	_        struct{} `cbor:",toarray"`
 	Upstream upstream.Upstream
-	Cold     time.Duration
+	// Cold is the remaining time of the upstream's slow start.
+	Cold time.Duration
 }
 
 type empty struct{}
--- a/internal/control/voter/roster.go
+++ b/internal/control/voter/roster.go
@@ -9,7 +9,8 @@
 	"wasabideal/internal/control/rostermanager"
 )
 
-// leaderRosterManager returns the roster manager while this voter leads with a valid lease. The caller holds the lock.
+// leaderRosterManager returns the roster manager while this voter leads with a valid lease. The caller
+// holds the lock.
 func (v *Voter) leaderRosterManager(now time.Time) (*rostermanager.Manager, error) {
 	s := v.agreement.Status(now)
 	if !s.Current {
