--- a/internal/capacity/measure/configuration.go
+++ b/internal/capacity/measure/configuration.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// configurationOf returns a configuration whose services have four addresses each.
+// configurationOf returns a configuration with a total number of addresses, four per service.
 func configurationOf(addresses int) configuration.Configuration {
 	c := configuration.Configuration{Revision: 1, InForce: "ordinary"}
 	for _, n := range []string{"ordinary", "peak", "maintenance"} {
@@ -54,8 +54,8 @@
 	return c
 }
 
-// changed returns the next revision of c with one service changed.
-func changed(c configuration.Configuration) configuration.Configuration {
+// withOneServiceChanged returns the next revision of c, which differs in one service.
+func withOneServiceChanged(c configuration.Configuration) configuration.Configuration {
 	c.Services = slices.Clone(c.Services)
 	c.Services[len(c.Services)/2].Priority++
 	return c.WithRevision(c.Revision + 1)
@@ -78,12 +78,12 @@
 
 func deltaBytes(size float64) (float64, error) {
 	c := configurationOf(int(size))
-	return encodedBytes(history.Response{Deltas: []history.Delta{history.Diff(c, changed(c))}})
+	return encodedBytes(history.Response{Deltas: []history.Delta{history.Diff(c, withOneServiceChanged(c))}})
 }
 
 func deltaMicros(size float64) (float64, error) {
 	c := configurationOf(int(size))
-	a := history.Response{Deltas: []history.Delta{history.Diff(c, changed(c))}}
+	a := history.Response{Deltas: []history.Delta{history.Diff(c, withOneServiceChanged(c))}}
 	var followErr error
 	t := nanos(1, func() { _, followErr = history.Apply(c, a) })
 	return t / float64(time.Microsecond), followErr
@@ -105,7 +105,7 @@
 	go func() { _ = server.Serve(ctx, l) }()
 	times := make([]float64, 0, rounds)
 	for range rounds {
-		c = changed(c)
+		c = withOneServiceChanged(c)
 		t, err := timeFanout(ctx, s, c, l.Addr().String(), int(size))
 		if err != nil {
 			return 0, err
--- a/internal/capacity/measure/control.go
+++ b/internal/capacity/measure/control.go
@@ -15,11 +15,11 @@
 	changes := []float64{500, 5000, 50_000}
 	return []Measurement{
 		{Name: LogBytes, Per: "change since the snapshot", Unit: "bytes on disk", Sizes: changes, Measure: func(n float64) (float64, error) {
-			l, err := writeLog(int(n))
+			l, err := measureLog(int(n))
 			return l.bytes, err
 		}},
 		{Name: RecoveryMillis, Per: "change since the snapshot", Unit: "ms to recover", Sizes: changes, Measure: func(n float64) (float64, error) {
-			l, err := writeLog(int(n))
+			l, err := measureLog(int(n))
 			return l.recovery, err
 		}},
 		{Name: AcceptMicros, Per: "change in one write", Unit: "us to sync", Sizes: []float64{1, 16, 64}, Measure: syncMicros},
@@ -63,9 +63,9 @@
 	return f(d)
 }
 
-// writeLog writes n changes and measures the log size and the time to read and apply them, as on a
+// measureLog writes n changes and measures the log size and the time to read and apply them, as on a
 // restart.
-func writeLog(n int) (logCost, error) {
+func measureLog(n int) (logCost, error) {
 	var out logCost
 	err := withTempFolder(func(d *local.Folder) error {
 		w, _, err := wal.Open(d)
--- a/internal/capacity/measure/cookie.go
+++ b/internal/capacity/measure/cookie.go
@@ -168,7 +168,7 @@
 }
 
 // callMicros returns the time of an RPC over loopback in microseconds, both ends included, divided by
-// the number of parts that the call carries.
+// the number of parts, such as announcements, that the call carries.
 func callMicros(parts int, serve func(*rpc.Server), call func(context.Context, *rpc.Client) error) (float64, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/capacity/measure/fanout.go
+++ b/internal/capacity/measure/fanout.go
@@ -21,7 +21,7 @@
 	"wasabideal/internal/wire/rpc"
 )
 
-// announcementsPerCall is the number of announcements in one handover call.
+// announcementsPerCall is the number of announcements in one call that forwards them.
 const announcementsPerCall = 20
 
 func fanoutMeasurements() []Measurement {
@@ -38,7 +38,7 @@
 
 func voterName(n int) string { return fmt.Sprintf("10.%d.0.12:7720", n+1) }
 
-// knownOrigins returns the state of a balancer that has received notices of a number of voters.
+// knownOrigins returns the versions that a balancer knows of the state of a number of voters.
 func knownOrigins(voters int) *origins.Origins {
 	o := origins.New()
 	for n := range voters {
@@ -90,8 +90,8 @@
 	if err != nil {
 		return 0, err
 	}
-	answer, err := encodedBytes(relay.Response{Origins: all})
-	return request + answer, err
+	response, err := encodedBytes(relay.Response{Origins: all})
+	return request + response, err
 }
 
 func handoverMicros(size float64) (float64, error) {
--- a/internal/capacity/measure/group.go
+++ b/internal/capacity/measure/group.go
@@ -19,11 +19,11 @@
 const (
 	tick = 100 * time.Millisecond
 	// settleTicks run before the measurement, countedTicks are measured.
-	settleTicks  = 100
-	countedTicks = 100
-	groupToken   = "group"
-	lease        = 30 * time.Second
-	renewEvery   = lease / 3
+	settleTicks   = 100
+	countedTicks  = 100
+	groupToken    = "group"
+	lease         = 30 * time.Second
+	renewInterval = lease / 3
 )
 
 func groupMeasurements() []Measurement {
@@ -112,14 +112,15 @@
 	}
 }
 
-func gossip(n, upstreams int) (*group, error) {
+// runGossip returns a group of n members after countedTicks of gossip; the counts cover these only.
+func runGossip(n, upstreams int) (*group, error) {
 	g := newGroup(n, 10_000)
 	c := oneServiceConfiguration()
 	for _, a := range g.order {
 		g.dispatch(a, event.Event{Kind: event.ConfigurationReceived, Configuration: &c})
 	}
 	ps := pool(upstreams)
-	renewTicks := int(renewEvery / tick)
+	renewTicks := int(renewInterval / tick)
 	renew := func(t int) {
 		for i, p := range ps {
 			if i%renewTicks != t%renewTicks {
@@ -150,7 +151,7 @@
 func (g *group) seconds() float64 { return float64(countedTicks) * tick.Seconds() }
 
 func gossipBytesByMembers(size float64) (float64, error) {
-	g, err := gossip(int(size), 0)
+	g, err := runGossip(int(size), 0)
 	if err != nil {
 		return 0, err
 	}
@@ -158,7 +159,7 @@
 }
 
 func gossipMicros(size float64) (float64, error) {
-	g, err := gossip(int(size), 0)
+	g, err := runGossip(int(size), 0)
 	if err != nil {
 		return 0, err
 	}
@@ -166,7 +167,7 @@
 }
 
 func gossipBytesByUpstreams(size float64) (float64, error) {
-	g, err := gossip(currentMembers, int(size))
+	g, err := runGossip(currentMembers, int(size))
 	if err != nil {
 		return 0, err
 	}
--- a/internal/capacity/page/cookie.go
+++ b/internal/capacity/page/cookie.go
@@ -42,17 +42,17 @@
 	startConnections = 2.0
 	// voterConnections are a follower's connections: poll, reports and announcements.
 	voterConnections = 3.0
-	// handoversPerSecond are the RPCs in which a root balancer forwards announcements.
-	handoversPerSecond = 1 / (announceSeconds / 4)
+	// batchesPerSecond is the number of RPCs per second in which a root balancer forwards announcements.
+	batchesPerSecond = 1 / (announceSeconds / 4)
 )
 
 // zoneSize is the number of balancers in a zone.
-func (s size) zoneSize() float64 { return s.daemons / s.zones }
+func (s size) zoneSize() float64 { return s.balancers / s.zones }
 
 // roots is the number of balancers that follow the voters.
 func (s size) roots() float64 {
 	if s.zoneSize() <= smallZone {
-		return s.daemons
+		return s.balancers
 	}
 	return rootsPerZone * s.zones
 }
@@ -64,10 +64,10 @@
 
 // levels is the depth of a zone's distribution tree.
 func (s size) levels() float64 {
-	levels, size, all := 1.0, rootsPerZone, rootsPerZone
-	for s.zoneSize() > math.Max(all, smallZone) {
-		size *= fanout
-		all += size
+	levels, width, total := 1.0, rootsPerZone, rootsPerZone
+	for s.zoneSize() > math.Max(total, smallZone) {
+		width *= fanout
+		total += width
 		levels++
 	}
 	return levels
@@ -77,29 +77,29 @@
 // balancers cost less.
 func (p Page) cookieLines(s size) []line {
 	const role = "Root balancer of a zone, cookie routing"
-	openings := s.openings / s.daemons
+	openings := s.openings / s.balancers
 	flows := math.Min(openings*flowSeconds, 100_000)
-	noticeRate := s.targets * s.upstreamChanges / secondsPerDay
+	noticeRate := s.upstreams * s.upstreamChanges / secondsPerDay
 	perUpstream := p.slopes[measure.NewsBytes].Gradient
 	delta := p.at(measure.DeltaBytes, s.addresses)
 	followerCount := s.followers()
 	descendants := math.Max(s.zoneSize()/rootsPerZone-1, 0) * math.Min(followerCount, 1)
-	follow := (p.at(measure.FollowBytes, s.voters) + callBytes) / followSeconds
+	bytesPerFollower := (p.at(measure.FollowBytes, s.voters) + callBytes) / followSeconds
 	changeBytes := noticeRate*perUpstream + delta*s.changeRate()
-	forwarded := s.targets / s.zones / rootsPerZone / announceSeconds * math.Min(followerCount, 1)
-	bytes := s.voters*pollBytes/pollSeconds + (1+followerCount)*changeBytes + followerCount*follow +
+	forwarded := s.upstreams / s.zones / rootsPerZone / announceSeconds * math.Min(followerCount, 1)
+	bytes := s.voters*pollBytes/pollSeconds + (1+followerCount)*changeBytes + followerCount*bytesPerFollower +
 		(s.voters+1)*descendants*(p.slopes[measure.FleetBytes].Gradient+entryBytes)/reportSeconds + 2*forwarded*announcementBytes
-	core := s.voters/pollSeconds*p.at(measure.QuestionMicros, s.targets)/2e6 + followerCount/followSeconds*p.at(measure.FollowMicros, s.targets)/2e6 +
-		noticeRate*(p.at(measure.ViewMicros, s.targets/2)+followerCount*p.at(measure.FollowMicros, s.targets))/1e6 +
-		s.changeRate()*p.at(measure.DeltaMicros, s.addresses)/1e6 + forwarded*p.at(measure.HandoverMicros, s.targets)/1e6
+	core := s.voters/pollSeconds*p.at(measure.QuestionMicros, s.upstreams)/2e6 + followerCount/followSeconds*p.at(measure.FollowMicros, s.upstreams)/2e6 +
+		noticeRate*(p.at(measure.ViewMicros, s.upstreams/2)+followerCount*p.at(measure.FollowMicros, s.upstreams))/1e6 +
+		s.changeRate()*p.at(measure.DeltaMicros, s.addresses)/1e6 + forwarded*p.at(measure.HandoverMicros, s.upstreams)/1e6
 	return append([]line{
 		{role, "flows kept", "openings per second x 15 s, 100,000 at most", "only for load and detection of unresponsive upstreams; none is needed to forward", flows, 0},
-		{role, "core share of packets", "openings per second x (CookieOpeningNanos + 12 x CookieNanos)", "a cookie identifies the upstream, an opening compares eight upstreams (internal/cookie/router)", openings * (p.at(measure.CookieOpeningNanos, s.targets/2) + packetsPerOpening*p.at(measure.CookieNanos, flows)) / 1e9, 0},
+		{role, "core share of packets", "openings per second x (CookieOpeningNanos + 12 x CookieNanos)", "a cookie identifies the upstream, an opening compares eight upstreams (internal/cookie/router)", openings * (p.at(measure.CookieOpeningNanos, s.upstreams/2) + packetsPerOpening*p.at(measure.CookieNanos, flows)) / 1e9, 0},
 		{role, "followers", "at most 10, mean 8", "a tree built from address hashes (internal/fanout/tree)", followerCount, 0},
 		{role, "tree levels of its zone", "4, 32, 256 … balancers per level", "as above", s.levels(), 0},
 		{role, "control, bytes per second", "voters x 420 bytes / 0.8 s + (1 + followers) x (upstream changes x NewsBytes + DeltaBytes x changes) + followers x (FollowBytes + 250) / 0.6 s + follower reports / 5 s + 2 x announcements of its part of the zone", "long polls; versioned lists; announcements forwarded in batches", bytes, bytesLimit},
-		{role, "control, core share", "voters / 0.8 s x QuestionMicros / 2 + followers / 0.6 s x FollowMicros / 2 + upstream changes x (ViewMicros + followers x FollowMicros) + changes x DeltaMicros + announcements x HandoverMicros", "one merged view, distributed by version", core, coreShare},
-		{role, "control, memory bytes", "ViewBytes(upstreams) + CookieFlowBytes + HeldConfigurationBytes x 2 + FleetBytes(zone) x 4", "each upstream is reported by one voter; flows kept", p.at(measure.ViewBytes, s.targets) + p.at(measure.CookieFlowBytes, flows) + 2*p.at(measure.HeldBytes, s.addresses) + 4*p.at(measure.FleetBytes, s.zoneSize()), memoryLimit},
+		{role, "control, core share", "voters / 0.8 s x QuestionMicros / 2 + followers / 0.6 s x FollowMicros / 2 + upstream changes x (ViewMicros + followers x FollowMicros) + changes x DeltaMicros + announcements x HandoverMicros", "one merged view, distributed by version", core, coreLimit},
+		{role, "control, memory bytes", "ViewBytes(upstreams) + CookieFlowBytes + HeldConfigurationBytes x 2 + FleetBytes(zone) x 4", "each upstream is reported by one voter; flows kept", p.at(measure.ViewBytes, s.upstreams) + p.at(measure.CookieFlowBytes, flows) + 2*p.at(measure.HeldBytes, s.addresses) + 4*p.at(measure.FleetBytes, s.zoneSize()), memoryLimit},
 		{role, "seconds until a departure has reached all balancers", "0.25 s per level, and 0.3 s at a voter", "each level batches notices (internal/fanout/relay)", 0.3 + 0.25*(s.levels()-1), spreadLimit},
 	}, p.cookieVoterLines(s)...)
 }
@@ -108,21 +108,21 @@
 func (p Page) cookieVoterLines(s size) []line {
 	const role = "Voter, cookie routing"
 	followers := s.roots()
-	noticeRate := s.targets * s.upstreamChanges / secondsPerDay
-	announcementRate := s.targets / s.voters / announceSeconds
+	noticeRate := s.upstreams * s.upstreamChanges / secondsPerDay
+	announcementRate := s.upstreams / s.voters / announceSeconds
 	calls := followers / pollSeconds
-	handovers := followers / s.voters * handoversPerSecond
-	reports := s.daemons * (p.slopes[measure.FleetBytes].Gradient + entryBytes) / reportSeconds
-	core := calls*p.at(measure.QuestionMicros, s.targets)/2e6 + announcementRate*p.at(measure.HandoverMicros, s.targets)/2e6 +
-		noticeRate*followers*p.at(measure.QuestionMicros, s.targets)/2e6
-	bytes := calls*pollBytes + announcementRate*announcementBytes + handovers*callBytes + reports +
+	batches := followers / s.voters * batchesPerSecond
+	reports := s.balancers * (p.slopes[measure.FleetBytes].Gradient + entryBytes) / reportSeconds
+	core := calls*p.at(measure.QuestionMicros, s.upstreams)/2e6 + announcementRate*p.at(measure.HandoverMicros, s.upstreams)/2e6 +
+		noticeRate*followers*p.at(measure.QuestionMicros, s.upstreams)/2e6
+	bytes := calls*pollBytes + announcementRate*announcementBytes + batches*callBytes + reports +
 		noticeRate*followers*p.slopes[measure.NewsBytes].Gradient
 	return []line{
 		{role, "followers", "4 per zone, 8 in a small one", "the tree; after a partition regions keep the voters on their side", followers, 0},
 		{role, "connections", "followers x 3", "polls, reports, announcements", followers * voterConnections, voterDescriptors / 2},
-		{role, "connections while all balancers and upstreams start", "balancers / 3 x 2 + followers x 3 + upstreams / voters", "a starting balancer loads all state from one voter of the settings; upstreams call voters until they are referred", s.daemons/seeds*startConnections + followers*voterConnections + s.targets/s.voters, voterDescriptors},
-		{role, "core share", "followers / 0.8 s x QuestionMicros / 2 + targets / voters / 1.2 s x HandoverMicros / 2 + upstream changes x followers x QuestionMicros / 2", "announcements are batched twice on their way (internal/upstream/handover)", core, 0.24},
-		{role, "bytes per second", "polls x 420 + announcements x 70 + handovers x 250 + reports of all balancers / 5 s + notices", "as above", bytes, 0},
-		{role, "announcements per second without balancers in between", "targets / voters / 1.2 s", "if each announcement were a separate RPC", announcementRate, 0},
+		{role, "connections while all balancers and upstreams start", "balancers / 3 x 2 + followers x 3 + upstreams / voters", "a starting balancer loads all state from one voter of the settings; upstreams call voters until they are referred to a balancer", s.balancers/seeds*startConnections + followers*voterConnections + s.upstreams/s.voters, voterDescriptors},
+		{role, "core share", "followers / 0.8 s x QuestionMicros / 2 + upstreams / voters / 1.2 s x HandoverMicros / 2 + upstream changes x followers x QuestionMicros / 2", "announcements are batched twice on their way (internal/upstream/handover)", core, 0.24},
+		{role, "bytes per second", "polls x 420 + announcements x 70 + forwarded batches x 250 + reports of all balancers / 5 s + notices", "as above", bytes, 0},
+		{role, "announcements per second without balancers in between", "upstreams / voters / 1.2 s", "if each announcement were a separate RPC", announcementRate, 0},
 	}
 }
--- a/internal/capacity/page/fleet.go
+++ b/internal/capacity/page/fleet.go
@@ -19,7 +19,7 @@
 | busiest voter, core share | 0.0098 | 0.0589 | 0.0670 | 0.0051 | one of three voters that 328 starting balancers each load state from |
 | balancer, peak memory, MB | 8.2 | 48.7 | 51.5 | 8.3 | the page includes live data only; the runtime, garbage from the start and buffers are five times that |
 | voter, peak memory, MB | - | 72.1 | 77.7 | - | |
-| voter, maximum connections | 60 | 1047 | 1044 | 1117 | starts, and upstreams that call voters until they are referred |
+| voter, maximum connections | 60 | 1047 | 1044 | 1117 | starts, and upstreams that call voters until they are referred to a balancer |
 | between zones, kB per second, total | - | 3892 | 4031 | - | includes flows; not split by kind |
 | p99 of requests without faults, ms | - | 79 to 377, rising | 77 to 113, constant | - | balancers lagged by 0.4 s while followers started |
 
--- a/internal/capacity/page/page.go
+++ b/internal/capacity/page/page.go
@@ -43,7 +43,8 @@
 	return p, nil
 }
 
-func (p Page) at(name string, x float64) float64 { return max(p.slopes[name].Above(x), 0) }
+// at returns the cost of a slope at size x, never less than 0.
+func (p Page) at(name string, x float64) float64 { return max(p.slopes[name].UpperBound(x), 0) }
 
 // Render returns the page in Markdown.
 func (p Page) Render() []byte {
--- a/internal/capacity/slope/slope.go
+++ b/internal/capacity/slope/slope.go
@@ -83,9 +83,9 @@
 // At returns the line's cost at a size.
 func (s Slope) At(x float64) float64 { return s.Intercept + s.Gradient*x }
 
-// Above returns the larger of the line's cost at x and the highest cost measured at a size up to x,
+// UpperBound returns the larger of the line's cost at x and the highest cost measured at a size up to x,
 // so that a cost above the line is not underestimated.
-func (s Slope) Above(x float64) float64 {
+func (s Slope) UpperBound(x float64) float64 {
 	cost := s.At(x)
 	for _, p := range s.Points {
 		if p.X <= x {
