--- a/internal/soak/fleet/fleet.go
+++ b/internal/soak/fleet/fleet.go
@@ -110,12 +110,12 @@
 
 // FillDisk makes writes beyond fullDiskFileSize fail, as on a disk that fills up in the middle of
 // a record.
-func (p *Process) FillDisk() { p.limitFiles(fullDiskFileSize) }
+func (p *Process) FillDisk() { p.limitFileSize(fullDiskFileSize) }
 
 // FreeDisk removes the limit that FillDisk set.
-func (p *Process) FreeDisk() { p.limitFiles(unix.RLIM_INFINITY) }
+func (p *Process) FreeDisk() { p.limitFileSize(unix.RLIM_INFINITY) }
 
-func (p *Process) limitFiles(bytes uint64) {
+func (p *Process) limitFileSize(bytes uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	limit := unix.Rlimit{Cur: bytes, Max: unix.RLIM_INFINITY}
--- a/internal/soak/proxy/proxy.go
+++ b/internal/soak/proxy/proxy.go
@@ -84,7 +84,7 @@
 	p.running.Wait()
 }
 
-func (p *Proxy) current() Fault {
+func (p *Proxy) currentFault() Fault {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.fault
@@ -104,7 +104,7 @@
 
 func (p *Proxy) serve(client net.Conn) {
 	defer p.running.Done()
-	if p.current() == Refuse {
+	if p.currentFault() == Refuse {
 		_ = client.Close()
 		return
 	}
@@ -140,7 +140,7 @@
 			}
 			return
 		}
-		switch f := p.current(); {
+		switch f := p.currentFault(); {
 		case f == Silence, f == OneWay && fromServer:
 			continue
 		case f == Delay:
--- a/internal/soak/run/callers.go
+++ b/internal/soak/run/callers.go
@@ -48,8 +48,8 @@
 	}
 	c := &caller{run: r, ip: a, conn: conn, packets: make(chan received, 64), port: 1024}
 	r.closers = append(r.closers, func() { _ = conn.Close() })
-	r.goRun(c.receive)
-	r.goRun(c.openFlows)
+	r.startGoroutine(c.receive)
+	r.startGoroutine(c.openFlows)
 	return nil
 }
 
@@ -63,7 +63,7 @@
 		c.run.callersProcessor.wait()
 		p, _, err := c.run.settings.Platform.Decode(append([]byte(nil), buffer[:n]...), false)
 		if err != nil {
-			c.run.violated(InvariantResponse, err.Error())
+			c.run.reportViolation(InvariantResponse, err.Error())
 			continue
 		}
 		select {
@@ -135,7 +135,7 @@
 	next := s
 	next.Opening, next.Open, next.Acknowledge, next.Copy = false, false, true, 0
 	next.Sequence, next.Acknowledged, next.Cookie = s.Sequence+1, opened.Sequence+1, opened.Cookie
-	var owner uint64
+	var incarnation uint64
 	limit := maxRequests
 	if c.port%2 == 0 {
 		limit = 1 + rand.IntN(maxShortFlowRequests)
@@ -145,11 +145,11 @@
 		if !ok {
 			return
 		}
-		if owner == 0 {
-			owner = response.Incarnation
+		if incarnation == 0 {
+			incarnation = response.Incarnation
 		}
-		if response.Incarnation != owner {
-			c.run.violated(InvariantFlow, fmt.Sprintf("flow of upstream %x answered by upstream %x", owner, response.Incarnation))
+		if response.Incarnation != incarnation {
+			c.run.reportViolation(InvariantFlow, fmt.Sprintf("flow of upstream %x answered by upstream %x", incarnation, response.Incarnation))
 		}
 		time.Sleep(rand.N(maxRequestPause))
 	}
@@ -177,7 +177,7 @@
 	}
 	var a answer
 	if err := json.Unmarshal(p.Data, &a); err != nil || a.Request != string(next.Data) {
-		c.run.violated(InvariantResponse, fmt.Sprintf("request %q received response %q", next.Data, p.Data))
+		c.run.reportViolation(InvariantResponse, fmt.Sprintf("request %q received response %q", next.Data, p.Data))
 	}
 	c.run.count(&c.run.answered)
 	next.Sequence += uint32(next.Length)
--- a/internal/soak/run/evacuate.go
+++ b/internal/soak/run/evacuate.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// An evacuation lasts longer than drainGrace, so that the check on new flows applies, and evacuations
-// follow each other so closely that faults hit every phase.
+// An evacuation lasts longer than drainGrace, so that the check on new flows applies. The pause between
+// evacuations is short, so that faults occur in every phase.
 const (
 	evacuationDuration = 2 * drainGrace
 	evacuationPause    = 700 * time.Millisecond
 )
 
-// evacuateZones evacuates one zone after another and ends each evacuation again.
+// evacuateZones evacuates one zone after another, each for evacuationDuration.
 func (r *Run) evacuateZones() {
 	for n := 0; !r.hasEnded(); n++ {
 		zone := r.zone(n)
@@ -39,8 +39,8 @@
 
 // requestEvacuation sends the request to the voters in turn until one acknowledges it.
 func (r *Run) requestEvacuation(n int, zone string, evacuate bool) bool {
-	for try := range r.apis {
-		api := r.apis[(n+try)%len(r.apis)]
+	for try := range r.voterAPIs {
+		api := r.voterAPIs[(n+try)%len(r.voterAPIs)]
 		if r.settings.Platform.Evacuate(context.Background(), api, zone, evacuate) == nil {
 			return true
 		}
@@ -54,6 +54,6 @@
 	at, evacuated := r.evacuated[zone]
 	r.mu.Unlock()
 	if evacuated && at.Add(drainGrace).Before(r.timeBoundsReference()) {
-		r.violated(InvariantEvacuated, fmt.Sprintf("new flow in %s, evacuated since %s", zone, at))
+		r.reportViolation(InvariantEvacuated, fmt.Sprintf("new flow in %s, evacuated since %s", zone, at))
 	}
 }
--- a/internal/soak/run/faults.go
+++ b/internal/soak/run/faults.go
@@ -28,7 +28,7 @@
 	restarts := rand.New(rand.NewPCG(r.settings.Seed, 3))
 	stalls := rand.New(rand.NewPCG(r.settings.Seed, 4))
 	for end := time.Now().Add(r.settings.For); time.Now().Before(end) && ctx.Err() == nil; {
-		r.fault(random)
+		r.injectFault(random)
 		r.diskFault(disks)
 		r.restartUpstream(restarts)
 		r.stall(stalls)
@@ -39,16 +39,16 @@
 	time.Sleep(maxFaultDuration)
 }
 
-func (r *Run) noteFault() {
+func (r *Run) recordFault() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.lastFault = time.Now().Add(maxFaultDuration)
 	r.result.Faults++
 }
 
-func (r *Run) fault(random *rand.Rand) {
-	r.noteFault()
-	p := r.processes[r.names[random.IntN(len(r.names))]]
+func (r *Run) injectFault(random *rand.Rand) {
+	r.recordFault()
+	p := r.processes[r.processNames[random.IntN(len(r.processNames))]]
 	x := r.proxies[random.IntN(len(r.proxies))]
 	duration := time.Duration(random.Int64N(int64(maxFaultDuration)))
 	switch random.IntN(9) {
@@ -58,13 +58,13 @@
 	case 1:
 		p.Resume()
 		p.Kill()
-		r.restart(p)
+		r.startProcess(p)
 	case 2:
 		p.Resume()
 		if err := p.Stop(); err != nil {
-			r.violated(InvariantExit, err.Error())
+			r.reportViolation(InvariantExit, err.Error())
 		}
-		r.restart(p)
+		r.startProcess(p)
 	case 3:
 		p.Hangup()
 	case 4:
@@ -76,7 +76,7 @@
 	case 7:
 		r.replaceUpstream(random)
 	case 8:
-		r.wipe(r.processes[fmt.Sprint("voter-", random.IntN(voters))])
+		r.replaceDisk(r.processes[fmt.Sprint("voter-", random.IntN(voters))])
 	}
 }
 
@@ -92,15 +92,15 @@
 	p := r.processes[fmt.Sprint("voter-", voter)]
 	switch kind {
 	case 0:
-		r.noteFault()
+		r.recordFault()
 		p.FillDisk()
 		time.AfterFunc(duration, p.FreeDisk)
 	case 1:
-		r.noteFault()
+		r.recordFault()
 		p.Resume()
 		p.Kill()
 		r.appendTornRecord(p, torn)
-		r.restart(p)
+		r.startProcess(p)
 	}
 }
 
@@ -118,26 +118,26 @@
 		_ = f.Close()
 	}
 	if err != nil {
-		r.violated(InvariantExit, err.Error())
+		r.reportViolation(InvariantExit, err.Error())
 	}
 }
 
 // logFile is the name of the log in a voter's data folder.
 const logFile = "log"
 
-func (r *Run) restart(p *fleet.Process) {
+func (r *Run) startProcess(p *fleet.Process) {
 	if err := p.Start(); err != nil {
-		r.violated(InvariantExit, err.Error())
+		r.reportViolation(InvariantExit, err.Error())
 	}
 }
 
-// wipe restarts a voter with an empty disk. Only one disk is replaced at a time, and only while all
-// voters answer reads, since the system tolerates only so many lost disks at once.
-func (r *Run) wipe(p *fleet.Process) {
+// replaceDisk restarts a voter with an empty disk. Only one disk is replaced at a time, and only while all
+// voters serve reads: a majority of the voters must keep its data.
+func (r *Run) replaceDisk(p *fleet.Process) {
 	if !r.replacingDisk.CompareAndSwap(false, true) {
 		return
 	}
-	if !r.allRead() {
+	if !r.allVotersServeReads() {
 		r.replacingDisk.Store(false)
 		return
 	}
@@ -145,26 +145,26 @@
 	p.Kill()
 	folder := filepath.Join(r.settings.Folder, p.Name)
 	if err := os.RemoveAll(folder); err != nil {
-		r.violated(InvariantExit, err.Error())
+		r.reportViolation(InvariantExit, err.Error())
 	}
 	if err := os.MkdirAll(folder, 0o750); err != nil {
-		r.violated(InvariantExit, err.Error())
+		r.reportViolation(InvariantExit, err.Error())
 	}
-	r.restart(p)
+	r.startProcess(p)
 	// The next disk may be replaced only once this voter has all data again: it regains its
-	// vote a few heartbeats after it answers reads.
-	r.goRun(func() {
+	// vote a few heartbeats after it serves reads.
+	r.startGoroutine(func() {
 		defer r.replacingDisk.Store(false)
-		for !r.hasEnded() && !r.allRead() {
+		for !r.hasEnded() && !r.allVotersServeReads() {
 			time.Sleep(readinessInterval)
 		}
 		time.Sleep(faultSettleTime)
 	})
 }
 
-// allRead reports whether all voters answer reads and therefore reach a majority.
-func (r *Run) allRead() bool {
-	for _, api := range r.apis {
+// allVotersServeReads reports whether each voter answers a read, for which it must reach a majority.
+func (r *Run) allVotersServeReads() bool {
+	for _, api := range r.voterAPIs {
 		if !r.checkRead(api) {
 			return false
 		}
@@ -186,13 +186,13 @@
 		return
 	}
 	z := n % r.settings.Zones
-	b, err := r.startUpstream(fmt.Sprintf("%s:%d", ip(kindUpstream, z, n), FabricPort), old.self.Service, r.zone(z))
+	u, err := r.startUpstream(fmt.Sprintf("%s:%d", ip(kindUpstream, z, n), FabricPort), old.self.Service, r.zone(z))
 	if err != nil {
-		r.violated(InvariantExit, err.Error())
+		r.reportViolation(InvariantExit, err.Error())
 		return
 	}
 	r.mu.Lock()
-	r.upstreams = append(r.upstreams, b)
+	r.upstreams = append(r.upstreams, u)
 	r.mu.Unlock()
 	old.drain()
 	time.AfterFunc(drainGrace, old.withdraw)
@@ -214,20 +214,20 @@
 // restartUpstream simulates a crash and restart of an upstream, which keeps its incarnation.
 func (r *Run) restartUpstream(random *rand.Rand) {
 	r.mu.Lock()
-	b := r.upstreams[random.IntN(len(r.upstreams))]
+	u := r.upstreams[random.IntN(len(r.upstreams))]
 	r.mu.Unlock()
-	if random.IntN(faultsPerUpstreamRestart) != 0 || r.isStopped(b.self.Incarnation) {
+	if random.IntN(faultsPerUpstreamRestart) != 0 || r.isStopped(u.self.Incarnation) {
 		return
 	}
-	r.noteFault()
-	b.restart()
+	r.recordFault()
+	u.restart()
 }
 
 func (r *Run) checkExits() {
 	for _, p := range r.processes {
 		if err := p.Check(); err != nil {
-			r.violated(InvariantExit, err.Error())
-			r.restart(p)
+			r.reportViolation(InvariantExit, err.Error())
+			r.startProcess(p)
 		}
 	}
 }
@@ -236,9 +236,9 @@
 // configuration and requests are answered.
 func (r *Run) checkRecovery() {
 	end := time.Now().Add(recoveryTimeout)
-	for !r.allRead() {
+	for !r.allVotersServeReads() {
 		if time.Now().After(end) {
-			r.violated(InvariantRecover, "not all voters answer reads")
+			r.reportViolation(InvariantRecover, "not all voters answer reads")
 			break
 		}
 		time.Sleep(readinessInterval)
@@ -252,7 +252,7 @@
 	lost = r.unopened + r.unanswered - lost
 	r.mu.Unlock()
 	if answered := r.answeredCount() - before; answered < 10*max(lost, 1) {
-		r.violated(InvariantRecover, fmt.Sprintf("%d requests answered and %d lost", answered, lost))
+		r.reportViolation(InvariantRecover, fmt.Sprintf("%d requests answered and %d lost", answered, lost))
 	}
 	r.checkExits()
 }
--- a/internal/soak/run/operate.go
+++ b/internal/soak/run/operate.go
@@ -26,8 +26,8 @@
 		r.permittedServices[x.Address] = map[string]bool{s: true}
 	}
 	r.mu.Unlock()
-	for try := range r.apis {
-		api := r.apis[(int(c.Revision)+try)%len(r.apis)]
+	for try := range r.voterAPIs {
+		api := r.voterAPIs[(int(c.Revision)+try)%len(r.voterAPIs)]
 		if r.settings.Platform.Publish(context.Background(), api, c) == nil {
 			r.mu.Lock()
 			r.acknowledged = max(r.acknowledged, c.Revision)
@@ -44,7 +44,7 @@
 		if n%3 == 0 {
 			r.publish()
 		}
-		for _, api := range r.apis {
+		for _, api := range r.voterAPIs {
 			r.checkRead(api)
 		}
 		time.Sleep(readinessInterval)
@@ -62,7 +62,7 @@
 		return false
 	}
 	if revision < minRevision {
-		r.violated(InvariantRevert, fmt.Sprintf("%s returned revision %d after %d was acknowledged", api, revision, minRevision))
+		r.reportViolation(InvariantRevert, fmt.Sprintf("%s returned revision %d after %d was acknowledged", api, revision, minRevision))
 	}
 	return true
 }
@@ -82,7 +82,7 @@
 			}
 		}
 		r.mu.Lock()
-		r.ready = ready
+		r.readyBalancers = ready
 		r.mu.Unlock()
 		time.Sleep(readinessInterval)
 	}
@@ -93,7 +93,7 @@
 func (r *Run) rotation() []netip.AddrPort {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	selected := r.ready
+	selected := r.readyBalancers
 	if 2*len(selected) < len(r.balancers) {
 		selected = r.balancers
 	}
--- a/internal/soak/run/platform.go
+++ b/internal/soak/run/platform.go
@@ -40,7 +40,7 @@
 	Data              []byte
 }
 
-// Platform implements the platform-specific side of the interfaces between processes.
+// Platform provides the settings files, API calls and packet formats of the users' platform.
 type Platform interface {
 	Settings(m VM) string
 	Environment(file string) string
--- a/internal/soak/run/run.go
+++ b/internal/soak/run/run.go
@@ -44,15 +44,15 @@
 
 // Run is the state of one soak run.
 type Run struct {
-	settings  Settings
-	apis      []string
-	processes map[string]*fleet.Process
-	names     []string
-	balancers []string
-	proxies   []*proxy.Proxy
-	closers   []func()
-	machines  []VM
-	running   sync.WaitGroup
+	settings     Settings
+	voterAPIs    []string
+	processes    map[string]*fleet.Process
+	processNames []string
+	balancers    []string
+	proxies      []*proxy.Proxy
+	closers      []func()
+	vms          []VM
+	running      sync.WaitGroup
 
 	mu        sync.Mutex
 	upstreams []*simulatedUpstream
@@ -61,9 +61,9 @@
 	permittedServices map[netip.AddrPort]map[string]bool
 	// evacuated holds the evacuated zones and the times at which the evacuations were acknowledged.
 	evacuated               map[string]time.Time
-	requests                map[string]int
+	executions              map[string]int
 	acknowledged, published uint64
-	ready                   []string
+	readyBalancers          []string
 	result                  Result
 	lastFault               time.Time
 	replacingDisk           atomic.Bool
@@ -82,7 +82,7 @@
 		return Result{Seed: s.Seed}, err
 	}
 	r := &Run{
-		settings: s, processes: map[string]*fleet.Process{}, stopped: map[uint64]bool{}, requests: map[string]int{},
+		settings: s, processes: map[string]*fleet.Process{}, stopped: map[uint64]bool{}, executions: map[string]int{},
 		permittedServices: map[netip.AddrPort]map[string]bool{}, evacuated: map[string]time.Time{}, lastFault: time.Now(), result: Result{Seed: s.Seed},
 	}
 	defer r.close()
@@ -100,7 +100,7 @@
 	return r.result, nil
 }
 
-func (r *Run) goRun(f func()) {
+func (r *Run) startGoroutine(f func()) {
 	r.running.Add(1)
 	go func() {
 		defer r.running.Done()
@@ -122,9 +122,9 @@
 		p.Resume()
 		p.Kill()
 	}
-	for _, b := range r.upstreams {
-		if !r.isStopped(b.self.Incarnation) {
-			b.stop()
+	for _, u := range r.upstreams {
+		if !r.isStopped(u.self.Incarnation) {
+			u.stop()
 		}
 	}
 	for _, p := range r.proxies {
@@ -180,7 +180,7 @@
 	var seeds []string
 	for z := range voters {
 		seeds = append(seeds, fmt.Sprintf("%s:%d", ip(kindProxy, z, 0), ApiPort))
-		r.apis = append(r.apis, fmt.Sprintf("%s:%d", ip(kindVoter, z, 0), ApiPort))
+		r.voterAPIs = append(r.voterAPIs, fmt.Sprintf("%s:%d", ip(kindVoter, z, 0), ApiPort))
 	}
 	list := strings.Join(seeds, ",")
 	for z := range voters {
@@ -189,7 +189,7 @@
 			return err
 		}
 		r.proxies = append(r.proxies, p)
-		if err := r.startMachine(VM{
+		if err := r.startVM(VM{
 			Role: "voter", Name: fmt.Sprint("voter-", z), Zone: r.zone(z), Ip: ip(kindVoter, z, 0), Seeds: list,
 			Advertise: fmt.Sprintf("%s:%d", ip(kindProxy, z, 0), RpcPort), Founding: true,
 		}); err != nil {
@@ -199,7 +199,7 @@
 	for n := range r.settings.Balancers {
 		z := n % r.settings.Zones
 		m := VM{Role: "balancer", Name: fmt.Sprint("balancer-", n), Zone: r.zone(z), Ip: ip(kindBalancer, z, n), Seeds: list}
-		if err := r.startMachine(m); err != nil {
+		if err := r.startVM(m); err != nil {
 			return err
 		}
 		r.balancers = append(r.balancers, m.Ip)
@@ -209,7 +209,7 @@
 
 func (r *Run) zone(z int) string { return fmt.Sprint("zone-", z%r.settings.Zones) }
 
-func (r *Run) startMachine(m VM) error {
+func (r *Run) startVM(m VM) error {
 	m.Folder = filepath.Join(r.settings.Folder, m.Name)
 	if err := os.MkdirAll(m.Folder, 0o750); err != nil {
 		return fmt.Errorf("create folder: %w", err)
@@ -223,15 +223,15 @@
 		Environment: []string{r.settings.Platform.Environment(file)}, Log: filepath.Join(r.settings.Folder, m.Name+".log"),
 	}
 	r.processes[m.Name] = p
-	r.names = append(r.names, m.Name)
-	r.machines = append(r.machines, m)
+	r.processNames = append(r.processNames, m.Name)
+	r.vms = append(r.vms, m)
 	return p.Start()
 }
 
 // clearFounding rewrites the settings files once the system runs, so that a VM that restarts, also
 // with an empty disk, joins the existing system instead of founding one.
 func (r *Run) clearFounding() error {
-	for _, m := range r.machines {
+	for _, m := range r.vms {
 		m.Founding = false
 		file := filepath.Join(r.settings.Folder, m.Name+".toml")
 		if err := os.WriteFile(file, []byte(r.settings.Platform.Settings(m)), 0o600); err != nil {
@@ -250,11 +250,11 @@
 func (r *Run) startTraffic() error {
 	for n := range r.settings.Upstreams {
 		z := n % r.settings.Zones
-		b, err := r.startUpstream(fmt.Sprintf("%s:%d", ip(kindUpstream, z, n), FabricPort), services[n%len(services)], r.zone(z))
+		u, err := r.startUpstream(fmt.Sprintf("%s:%d", ip(kindUpstream, z, n), FabricPort), services[n%len(services)], r.zone(z))
 		if err != nil {
 			return err
 		}
-		r.upstreams = append(r.upstreams, b)
+		r.upstreams = append(r.upstreams, u)
 	}
 	end := time.Now().Add(startTimeout)
 	for !r.publish() {
@@ -265,12 +265,12 @@
 	if err := r.clearFounding(); err != nil {
 		return err
 	}
-	r.goRun(r.watchReadiness)
+	r.startGoroutine(r.watchReadiness)
 	for range r.settings.Busy {
-		r.goRun(r.burnCPU)
+		r.startGoroutine(r.burnCPU)
 	}
-	r.goRun(r.operate)
-	r.goRun(r.evacuateZones)
+	r.startGoroutine(r.operate)
+	r.startGoroutine(r.evacuateZones)
 	for n := range r.settings.Callers {
 		if err := r.startCaller(ip(kindCaller, n%r.settings.Zones, n)); err != nil {
 			return err
@@ -297,7 +297,7 @@
 	return route(r.opened % len(services))
 }
 
-func (r *Run) allowed(address netip.AddrPort, service string) bool {
+func (r *Run) isPermitted(address netip.AddrPort, service string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.permittedServices[address][service]
@@ -305,11 +305,11 @@
 
 func (r *Run) recordExecution(request string) {
 	r.mu.Lock()
-	r.requests[request]++
-	twice := r.requests[request] > 1
+	r.executions[request]++
+	twice := r.executions[request] > 1
 	r.mu.Unlock()
 	if twice {
-		r.violated(InvariantOnce, request)
+		r.reportViolation(InvariantOnce, request)
 	}
 }
 
@@ -319,26 +319,26 @@
 	return r.stopped[incarnation]
 }
 
-// checkReset verifies that only flows of stopped or restarted upstreams are reset, and reports the
-// sender of the reset.
+// checkReset reports a violation if a flow is reset whose upstream was neither stopped nor restarted.
+// It names the sender of the reset.
 func (r *Run) checkReset(flow Segment, reset received) {
 	r.mu.Lock()
 	upstreams := slices.Clone(r.upstreams)
 	r.mu.Unlock()
 	// Runs without r.mu: cookie locks the upstream, and an upstream that handles a packet holds its
 	// lock while it waits for r.mu.
-	owner, alive := lo.Find(upstreams, func(b *simulatedUpstream) bool {
-		return b.cookie() == flow.Cookie && !r.isStopped(b.self.Incarnation)
+	placed, alive := lo.Find(upstreams, func(u *simulatedUpstream) bool {
+		return u.cookie() == flow.Cookie && !r.isStopped(u.self.Incarnation)
 	})
 	if !alive {
 		return
 	}
 	sender := reset.from.String()
-	if reset.from.Addr() == owner.self.Address.Addr() {
+	if reset.from.Addr() == placed.self.Address.Addr() {
 		sender = "its upstream"
 	}
-	r.violated(InvariantFlow, fmt.Sprintf("flow from %s to %s at upstream %x was reset by %s at %s, sequence %d (acknowledged %d)",
-		flow.Caller, flow.Address, owner.self.Incarnation, sender, time.Now().UTC().Format(time.RFC3339Nano),
+	r.reportViolation(InvariantFlow, fmt.Sprintf("flow from %s to %s at upstream %x was reset by %s at %s, sequence %d (acknowledged %d)",
+		flow.Caller, flow.Address, placed.self.Incarnation, sender, time.Now().UTC().Format(time.RFC3339Nano),
 		reset.Sequence, flow.Acknowledged))
 }
 
@@ -351,7 +351,7 @@
 // maxViolations limits the violations in the result.
 const maxViolations = 20
 
-func (r *Run) violated(invariant, detail string) {
+func (r *Run) reportViolation(invariant, detail string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.ended || len(r.result.Broken) >= maxViolations {
--- a/internal/soak/run/stalls.go
+++ b/internal/soak/run/stalls.go
@@ -37,24 +37,24 @@
 	kind, pick := random.IntN(stallKinds*faultsPerStall), random.Int()
 	duration := minStall + time.Duration(random.Int64N(int64(maxStall-minStall)))
 	if kind < stallKinds {
-		r.noteFault()
+		r.recordFault()
 	}
 	switch kind {
 	case 0:
-		r.pauseFor(r.names[pick%len(r.names)], duration)
+		r.pauseFor(r.processNames[pick%len(r.processNames)], duration)
 	case 1:
-		for _, name := range r.names {
+		for _, name := range r.processNames {
 			r.pauseFor(name, duration)
 		}
 	case 2:
-		r.goRun(func() { r.upstreamsProcessor.withhold(duration) })
+		r.startGoroutine(func() { r.upstreamsProcessor.withhold(duration) })
 	case 3:
-		r.goRun(func() { r.callersProcessor.withhold(duration) })
+		r.startGoroutine(func() { r.callersProcessor.withhold(duration) })
 	case 4:
 		r.mu.Lock()
-		b := r.upstreams[pick%len(r.upstreams)]
+		u := r.upstreams[pick%len(r.upstreams)]
 		r.mu.Unlock()
-		r.goRun(func() { b.processor.withhold(duration) })
+		r.startGoroutine(func() { u.processor.withhold(duration) })
 	}
 }
 
--- a/internal/soak/run/upstreams.go
+++ b/internal/soak/run/upstreams.go
@@ -60,165 +60,165 @@
 		_ = conn.Close()
 		return nil, fmt.Errorf("listen for probes of upstream: %w", err)
 	}
-	b := &simulatedUpstream{run: r, conn: conn, probeListener: probeListener, flows: map[netip.AddrPort]*upstreamFlow{}, done: make(chan struct{})}
-	b.self = upstream.Upstream{
+	u := &simulatedUpstream{run: r, conn: conn, probeListener: probeListener, flows: map[netip.AddrPort]*upstreamFlow{}, done: make(chan struct{})}
+	u.self = upstream.Upstream{
 		Identity: upstream.Identity{Service: service, Address: a, Incarnation: rand.Uint64() >> 24},
 		Zone:     zone, Slots: 2, State: upstream.Ready, Born: uint64(time.Now().UnixMilli()),
 	}
-	r.goRun(b.serve)
-	r.goRun(b.announce)
-	return b, nil
+	r.startGoroutine(u.serve)
+	r.startGoroutine(u.announce)
+	return u, nil
 }
 
-func (b *simulatedUpstream) stop() {
-	close(b.done)
-	_ = b.conn.Close()
-	_ = b.probeListener.Close()
+func (u *simulatedUpstream) stop() {
+	close(u.done)
+	_ = u.conn.Close()
+	_ = u.probeListener.Close()
 }
 
 // wait blocks while the upstream is stalled.
-func (b *simulatedUpstream) wait() {
-	b.run.upstreamsProcessor.wait()
-	b.processor.wait()
+func (u *simulatedUpstream) wait() {
+	u.run.upstreamsProcessor.wait()
+	u.processor.wait()
 }
 
 // announce sends announcements at AnnounceInterval to the address it was last referred to, or else to
 // any voter.
-func (b *simulatedUpstream) announce() {
+func (u *simulatedUpstream) announce() {
 	next := ""
 	for n := 0; ; n++ {
-		b.wait()
-		b.mu.Lock()
-		b.self.Sequence++
-		u := b.self
-		b.mu.Unlock()
+		u.wait()
+		u.mu.Lock()
+		u.self.Sequence++
+		announcement := u.self
+		u.mu.Unlock()
 		apis := []string{next}
-		for try := range b.run.apis {
-			apis = append(apis, b.run.apis[(n+try)%len(b.run.apis)])
+		for try := range u.run.voterAPIs {
+			apis = append(apis, u.run.voterAPIs[(n+try)%len(u.run.voterAPIs)])
 		}
 		for _, api := range lo.Compact(apis) {
-			referred, err := b.run.settings.Platform.Announce(context.Background(), api, u)
+			referred, err := u.run.settings.Platform.Announce(context.Background(), api, announcement)
 			if err != nil {
 				next = ""
 				continue
 			}
 			next = cmp.Or(referred, next)
-			b.mu.Lock()
-			if u.State == upstream.Draining && b.drainAcknowledgedAt.IsZero() {
-				b.drainAcknowledgedAt = time.Now()
+			u.mu.Lock()
+			if announcement.State == upstream.Draining && u.drainAcknowledgedAt.IsZero() {
+				u.drainAcknowledgedAt = time.Now()
 			}
-			b.mu.Unlock()
+			u.mu.Unlock()
 			break
 		}
 		select {
-		case <-b.done:
+		case <-u.done:
 			return
 		case <-time.After(AnnounceInterval):
 		}
 	}
 }
 
-func (b *simulatedUpstream) drain() {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.self.State = upstream.Draining
+func (u *simulatedUpstream) drain() {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	u.self.State = upstream.Draining
 }
 
 // withdraw announces the upstream as withdrawn; it still serves its flows until stop.
-func (b *simulatedUpstream) withdraw() {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.self.State = upstream.Withdrawn
+func (u *simulatedUpstream) withdraw() {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	u.self.State = upstream.Withdrawn
 }
 
 // restart drops all flows and sets a new start time for the same incarnation, as after a crash. It does
 // nothing if the upstream is draining or withdrawn.
-func (b *simulatedUpstream) restart() {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.self.State != upstream.Ready {
+func (u *simulatedUpstream) restart() {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	if u.self.State != upstream.Ready {
 		return
 	}
-	clear(b.flows)
-	b.self.Sequence = 0
-	b.self.Born = uint64(max(time.Now().UnixMilli(), int64(b.self.Born)+1))
+	clear(u.flows)
+	u.self.Sequence = 0
+	u.self.Born = uint64(max(time.Now().UnixMilli(), int64(u.self.Born)+1))
 }
 
-func (b *simulatedUpstream) serve() {
+func (u *simulatedUpstream) serve() {
 	buffer := make([]byte, 2048)
 	for {
-		n, err := b.conn.Read(buffer)
+		n, err := u.conn.Read(buffer)
 		if err != nil {
 			return
 		}
-		b.wait()
-		p, incarnation, err := b.run.settings.Platform.Decode(buffer[:n], true)
+		u.wait()
+		p, incarnation, err := u.run.settings.Platform.Decode(buffer[:n], true)
 		if err != nil {
-			b.run.violated(InvariantResponse, err.Error())
+			u.run.reportViolation(InvariantResponse, err.Error())
 			continue
 		}
-		if incarnation != b.self.Incarnation {
+		if incarnation != u.self.Incarnation {
 			continue
 		}
-		b.handle(p)
+		u.handle(p)
 	}
 }
 
-func (b *simulatedUpstream) handle(p Segment) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if !b.run.allowed(p.Address, b.self.Service) {
-		b.run.violated(InvariantService, fmt.Sprintf("packet for %s reached service %s", p.Address, b.self.Service))
+func (u *simulatedUpstream) handle(p Segment) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	if !u.run.isPermitted(p.Address, u.self.Service) {
+		u.run.reportViolation(InvariantService, fmt.Sprintf("packet for %s reached service %s", p.Address, u.self.Service))
 		return
 	}
-	f := b.flows[p.Caller]
+	f := u.flows[p.Caller]
 	if p.Opening {
-		if !b.drainAcknowledgedAt.IsZero() && b.drainAcknowledgedAt.Add(drainGrace).Before(b.run.timeBoundsReference()) {
-			b.run.violated(InvariantDraining, fmt.Sprintf("new flow at upstream %x, departure acknowledged at %s", b.self.Incarnation, b.drainAcknowledgedAt))
+		if !u.drainAcknowledgedAt.IsZero() && u.drainAcknowledgedAt.Add(drainGrace).Before(u.run.timeBoundsReference()) {
+			u.run.reportViolation(InvariantDraining, fmt.Sprintf("new flow at upstream %x, departure acknowledged at %s", u.self.Incarnation, u.drainAcknowledgedAt))
 		}
-		b.run.checkEvacuated(b.self.Zone)
+		u.run.checkEvacuated(u.self.Zone)
 		if f == nil {
 			f = &upstreamFlow{next: p.Sequence + 1}
-			b.flows[p.Caller] = f
+			u.flows[p.Caller] = f
 		}
-		b.reply(p, Segment{Open: true, Acknowledge: true}, f.next)
+		u.reply(p, Segment{Open: true, Acknowledge: true}, f.next)
 		return
 	}
 	if f == nil {
 		reset := Segment{}
 		reset.Reset = true
-		b.reply(p, reset, p.Sequence)
+		u.reply(p, reset, p.Sequence)
 		return
 	}
 	if len(p.Data) == 0 {
 		return
 	}
 	if p.Sequence == f.next {
-		b.run.recordExecution(string(p.Data))
+		u.run.recordExecution(string(p.Data))
 		f.next += uint32(len(p.Data))
-		data, err := json.Marshal(answer{Service: b.self.Service, Incarnation: b.self.Incarnation, Request: string(p.Data)})
+		data, err := json.Marshal(answer{Service: u.self.Service, Incarnation: u.self.Incarnation, Request: string(p.Data)})
 		if err != nil {
-			b.run.violated(InvariantResponse, err.Error())
+			u.run.reportViolation(InvariantResponse, err.Error())
 			return
 		}
 		f.response = Segment{Acknowledge: true, Data: data}
 	}
-	b.reply(p, f.response, f.next)
+	u.reply(p, f.response, f.next)
 }
 
 // reply sends a packet directly to the caller, bypassing the balancers, with the cookie of the
 // packet it replies to.
-func (b *simulatedUpstream) reply(p, s Segment, acknowledged uint32) {
+func (u *simulatedUpstream) reply(p, s Segment, acknowledged uint32) {
 	s.Caller, s.Address = p.Address, p.Caller
 	s.Cookie, s.Acknowledged, s.Sequence = p.Cookie, acknowledged, p.Acknowledged
 	to := netip.AddrPortFrom(p.Caller.Addr(), FabricPort)
 	// Send errors are ignored: the caller may have stopped.
-	b.run.network.deliver(func() { _, _ = b.conn.WriteToUDPAddrPort(b.run.settings.Platform.Encode(s), to) })
+	u.run.network.deliver(func() { _, _ = u.conn.WriteToUDPAddrPort(u.run.settings.Platform.Encode(s), to) })
 }
 
 // cookie returns the cookie of flows that were opened since the last restart.
-func (b *simulatedUpstream) cookie() uint32 {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return router.Cookie(b.self.Incarnation, b.self.Born)
+func (u *simulatedUpstream) cookie() uint32 {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	return router.Cookie(u.self.Incarnation, u.self.Born)
 }
