--- a/internal/log/asyncwriter/asyncwriter_test.go
+++ b/internal/log/asyncwriter/asyncwriter_test.go
@@ -18,13 +18,13 @@
 	"wasabideal/internal/log/asyncwriter"
 )
 
-// stuck is a log destination that blocks while its lock is held.
-type stuck struct {
+// blockingDestination is a log destination that blocks while its lock is held.
+type blockingDestination struct {
 	mu  sync.Mutex
 	got bytes.Buffer
 }
 
-func (s *stuck) Write(b []byte) (int, error) {
+func (s *blockingDestination) Write(b []byte) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.got.Write(b)
@@ -33,16 +33,16 @@
 // Guards against a balancer that forwards nothing for minutes: its log collector stops reading,
 // the pipe between them fills up, and writing a line blocks.
 func TestWriteDoesNotBlockOnStuckReader(t *testing.T) {
-	reader := &stuck{}
+	reader := &blockingDestination{}
 	reader.mu.Lock()
-	o := asyncwriter.New(reader)
+	w := asyncwriter.New(reader)
 	line := []byte(strings.Repeat("x", 999) + "\n")
 	const lines = 1000
 	written := make(chan struct{})
 	go func() {
 		defer close(written)
 		for range lines {
-			n, err := o.Write(line)
+			n, err := w.Write(line)
 			if n != len(line) || err != nil {
 				panic(fmt.Sprint("write of a line failed: ", n, err))
 			}
@@ -54,7 +54,7 @@
 		require.Fail(t, "writing blocks on the reader")
 	}
 	reader.mu.Unlock()
-	o.Close()
+	w.Close()
 	got := reader.got.String()
 	kept := strings.Count(got, "xxx\n")
 	require.Less(t, kept, 600, "pending lines are bounded")
@@ -73,30 +73,30 @@
 	return sum
 }
 
-// closed is a log destination whose reader has closed the pipe.
-type closed struct{}
+// closedPipe is a log destination whose reader has closed the pipe.
+type closedPipe struct{}
 
-func (closed) Write([]byte) (int, error) { return 0, io.ErrClosedPipe }
+func (closedPipe) Write([]byte) (int, error) { return 0, io.ErrClosedPipe }
 
 func TestWriteDoesNotFailOnClosedPipe(t *testing.T) {
-	o := asyncwriter.New(closed{})
+	w := asyncwriter.New(closedPipe{})
 	for range 1000 {
-		_, err := o.Write(make([]byte, 1000))
+		_, err := w.Write(make([]byte, 1000))
 		require.NoError(t, err)
 	}
-	o.Close()
+	w.Close()
 }
 
-// full is a file on a disk that is full while refusing is set.
-type full struct {
+// fullDisk is a file on a disk that is full while rejecting is set.
+type fullDisk struct {
 	bytes.Buffer
-	refusing atomic.Bool
-	refused  chan struct{}
+	rejecting atomic.Bool
+	rejected  chan struct{}
 }
 
-func (f *full) Write(b []byte) (int, error) {
-	if f.refusing.Load() {
-		f.refused <- struct{}{}
+func (f *fullDisk) Write(b []byte) (int, error) {
+	if f.rejecting.Load() {
+		f.rejected <- struct{}{}
 		return 0, syscall.ENOSPC
 	}
 	return f.Buffer.Write(b)
@@ -105,16 +105,16 @@
 // Guards against a process that logs nothing until its restart: the disk for its log is full
 // for some seconds, and the writer goroutine returned at the first error.
 func TestLoggingResumesAfterFullDisk(t *testing.T) {
-	f := &full{refused: make(chan struct{})}
-	f.refusing.Store(true)
-	o := asyncwriter.New(f)
-	_, err := o.Write([]byte("lost\n"))
+	f := &fullDisk{rejected: make(chan struct{})}
+	f.rejecting.Store(true)
+	w := asyncwriter.New(f)
+	_, err := w.Write([]byte("lost\n"))
 	require.NoError(t, err)
-	<-f.refused
-	f.refusing.Store(false)
-	_, err = o.Write([]byte("kept\n"))
+	<-f.rejected
+	f.rejecting.Store(false)
+	_, err = w.Write([]byte("kept\n"))
 	require.NoError(t, err)
-	o.Close()
+	w.Close()
 	require.Contains(t, f.String(), "kept\n")
 	require.Contains(t, f.String(), `"Count":1}`)
 }
--- a/internal/log/story/causes.go
+++ b/internal/log/story/causes.go
@@ -78,7 +78,7 @@
 		}
 		switch {
 		case l.Message == messageSuspected:
-			return []string{fmt.Sprintf("%s at %s: the upstream did not respond to a packet; it became unresponsive before",
+			return []string{fmt.Sprintf("%s at %s: a packet to the upstream got no response, and the upstream was suspected",
 				l.At.Format(timeFormat), l.Process)}
 		case l.Message == messageAnnounced && l.State != upstream.Ready.String():
 			return []string{fmt.Sprintf("%s at %s: the upstream announced the state %s", l.At.Format(timeFormat), l.Process, l.State)}
--- a/internal/log/story/story_test.go
+++ b/internal/log/story/story_test.go
@@ -27,13 +27,13 @@
 	return s
 }
 
-func TestStories(t *testing.T) {
+func TestTimelines(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		query story.Query
 	}{
-		{"silent_upstream", story.Query{Caller: "100.64.0.1:40001"}},
-		{"upstream_that_left", story.Query{Caller: "100.64.0.2:40002"}},
+		{"suspected_upstream", story.Query{Caller: "100.64.0.1:40001"}},
+		{"departed_upstream", story.Query{Caller: "100.64.0.2:40002"}},
 		{"no_route", story.Query{Caller: "100.64.0.3:40003"}},
 		{"overload", story.Query{Caller: "100.64.0.4:40004"}},
 		{"incarnation", story.Query{Incarnation: "b2"}},
