--- a/internal/wire/relay/relay.go
+++ b/internal/wire/relay/relay.go
@@ -99,7 +99,7 @@
 	return b
 }
 
-// TargetSize is the pathLength of an encoded target in bytes.
+// TargetSize is the length of an encoded target in bytes.
 const TargetSize = 18
 
 // AppendTarget appends an encoded target to b.
--- a/internal/wire/rpc/client.go
+++ b/internal/wire/rpc/client.go
@@ -29,8 +29,8 @@
 
 // DialTimeout is the default limit for opening a connection. A VM without power does
 // not respond, and the kernel retransmits the SYN only after a second: a caller that
-// waited for it missed a voter that was back after a third of a second. Connections
-// between zones open within a few ms.
+// waits for that reaches a voter that is back after a third of a second only then.
+// Connections between zones open within a few ms.
 const DialTimeout = 100 * time.Millisecond
 
 // Client calls one address, one call at a time.
--- a/internal/wire/rpc/rpc_test.go
+++ b/internal/wire/rpc/rpc_test.go
@@ -189,7 +189,7 @@
 	return n, err
 }
 
-// Guards against wasted bandwidth on the links of balancers at the top of a zone: forwarded
+// Guards against wasted bandwidth on the links of root balancers: forwarded
 // announcements are calls with large bodies that repeat the names of services and zones, and
 // only responses were compressed.
 func TestLargeCallsAreCompressed(t *testing.T) {
--- a/internal/wire/rpc/server.go
+++ b/internal/wire/rpc/server.go
@@ -19,9 +19,9 @@
 type request struct {
 	Token string
 	Body  cbor.RawMessage `cbor:",omitempty"`
-	// Compressed allows a compressed response; earlier versions do not set it.
+	// Compressed states that the caller can decompress the response; earlier versions do not set it.
 	Compressed bool
-	// Packed replaces Body by the body in S2 block format.
+	// Packed is the body in S2 block format; Body is then empty.
 	Packed []byte `cbor:",omitempty"`
 }
 
@@ -53,7 +53,7 @@
 	Body  cbor.RawMessage `cbor:",omitempty"`
 	Kind  string
 	Error string
-	// Compressed replaces Body by the body in S2 block format.
+	// Compressed is the body in S2 block format; Body is then empty.
 	Compressed []byte `cbor:",omitempty"`
 }
 
