--- a/internal/demo/run/cluster.go
+++ b/internal/demo/run/cluster.go
@@ -68,7 +68,7 @@
 	return s, s.startVoters()
 }
 
-func (s *cluster) settings(name, zone string) settings.Settings {
+func (s *cluster) settingsFor(name, zone string) settings.Settings {
 	x := settings.Settings{
 		Role: settings.RoleBalancer, Name: name, Zone: zone, GroupToken: groupToken, OperatorToken: operatorToken,
 		Listen: settings.Listen{Fabric: anyPort, Peer: anyPort, Rpc: anyPort, Admin: anyPort},
@@ -83,20 +83,20 @@
 // startVoters opens all listeners first, because the settings of each voter contain all addresses.
 func (s *cluster) startVoters() error {
 	var listeners []net.Listener
-	var founders []settings.InitialVoter
+	var initialVoters []settings.InitialVoter
 	for i := range voterCount {
 		l, err := net.Listen("tcp", anyPort)
 		if err != nil {
 			return fmt.Errorf("listen for voter: %w", err)
 		}
 		listeners = append(listeners, l)
-		founders = append(founders, settings.InitialVoter{Name: fmt.Sprintf("control-%d", i+1), Address: l.Addr().String()})
+		initialVoters = append(initialVoters, settings.InitialVoter{Name: fmt.Sprintf("control-%d", i+1), Address: l.Addr().String()})
 		s.sources = append(s.sources, l.Addr().String())
 	}
-	for i, f := range founders {
-		x := s.settings(f.Name, zones[i])
+	for i, f := range initialVoters {
+		x := s.settingsFor(f.Name, zones[i])
 		x.DataFolder = filepath.Join(s.folder, f.Name)
-		x.Control.Founders = founders
+		x.Control.Founders = initialVoters
 		w := wiring.Wiring{Clock: time.Now}
 		c, err := control.Listen(w.Control(defaults.Defaults{}.Apply(x)), listeners[i], s.log.Named(f.Name))
 		if err != nil {
@@ -113,7 +113,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	name := fmt.Sprintf("balancer-%d", len(s.order)+1)
-	x, err := wiring.Wiring{Clock: time.Now}.Balancer(s.settings(name, zone))
+	x, err := wiring.Wiring{Clock: time.Now}.Balancer(s.settingsFor(name, zone))
 	if err != nil {
 		return "", err
 	}
@@ -139,8 +139,8 @@
 	return seeds
 }
 
-// detach removes a balancer from the cluster without stopping it and without
-// removing it from the fabric; both are left to the caller.
+// detach removes a balancer from the cluster, but neither stops it nor removes it from
+// the fabric.
 func (s *cluster) detach(name string) *balancer.Balancer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/demo/run/run.go
+++ b/internal/demo/run/run.go
@@ -284,7 +284,7 @@
 	r.NotRun, r.Unknown, r.RequestP99Seconds = q.NotRun, q.Unknown, q.P99.Seconds()
 	r.WrongBytes += q.WrongBody
 	r.Imbalance = max(d.cluster.imbalance("orders"), d.cluster.imbalance("notes"))
-	r.ControlBytesPerSecond = d.controlBytes()
+	r.ControlBytesPerSecond = d.maxControlRate()
 	r.Broken = r.violations()
 	if len(c.Reasons) > 0 {
 		d.printf("reasons of broken flows: %v", c.Reasons)
@@ -300,8 +300,8 @@
 	return nil
 }
 
-// controlBytes returns the highest rate of control traffic of all live balancers, in bytes per second.
-func (d *Demo) controlBytes() float64 {
+// maxControlRate returns the highest rate of control traffic of all live balancers, in bytes per second.
+func (d *Demo) maxControlRate() float64 {
 	highest := 0.0
 	for _, b := range d.cluster.live() {
 		s := b.Status()
