--- a/cmd/capacity.go
+++ b/cmd/capacity.go
@@ -55,7 +55,7 @@
 		return err
 	}
 	if len(c.Only) > 0 {
-		if slopes, err = c.mergeIntoFile(slopes); err != nil {
+		if slopes, err = c.mergeWithFile(slopes); err != nil {
 			return err
 		}
 	}
@@ -71,8 +71,8 @@
 	return nil
 }
 
-// mergeIntoFile returns the slopes of the file, with newly measured ones replaced or added.
-func (c *capacityCommand) mergeIntoFile(slopes []slope.Slope) ([]slope.Slope, error) {
+// mergeWithFile returns the slopes of the file, with newly measured ones replaced or added.
+func (c *capacityCommand) mergeWithFile(slopes []slope.Slope) ([]slope.Slope, error) {
 	b, err := os.ReadFile(c.Slopes)
 	if err != nil {
 		return nil, fmt.Errorf("read slopes: %w", err)
--- a/cmd/cmd.go
+++ b/cmd/cmd.go
@@ -21,7 +21,7 @@
 	Zone      zoneCommand      `cmd:"" help:"Evacuate, restore or list availability zones."`
 	Status    statusCommand    `cmd:"" help:"Show voters and balancers."`
 	Audit     auditCommand     `cmd:"" help:"Print the audit trail of changes."`
-	Drain     drainCommand     `cmd:"" help:"Start the graceful shutdown of a balancer."`
+	Drain     drainCommand     `cmd:"" help:"Start the planned stop of a balancer."`
 	Forget    forgetCommand    `cmd:"" help:"Declare a balancer permanently gone."`
 	Remove    removeCommand    `cmd:"" help:"Permanently remove a control voter."`
 	Replay    replayCommand    `cmd:"" help:"Replay a recorded trace and print its effects."`
--- a/cmd/drain.go
+++ b/cmd/drain.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// drainCommand starts the graceful shutdown of a balancer.
+// drainCommand starts the planned stop of a balancer.
 type drainCommand struct {
 	operatorFlags
 	Address string `arg:"" help:"RPC address of the balancer."`
@@ -14,13 +14,13 @@
 // Help shows an example.
 func (drainCommand) Help() string { return "Example: wasabideal drain 127.0.0.1:7401" }
 
-// Run requests the shutdown; the process exits once it has handed over its flows.
+// Run requests the stop; the process exits once it has handed over its flows.
 func (c *drainCommand) Run(ctx context.Context) error {
 	ctx, cancel := c.context(ctx)
 	defer cancel()
 	if err := c.client().Drain(ctx, c.Address); err != nil {
 		return err
 	}
-	_, err := fmt.Println("graceful shutdown started; the process exits once its flows are handed over")
+	_, err := fmt.Println("planned stop started; the process exits once its flows are handed over")
 	return err
 }
--- a/cmd/machine.go
+++ b/cmd/machine.go
@@ -10,5 +10,5 @@
 	return "An environment variable set by the platform names the settings file; deploy/system.toml starts the processes."
 }
 
-// Run serves until a graceful shutdown.
+// Run serves until a planned stop.
 func (machineCommand) Run() error { return process.Run() }
--- a/cmd/zone.go
+++ b/cmd/zone.go
@@ -31,7 +31,7 @@
 		"The expected revision is the zone's revision in 'wasabideal zone list', or 0 if the zone is not listed."
 }
 
-// Run sends the order.
+// Run sends the change.
 func (c *zoneEvacuateCommand) Run(ctx context.Context) error {
 	return sendEvacuation(ctx, &c.operatorFlags, &c.changeFlags, ledger.Evacuation{Zone: c.Name, On: true})
 }
@@ -48,7 +48,7 @@
 	return "Example: wasabideal zone restore port-tawfik --expect-revision 1 --change-key hall-2-cooled"
 }
 
-// Run sends the order.
+// Run sends the change.
 func (c *zoneRestoreCommand) Run(ctx context.Context) error {
 	return sendEvacuation(ctx, &c.operatorFlags, &c.changeFlags, ledger.Evacuation{Zone: c.Name})
 }
--- a/internal/operator/client/client.go
+++ b/internal/operator/client/client.go
@@ -77,7 +77,7 @@
 // Current returns the configuration that a voter confirms as the newest, or else the one with the
 // highest revision.
 func (c *Client) Current(ctx context.Context) (voter.ConfigurationStatus, error) {
-	var shown voter.ConfigurationStatus
+	var newest voter.ConfigurationStatus
 	var last error
 	for _, address := range c.addresses {
 		s, err := call[empty, voter.ConfigurationStatus](ctx, address, c.token, voter.CurrentMethod, empty{})
@@ -88,14 +88,14 @@
 		if s.Current {
 			return s, nil
 		}
-		if s.Configuration.Revision >= shown.Configuration.Revision {
-			shown = s
+		if s.Configuration.Revision >= newest.Configuration.Revision {
+			newest = s
 		}
 	}
-	if shown.Configuration.Revision > 0 {
-		return shown, nil
+	if newest.Configuration.Revision > 0 {
+		return newest, nil
 	}
-	return shown, last
+	return newest, last
 }
 
 // Evacuations returns the evacuated availability zones at the highest revision of all voters.
@@ -150,7 +150,7 @@
 	return c.callFirst(ctx, voter.RemoveMethod, name)
 }
 
-// ForgetBalancer declares that the last incarnation of a balancer has ended and its request keys are lost.
+// ForgetBalancer declares that the process of a balancer has ended and its request keys are lost.
 func (c *Client) ForgetBalancer(ctx context.Context, name string) error {
 	return c.callFirst(ctx, voter.ForgetMethod, name)
 }
@@ -170,7 +170,7 @@
 	return call[empty, reducer.Status](ctx, address, c.token, balancer.StatusMethod, empty{})
 }
 
-// Drain starts the planned shutdown of a balancer.
+// Drain starts the planned stop of a balancer.
 func (c *Client) Drain(ctx context.Context, address string) error {
 	_, err := call[empty, empty](ctx, address, c.token, balancer.DrainMethod, empty{})
 	return err
--- a/internal/operator/exit/exit.go
+++ b/internal/operator/exit/exit.go
@@ -13,7 +13,7 @@
 // Status is the exit status of a command.
 type Status int
 
-// Exit statuses, for scripts that choose the next step by them.
+// The exit statuses that scripts can distinguish.
 const (
 	Done     Status = 0
 	Failed   Status = 1
--- a/internal/setting/defaults/defaults.go
+++ b/internal/setting/defaults/defaults.go
@@ -9,7 +9,7 @@
 // Defaults sets default values; they are defined only here.
 type Defaults struct{}
 
-// String returns the name of the pass.
+// String returns the name "defaults".
 func (Defaults) String() string { return "defaults" }
 
 // Apply returns the settings with defaults in place of zero values.
--- a/internal/setting/settings/settings.go
+++ b/internal/setting/settings/settings.go
@@ -46,7 +46,7 @@
 	Rpc string
 	// Admin serves announcements, health and metrics over HTTP.
 	Admin string
-	// HTTPListener holds the addresses that serve requests over HTTP, one per service.
+	// Door holds the addresses that serve requests over HTTP, one per service.
 	Door []HTTPListener
 }
 
@@ -89,7 +89,7 @@
 	DeadAfter     Duration
 	// ForgetAfter is how long a dead member stays listed and is still probed.
 	ForgetAfter Duration
-	// StopTimeout is the maximum duration of a planned shutdown.
+	// StopTimeout is the maximum duration of a planned stop.
 	StopTimeout Duration
 	// Lost is the policy for flows that no member knows: Candidate or Drop.
 	Lost string
--- a/internal/setting/wiring/wiring.go
+++ b/internal/setting/wiring/wiring.go
@@ -31,7 +31,7 @@
 	busyKeep    = 10 * time.Second
 	// keyWindow is how long a request key is stored; it must be equal in all processes.
 	keyWindow            = 10 * time.Minute
-	rosterGather         = time.Second
+	rosterChangeInterval = time.Second
 	rosterSilent         = 5 * time.Second
 	nanosecondsPerSecond = float64(time.Second)
 )
@@ -100,6 +100,6 @@
 		Heartbeat: c.Heartbeat.Value(), Election: c.Election.Value(), Tick: c.Tick.Value(),
 		AcceptTimeout: c.AcceptTimeout.Value(), CompactAfter: c.CompactAfter,
 		GroupToken: s.GroupToken, OperatorToken: s.OperatorToken, Clock: w.Clock,
-		RosterManager: rostermanager.Settings{ChangeInterval: rosterGather, Silent: rosterSilent, KeyRetention: keyWindow},
+		RosterManager: rostermanager.Settings{ChangeInterval: rosterChangeInterval, Silent: rosterSilent, KeyRetention: keyWindow},
 	}
 }
--- a/internal/standin/caller/caller.go
+++ b/internal/standin/caller/caller.go
@@ -247,7 +247,8 @@
 	}
 }
 
-// receiveRST accepts only a reset in sequence, as a TCP stack does, or one with sequence number 0.
+// receiveRST accepts only a reset in sequence, as a TCP stack does, or one with sequence number 0, as in
+// the response to a segment without ACK. While connecting, it ignores resets: the SYN is retransmitted.
 func (c *Caller) receiveRST(f *flow, s segment.Segment) {
 	if f.state == connecting {
 		return
--- a/internal/start/applydefaults/doc.go
+++ b/internal/start/applydefaults/doc.go
@@ -1,2 +1,2 @@
-// Package applydefaults implements the stage that sets the defaults of settings.
+// Package applydefaults implements the start-up stage that sets the defaults of settings.
 package applydefaults
--- a/internal/start/checksettings/doc.go
+++ b/internal/start/checksettings/doc.go
@@ -1,2 +1,2 @@
-// Package checksettings implements the stage that validates the settings.
+// Package checksettings implements the start-up stage that validates the settings.
 package checksettings
--- a/internal/start/logging/doc.go
+++ b/internal/start/logging/doc.go
@@ -1,2 +1,2 @@
-// Package logging implements the stage that creates the logger.
+// Package logging implements the start-up stage that creates the logger.
 package logging
--- a/internal/start/readsettings/doc.go
+++ b/internal/start/readsettings/doc.go
@@ -1,2 +1,2 @@
-// Package readsettings implements the stage that reads the settings file.
+// Package readsettings implements the start-up stage that reads the settings file.
 package readsettings
--- a/internal/start/serve/doc.go
+++ b/internal/start/serve/doc.go
@@ -1,2 +1,2 @@
-// Package serve implements the stage that blocks until the planned shutdown and performs it.
+// Package serve implements the last start-up stage: it blocks until the planned stop and performs it.
 package serve
--- a/internal/start/serve/serve.go
+++ b/internal/start/serve/serve.go
@@ -14,7 +14,7 @@
 )
 
 // Stage blocks until SIGTERM, SIGINT or a request of an operator starts the planned
-// shutdown; a second signal aborts that of the balancer.
+// stop; a second signal aborts that of the balancer.
 type Stage struct{}
 
 // String names the stage.
@@ -26,10 +26,10 @@
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGTERM, os.Interrupt)
 	defer signal.Stop(signals)
-	b, noBalancer := do.Invoke[*balancer.Balancer](i)
-	c, noControl := do.Invoke[*control.Control](i)
+	b, balancerErr := do.Invoke[*balancer.Balancer](i)
+	c, controlErr := do.Invoke[*control.Control](i)
 	var stopRequested <-chan struct{}
-	if noBalancer == nil {
+	if balancerErr == nil {
 		stopRequested = b.StopRequested()
 	}
 	select {
@@ -39,12 +39,12 @@
 		log.Info("planned stop begins", "Signal", "operator")
 	}
 	var err error
-	if noBalancer == nil {
+	if balancerErr == nil {
 		ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 		defer cancel()
 		err = b.Stop(ctx)
 	}
-	if noControl == nil {
+	if controlErr == nil {
 		c.Stop()
 	}
 	log.Info("stopped")
--- a/internal/start/startbalancer/doc.go
+++ b/internal/start/startbalancer/doc.go
@@ -1,2 +1,2 @@
-// Package startbalancer implements the stage that starts a balancer.
+// Package startbalancer implements the start-up stage that starts a balancer.
 package startbalancer
--- a/internal/start/startbalancer/startbalancer.go
+++ b/internal/start/startbalancer/startbalancer.go
@@ -65,7 +65,7 @@
 	return nil
 }
 
-// enableStore makes the balancer start with the last stored configuration, if it has a data folder.
+// enableStore makes a balancer with a data folder store its configuration and start with the stored one.
 func enableStore(x *balancer.Settings, path string) error {
 	if path == "" {
 		return nil
--- a/internal/start/startvoter/doc.go
+++ b/internal/start/startvoter/doc.go
@@ -1,2 +1,2 @@
-// Package startvoter implements the stage that starts a control voter.
+// Package startvoter implements the start-up stage that starts a control voter.
 package startvoter
