--- a/internal/silence/accrual/accrual.go
+++ b/internal/silence/accrual/accrual.go
@@ -21,24 +21,25 @@
 	zoneUnresponsiveThreshold = 20
 	// zoneSuspectThreshold is the evidence at which a zone is suspected.
 	zoneSuspectThreshold = 16
-	// Each refuted suspicion raises the suspect thresholds by the share refutedStep, up to
-	// the factor maxRefutedFactor. Packets are retransmitted all the time while uploads fill links of
-	// 2 Mbit/s, and the responses that all balancers send for each suspicion compete with
-	// the uploads: 71 balancers left 0.4 % of the requests unserved, 0.06 % without suspicions.
+	// refutedStep is the share by which each refuted suspicion raises the suspect thresholds, and
+	// maxRefutedFactor the limit. While uploads fill links of 2 Mbit/s, most suspicions are false,
+	// and the liveness reports of all balancers for each of them compete with the uploads: 71
+	// balancers left 0.4 % of the requests unserved, and 0.06 % without suspicions.
 	refutedStep      = 0.5
 	maxRefutedFactor = 6
 	// refutedDecay is the time constant with which refuted suspicions stop counting.
 	refutedDecay = 5 * time.Second
-	// minZoneUpstreams is how many upstreams of a zone must have left packets unanswered.
+	// minZoneUpstreams is how many upstreams of a zone must have left packets unanswered before
+	// the zone counts as unresponsive.
 	minZoneUpstreams = 2
-	// refutationTimeout is how long balancers have to report a response, and each
-	// retransmitted packet has to be answered: several round trips to the farthest zone,
-	// the processing of a usual request, and the scheduling delay of a slow VM.
+	// refutationTimeout is the time allowed for balancers to report a response, and for each
+	// retransmitted packet to be answered: several round trips to the farthest zone, the
+	// processing of a usual request, and the scheduling delay of a slow VM.
 	refutationTimeout = 60 * time.Millisecond
 	// refutationTimeoutPerHop is added for each balancer that relays the suspicion and its
 	// refutation. A relay collects the suspicions of several voters, reports every 20 ms,
-	// and adds another narrow link. Without it, flows of live upstreams were reset where
-	// links were full and two balancers relayed.
+	// and adds another narrow link. Without this addition, flows of live upstreams were reset
+	// where links were full and two balancers relayed.
 	refutationTimeoutPerHop = 120 * time.Millisecond
 	// evidenceTTL is how long a packet counts as evidence: as long as its caller waits.
 	evidenceTTL = 1500 * time.Millisecond
@@ -46,7 +47,7 @@
 	// its announcements are overdue if it is down; otherwise balancers try it again.
 	unresponsiveTTL = 2500 * time.Millisecond
 	// maxSuspicions bounds the subjects reported to balancers at once, at 25 bytes each. Zones
-	// come first, so that a failed zone is reported even if many of its upstreams are.
+	// come first, so that a failed zone is reported even if many of its upstreams are suspected, too.
 	maxSuspicions = 64
 	// maxMissed bounds the unanswered packets kept for a subject; more do not change the result.
 	maxMissed = 32
@@ -111,7 +112,8 @@
 	}
 }
 
-// Refutes reports whether a response of the upstream would refute a suspicion.
+// Refutes reports whether the upstream of an event or its zone is suspected, so that a response
+// would refute the suspicion.
 func (d *Detector) Refutes(e evidence.Event) bool {
 	for _, s := range subjects(e) {
 		if r := d.records[s]; r != nil && !r.suspectedAt.IsZero() {
@@ -149,12 +151,12 @@
 	}
 }
 
-// Evaluate evaluates the evidence. balancers is how many balancers poll this voter, relays
-// the longest chain of balancers that relay its answers. It returns when it must be called
-// again even without further evidence, or zero.
-func (d *Detector) Evaluate(now time.Time, balancers, relays int) time.Time {
+// Evaluate evaluates the evidence. balancers is how many balancers poll this voter, relayHops
+// the length of the longest chain of balancers that relay its responses. It returns when it must
+// be called again even without further evidence, or zero.
+func (d *Detector) Evaluate(now time.Time, balancers, relayHops int) time.Time {
 	var nextTimeout time.Time
-	timeout := refutationTimeout + time.Duration(relays)*refutationTimeoutPerHop
+	timeout := refutationTimeout + time.Duration(relayHops)*refutationTimeoutPerHop
 	d.refuted *= math.Exp(-now.Sub(d.decayedAt).Seconds() / refutedDecay.Seconds())
 	d.decayedAt = now
 	for s, r := range d.records {
@@ -163,7 +165,7 @@
 			delete(d.records, s)
 			continue
 		}
-		d.evaluate(now, s, r, balancers, timeout)
+		d.evaluateRecord(now, s, r, balancers, timeout)
 		if end := r.nextTimeout(now, timeout); !end.IsZero() && (nextTimeout.IsZero() || end.Before(nextTimeout)) {
 			nextTimeout = end
 		}
@@ -185,7 +187,8 @@
 	return time.Time{}
 }
 
-// expire reports whether all state of the record has expired, so that it can be deleted.
+// expire reports whether all state of the record has expired, so that it can be deleted, and
+// raises the version if that ends a suspicion.
 func (d *Detector) expire(now time.Time, r *record) bool {
 	if len(r.missed) > 0 || !r.unresponsiveAt.IsZero() && now.Sub(r.unresponsiveAt) < unresponsiveTTL {
 		return false
@@ -200,7 +203,8 @@
 	return true
 }
 
-func (d *Detector) evaluate(now time.Time, s evidence.Subject, r *record, balancers int, timeout time.Duration) {
+// evaluateRecord updates whether a subject is suspected or unresponsive.
+func (d *Detector) evaluateRecord(now time.Time, s evidence.Subject, r *record, balancers int, timeout time.Duration) {
 	weight, overdue := 0.0, 0.0
 	for _, e := range r.missed {
 		weight += e.weight
--- a/internal/silence/accrual/accrual_test.go
+++ b/internal/silence/accrual/accrual_test.go
@@ -26,8 +26,8 @@
 	return evidence.Event{Incarnation: incarnation, Zone: "a", Age: age, Answered: true}
 }
 
-// suspicions encodes the suspected subjects: u is an upstream, z a zone, and upper case means
-// unresponsive.
+// suspicions encodes the suspected subjects: u is an upstream, z a zone; U and Z are
+// unresponsive ones.
 func suspicions(a *accrual.Detector, now time.Time) string {
 	out := ""
 	for _, d := range a.Suspicions(now) {
@@ -45,7 +45,7 @@
 
 // Guards against requests that wait until their deadlines for an upstream that lost power:
 // one unanswered packet per balancer is too little evidence unless reports are combined.
-func TestTimeoutsOfSeveralBalancersAreCombined(t *testing.T) {
+func TestReportsOfSeveralBalancersAreCombined(t *testing.T) {
 	a := accrual.New()
 	a.Record(at(0), "b1", unanswered(1, usual))
 	require.Zero(t, a.Evaluate(at(0), 7, 0))
@@ -67,9 +67,9 @@
 	require.Empty(t, suspicions(a, at(2700)), "expires without new evidence")
 }
 
-// Guards against resets of flows to live upstreams: a balancer whose link drops what it sends
-// gets no answer from any upstream.
-func TestOneBalancerAloneIsNotEnough(t *testing.T) {
+// Guards against resets of flows to live upstreams: a balancer whose link drops all outgoing
+// packets gets no answer from any upstream.
+func TestReportsOfOneBalancerAreNotEnough(t *testing.T) {
 	a := accrual.New()
 	for i := range 20 {
 		a.Record(at(i), "b1", unanswered(uint64(i%4), usual))
@@ -79,7 +79,7 @@
 	require.NotContains(t, suspicions(a, at(200)), "U")
 	require.NotContains(t, suspicions(a, at(200)), "Z")
 	a.Evaluate(at(201), 1, 0)
-	require.Contains(t, suspicions(a, at(201)), "U", "it is enough if no other balancer polls this voter")
+	require.Contains(t, suspicions(a, at(201)), "U", "enough if no other balancer polls this voter")
 }
 
 func TestResponseDiscardsEarlierEvidence(t *testing.T) {
@@ -193,8 +193,8 @@
 }
 
 // Guards against refutations that fill narrow links: uploads on links of 2 Mbit/s cause
-// retransmissions all the time, and all balancers respond to each suspicion. One request in
-// 250 was rejected, and one in 1,600 without suspicions.
+// retransmissions all the time, and all balancers send liveness reports for each suspicion. One
+// request in 250 was rejected, and one in 1,600 without suspicions.
 func TestRefutedSuspicionsRaiseTheThreshold(t *testing.T) {
 	a := accrual.New()
 	raised := 0
--- a/internal/silence/accrual/doc.go
+++ b/internal/silence/accrual/doc.go
@@ -1,5 +1,9 @@
-// Package accrual implements an accrual failure detector: a voter combines the packet
-// timeouts that many balancers report and decides which upstreams are unresponsive.
+// Package accrual implements an accrual failure detector: a voter combines the unanswered
+// packets that many balancers report and decides which upstreams are unresponsive.
+//
+// Enough unanswered packets make an upstream or zone suspected. A later response refutes the
+// suspicion; without one, and with more evidence, the subject becomes unresponsive. Package
+// confirmation then checks that its host is down.
 //
 // When some upstreams of a pool lose power, each of N balancers sees only an Nth of the
 // unanswered packets and needs N times as long as all of them together to be certain.
@@ -9,8 +13,8 @@
 // Evidence is additive: an unanswered packet weighs the negative logarithm of the
 // probability that it occurs while the upstream is alive, so lossy links need more
 // packets. A response seen by any balancer or voter discards all earlier evidence.
-// Balancers are asked for such a response before a subject counts as unresponsive, and
-// more than one of them must report timeouts: a single reporter may cause them itself.
+// Balancers are asked for such a response before a subject counts as unresponsive, and more
+// than one of them must report unanswered packets: a single reporter may cause them itself.
 //
 // The package does no I/O and reads no clock; it is not safe for concurrent use.
 package accrual
--- a/internal/silence/confirmation/confirmation.go
+++ b/internal/silence/confirmation/confirmation.go
@@ -14,7 +14,7 @@
 	retryInterval = 100 * time.Millisecond
 	// maxRunning bounds the concurrent probes.
 	maxRunning = 64
-	// zoneProbes is how many upstreams of a zone are probed, minZoneDown how many of those must be
+	// zoneProbes is how many upstreams of a zone are probed, minZoneDown how many of them must be
 	// down for the zone to be unresponsive.
 	zoneProbes  = 4
 	minZoneDown = 2
@@ -46,7 +46,7 @@
 	version uint64
 }
 
-// New returns a confirmation without outcomes.
+// New returns a Confirmer without outcomes.
 func New() *Confirmer { return &Confirmer{hosts: map[evidence.Subject]*hostState{}} }
 
 // Version increases whenever a probe changes whether a host counts as down.
@@ -78,7 +78,7 @@
 	return due
 }
 
-// due reports whether to probe a host for a suspicion whose first packet was sent at a time.
+// due reports whether to probe a host for a suspicion whose earliest packet was sent at firstSent.
 func (h *hostState) due(now, firstSent time.Time) bool {
 	switch {
 	case h.running:
@@ -106,7 +106,8 @@
 	h.startedAt, h.endedAt, h.outcome = startedAt, now, o
 }
 
-// Confirm returns the suspicions, marked as unresponsive only if probes agree.
+// Confirm returns the suspicions; they remain marked as unresponsive only if probes found the
+// hosts down.
 func (c *Confirmer) Confirm(now time.Time, all []Candidate) []evidence.Suspicion {
 	out := make([]evidence.Suspicion, 0, len(all))
 	for _, s := range all {
@@ -117,6 +118,8 @@
 	return out
 }
 
+// confirmed reports whether probes since the earliest unanswered packet found the upstream down,
+// or enough upstreams of the zone and none of them up.
 func (c *Confirmer) confirmed(now time.Time, s Candidate) bool {
 	down := 0
 	for _, u := range s.targets() {
--- a/internal/silence/confirmation/confirmation_test.go
+++ b/internal/silence/confirmation/confirmation_test.go
@@ -30,7 +30,7 @@
 	}}
 }
 
-func TestUpstreamIsUnresponsiveOnlyIfItsHostIsGone(t *testing.T) {
+func TestUpstreamIsUnresponsiveOnlyIfItsHostIsDown(t *testing.T) {
 	for o, want := range map[probe.Outcome]bool{
 		probe.Inconclusive: false, probe.Accepted: false, probe.Refused: true, probe.Unanswered: true,
 	} {
@@ -47,7 +47,8 @@
 	}
 }
 
-// Guards against confirming a suspicion by a probe that started before its first packet.
+// Guards against confirming a suspicion by a probe that started before the first unanswered
+// packet was sent.
 func TestProbeBeforeTheSuspicionIsIgnored(t *testing.T) {
 	c := confirmation.New()
 	all := unresponsive(at(0), evidence.Subject{Incarnation: 1}, upstreams(1))
--- a/internal/silence/confirmation/doc.go
+++ b/internal/silence/confirmation/doc.go
@@ -1,5 +1,5 @@
-// Package confirmation confirms suspicions by active probes: an upstream that the evidence
-// of balancers shows as unresponsive is reported as such only once a probe of its host agrees.
+// Package confirmation confirms suspicions by active probes: an upstream that is unresponsive by
+// the evidence of balancers is reported as such only once a probe finds its host down.
 //
 // Retransmitted packets only show that some process is late: the upstream, its callers, a
 // balancer or a voter, any of which may be waiting for a CPU. Resetting an open flow cannot
--- a/internal/silence/evaluators/doc.go
+++ b/internal/silence/evaluators/doc.go
@@ -1,6 +1,6 @@
-// Package evaluators distributes the evidence of unresponsive upstreams among voters.
+// Package evaluators assigns each upstream to the voters that evaluate the evidence against it.
 //
-// When every voter received all evidence, all of them reported the same upstreams to all
-// balancers, up to the limit of one report: of hundreds of upstreams that failed together,
-// most were never reported.
+// If every voter received all evidence, all of them would report the same upstreams to the
+// balancers, up to the limit of one report: of hundreds of upstreams that fail together, most
+// would never be reported.
 package evaluators
--- a/internal/silence/evaluators/evaluators.go
+++ b/internal/silence/evaluators/evaluators.go
@@ -5,7 +5,7 @@
 	"wasabideal/internal/silence/evidence"
 )
 
-// replicas is how many voters receive the evidence of one upstream, since one of them may have
+// replicas is how many voters receive the evidence against one upstream, since one of them may have
 // just restarted or be partitioned.
 const replicas = 2
 
--- a/internal/silence/evaluators/evaluators_test.go
+++ b/internal/silence/evaluators/evaluators_test.go
@@ -25,12 +25,12 @@
 // Guards against unresponsive upstreams that are never reported to balancers: of 430 upstreams,
 // each voter reported the same 64.
 func TestAllOfManyUnresponsiveUpstreamsAreReported(t *testing.T) {
-	const silent = 430
+	const failed = 430
 	all := map[string]*accrual.Detector{}
 	for _, v := range voters(25) {
 		all[v] = accrual.New()
 	}
-	for id := range uint64(silent) {
+	for id := range uint64(failed) {
 		for packet := range 4 {
 			from := fmt.Sprint("balancer ", packet%2)
 			for v, events := range evaluators.Assign(voters(25), []evidence.Event{{Incarnation: id + 1, Zone: fmt.Sprint("z", id%5), Weight: 5}}) {
@@ -50,7 +50,7 @@
 			}
 		}
 	}
-	require.Len(t, reported, silent)
+	require.Len(t, reported, failed)
 	for _, n := range reported {
 		require.LessOrEqual(t, n, 2)
 	}
--- a/internal/silence/evidence/evidence.go
+++ b/internal/silence/evidence/evidence.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// Subject identifies what may be unresponsive: one run of an upstream, or a whole availability
-// zone. For a zone only Zone is set.
+// Subject identifies what may be unresponsive: one instance of an upstream, or a whole
+// availability zone. For a zone only Zone is set, otherwise only Incarnation and Born.
 type Subject struct {
 	_                 struct{} `cbor:",toarray"`
 	Incarnation, Born uint64
 	Zone              string
 }
 
-// Event is an observation of an upstream by one balancer: a packet that had to be
-// retransmitted without any response since it was first sent, or a response of a suspected
-// upstream.
+// Event is an observation of an upstream by a balancer or voter: a packet that had to be
+// retransmitted without any response since it was first sent, or a response or announcement
+// of a suspected upstream.
 type Event struct {
 	_                 struct{} `cbor:",toarray"`
 	Incarnation, Born uint64
@@ -28,20 +28,20 @@
 	Answered bool
 }
 
-// Report holds the events of one balancer.
+// Report holds events that a balancer observed or forwards.
 type Report struct {
 	// From identifies the balancer.
 	From   string
 	Events []Event
 }
 
-// Suspicion is the suspicion that a voter reports to balancers: a subject leaves packets unanswered.
+// Suspicion tells balancers that a subject leaves packets unanswered at some of them.
 type Suspicion struct {
 	_ struct{} `cbor:",toarray"`
 	Subject
-	// Age is the time since the earliest of those packets was sent.
+	// Age is the time since the earliest of these packets was sent.
 	Age time.Duration
-	// Unresponsive reports whether the evidence suffices. Until then, balancers are asked to
-	// report responses of the subject.
+	// Unresponsive reports whether the evidence suffices and, in what voters send to balancers,
+	// whether probes confirm it. Until then, balancers are asked to report responses of the subject.
 	Unresponsive bool
 }
--- a/internal/silence/probe/doc.go
+++ b/internal/silence/probe/doc.go
@@ -2,6 +2,6 @@
 // unanswered is up.
 //
 // The host's kernel completes a handshake, so an upstream whose process waits for a CPU still
-// accepts one. Simultaneous handshakes with other upstreams show whether the probing process
-// itself is delayed.
+// accepts one. Simultaneous handshakes with other upstreams, the references, show whether the
+// probing process itself is cut off or delayed.
 package probe
--- a/internal/silence/probe/probe.go
+++ b/internal/silence/probe/probe.go
@@ -14,13 +14,13 @@
 
 // The outcomes.
 const (
-	// Inconclusive means that no other host answered either, or that this process stalled.
+	// Inconclusive means that the host did not answer, and no reference did or this process stalled.
 	Inconclusive Outcome = iota
 	// Accepted means that the host is up and listens on the port.
 	Accepted
 	// Refused means that the host is up and no process listens on the port.
 	Refused
-	// Unanswered means that the host did not answer while another host did.
+	// Unanswered means that the host did not answer while a reference did.
 	Unanswered
 )
 
@@ -38,7 +38,7 @@
 	// attempts is the number of handshakes started in that time, since packets may be lost.
 	attempts = 3
 	// maxStall is by how much a probe may exceed its planned duration before this process counts
-	// as stalled, drain the final wait for answers that have already arrived.
+	// as stalled. drain is the final wait for answers that have already arrived.
 	maxStall = 100 * time.Millisecond
 	drain    = 20 * time.Millisecond
 )
--- a/internal/silence/probe/probe_test.go
+++ b/internal/silence/probe/probe_test.go
@@ -79,9 +79,9 @@
 	require.Equal(t, probe.Inconclusive, p.Check(t.Context(), suspect, references))
 }
 
-// Guards against an upstream that waits for a CPU and counts as down: the kernel completes
-// handshakes on its behalf.
-func TestHostOfAStalledProcessAccepts(t *testing.T) {
+// Guards against an upstream that counts as down while its process waits for a CPU: the kernel
+// completes handshakes on its behalf.
+func TestHostOfStalledProcessAccepts(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = l.Close() })
--- a/internal/silence/sample/sample.go
+++ b/internal/silence/sample/sample.go
@@ -10,41 +10,41 @@
 	// window is the time over which the events of one upstream are counted: the time after
 	// which a caller retransmits a packet.
 	window = 200 * time.Millisecond
-	// maxMissed bounds the unanswered packets of an upstream relayed per window, and
+	// maxMissed bounds the unanswered packets of an upstream forwarded per window, and
 	// maxMissedPerBalancer those of one balancer. Three packets of two balancers suffice as
 	// evidence; the rest is a margin for packets that are answered late.
 	maxMissed            = 6
 	maxMissedPerBalancer = 3
-	// minAnswered is how many liveness reports are always relayed per window: one refutes the
+	// minAnswered is how many liveness reports are always forwarded per window: one refutes the
 	// earlier evidence, a second covers the loss of a report. A further one must be
 	// answeredInterval later than the last: packets count as unanswered only after a much
-	// longer time, so the next relayed report still precedes them.
+	// longer time, so the next forwarded report still precedes them.
 	minAnswered      = 2
 	answeredInterval = 20 * time.Millisecond
 )
 
-// subject identifies one run of an upstream.
+// subject identifies one instance of an upstream.
 type subject struct{ incarnation, born uint64 }
 
-// counter counts the relayed events of one subject in the current window.
+// counter counts the forwarded events of one subject in the current window.
 type counter struct {
 	startedAt        time.Time
 	missed, answered int
 	byBalancer       map[string]int
-	// answeredAt is the time of the latest relayed liveness report.
+	// answeredAt is the time of the latest response that was forwarded.
 	answeredAt time.Time
 }
 
-// Sampler counts the recently relayed events of each upstream.
+// Sampler counts the recently forwarded events of each upstream.
 type Sampler struct {
 	bySubject map[subject]*counter
 	sweptAt   time.Time
 }
 
-// New returns an empty sample.
+// New returns a Sampler that has counted no events.
 func New() *Sampler { return &Sampler{bySubject: map[subject]*counter{}} }
 
-// Filter returns the events of a balancer that are to be relayed.
+// Filter returns the events of a balancer that are to be forwarded.
 func (s *Sampler) Filter(now time.Time, from string, events []evidence.Event) []evidence.Event {
 	s.sweep(now)
 	var out []evidence.Event
--- a/internal/silence/sample/sample_test.go
+++ b/internal/silence/sample/sample_test.go
@@ -24,21 +24,21 @@
 
 // Guards against voters overloaded with reports when some upstreams lose power: each of 80
 // balancers reports ten unanswered packets for each of twenty upstreams.
-func TestAFewReportsPerUpstreamAreRelayed(t *testing.T) {
+func TestFewReportsPerUpstreamAreForwarded(t *testing.T) {
 	s := sample.New()
-	relayed := 0
+	forwarded := 0
 	for b := range 80 {
 		for u := range uint64(20) {
 			for range 10 {
-				relayed += len(s.Filter(epoch, fmt.Sprint("b", b), []evidence.Event{missed(u + 1)}))
+				forwarded += len(s.Filter(epoch, fmt.Sprint("b", b), []evidence.Event{missed(u + 1)}))
 			}
 		}
 	}
-	require.Equal(t, 20*6, relayed)
-	require.NotEmpty(t, s.Filter(epoch.Add(time.Second), "b1", []evidence.Event{missed(1)}), "events of the next window are relayed")
+	require.Equal(t, 20*6, forwarded)
+	require.NotEmpty(t, s.Filter(epoch.Add(time.Second), "b1", []evidence.Event{missed(1)}), "events of the next window are forwarded")
 }
 
-func TestRelayedReportsSufficeAsEvidence(t *testing.T) {
+func TestForwardedReportsSufficeAsEvidence(t *testing.T) {
 	s, a := sample.New(), accrual.New()
 	for _, from := range []string{"b1", "b1", "b1", "b1", "b2", "b2", "b3"} {
 		for _, e := range s.Filter(epoch, from, []evidence.Event{missed(1)}) {
@@ -56,7 +56,7 @@
 
 // Guards against resets of flows to a live upstream: balancers receive responses one after
 // another, packets to it are lost in between, and the later liveness reports are dropped.
-func TestLaterLivenessReportsAreRelayed(t *testing.T) {
+func TestLaterLivenessReportsAreForwarded(t *testing.T) {
 	s := sample.New()
 	now := epoch
 	for i := range 10 {
--- a/internal/silence/suspicions/doc.go
+++ b/internal/silence/suspicions/doc.go
@@ -1,3 +1,3 @@
-// Package suspicions merges the suspicions that several voters report to a balancer: the
-// upstreams and zones that leave packets unanswered.
+// Package suspicions merges the suspicions of several voters at a balancer: the upstreams and
+// zones that leave packets unanswered.
 package suspicions
--- a/internal/silence/suspicions/suspicions.go
+++ b/internal/silence/suspicions/suspicions.go
@@ -6,13 +6,13 @@
 	"wasabideal/internal/silence/evidence"
 )
 
-// Suspicion is the suspicion of one subject, in the balancer's own time.
+// Suspicion is the merged suspicion of one subject, in the balancer's own time.
 type Suspicion struct {
 	// First is when the first of the unanswered packets was sent.
 	First time.Time
-	// Unresponsive reports whether a voter has enough evidence.
+	// Unresponsive reports whether a voter has confirmed the suspicion.
 	Unresponsive bool
-	// Voter is the voter with that evidence, empty if there is none.
+	// Voter is the voter that has confirmed it, empty if none has.
 	Voter string
 }
 
@@ -40,7 +40,7 @@
 	return s.UpdateRelayed(now, now, voter, all)
 }
 
-// UpdateRelayed does the same for a relayed report; contact is when the voter was last reachable.
+// UpdateRelayed is Update for a relayed report; contact is when the voter was last reachable.
 func (s *Set) UpdateRelayed(now, contact time.Time, voter string, all []evidence.Suspicion) bool {
 	before := s.reports[voter]
 	if len(all) == 0 {
@@ -59,7 +59,7 @@
 	}
 }
 
-// Any returns whether any voter with a valid lease suspects anything.
+// Any reports whether any voter with a valid lease suspects a subject.
 func (s *Set) Any() bool {
 	for _, r := range s.reports {
 		if !r.expired {
@@ -84,7 +84,7 @@
 }
 
 // All merges the valid reports. The report of one voter suffices, since the others may be
-// partitioned from the balancers that observed the timeouts.
+// partitioned from the balancers that reported the unanswered packets.
 func (s *Set) All() map[evidence.Subject]Suspicion {
 	all := map[evidence.Subject]Suspicion{}
 	for voter, r := range s.reports {
