--- a/internal/upstream/directory/directory.go
+++ b/internal/upstream/directory/directory.go
@@ -12,7 +12,7 @@
 )
 
 // withdrawnGrace is how long a withdrawn upstream may still serve its open flows: it ends once its
-// withdrawal is acknowledged, or some seconds later if no acknowledgement reaches it.
+// deregistration is acknowledged, or some seconds later if no acknowledgement reaches it.
 const withdrawnGrace = 10 * time.Second
 
 // Settings configures a directory.
@@ -30,16 +30,16 @@
 	Upstream upstream.Upstream
 	// Cold is the remaining time of the slow start of the upstream.
 	Cold time.Duration
-	// Silent reports whether announcements are overdue here or, for a withdrawn upstream,
-	// whether it has ended.
+	// Silent reports whether announcements are overdue here. A withdrawn upstream is marked
+	// silent when it is assumed to have ended.
 	Silent bool
 	// Replaced reports whether another incarnation has announced itself at the address since
 	// and, for a silent upstream, whether that incarnation is alive.
 	Replaced bool
 	// Age is the time since the last announcement.
 	Age time.Duration
-	// Recalled reports whether this voter has not received the announcement itself: it was
-	// received by another voter before this one restarted.
+	// Recalled reports whether the notice is restored: this voter knows the upstream only from
+	// its saved state, and has not received an announcement of it since its restart.
 	Recalled bool
 }
 
@@ -53,7 +53,7 @@
 	// successorAlive reports whether the incarnation that replaced it is alive.
 	successorAlive bool
 	restored       bool
-	// returned reports whether a replaced upstream has announced itself once more.
+	// returned reports whether a replaced upstream has announced itself once since.
 	returned bool
 	// changed is the directory's version at the last change to publish.
 	changed uint64
@@ -63,7 +63,7 @@
 type Directory struct {
 	settings Settings
 	entries  map[uint64]*entry
-	// holders maps each address to the incarnation that last announced itself there.
+	// holders maps each address to its holder, the incarnation that took it last.
 	holders map[netip.AddrPort]uint64
 	version uint64
 }
@@ -81,7 +81,7 @@
 func (d *Directory) Announce(now time.Time, u upstream.Upstream, cold time.Duration) (publish, newer bool) {
 	old := d.entries[u.Incarnation]
 	if old != nil && u.State == upstream.Withdrawn && (u.Born == 0 || u.Born >= old.Born) {
-		// A withdrawal may carry only the incarnation of the upstream.
+		// A deregistration may carry only the incarnation of the upstream.
 		born := max(u.Born, old.Born)
 		u = old.WithState(upstream.Withdrawn)
 		u.Born = born
@@ -107,9 +107,8 @@
 	return false, true
 }
 
-// Restore adds an upstream that another voter received before a restart, unless the same or a
-// later run of it is known. It is forgotten without a notice if it does not announce itself
-// here: otherwise, seconds after a power loss of all VMs, each voter would publish thousands of
+// Restore adds an upstream from the saved state of this voter, unless the same or a later
+// instance of it is known. It is forgotten without a notice if it does not announce itself here: otherwise, seconds after a power loss of all VMs, each voter would publish thousands of
 // silent upstreams to every balancer.
 func (d *Directory) Restore(now time.Time, u upstream.Upstream, cold time.Duration) {
 	if old := d.entries[u.Incarnation]; old != nil && u.Born <= old.Born {
@@ -121,9 +120,9 @@
 	d.markChanged(e)
 }
 
-// supersedes reports whether an announcement is later than the stored one. A withdrawn run
-// stays withdrawn, or a delayed announcement would revive it. A later start of the same
-// incarnation is a new run and supersedes regardless of its sequence.
+// supersedes reports whether an announcement is later than the stored one. A withdrawn instance
+// stays withdrawn, or a delayed announcement would revive it. A later start with the same
+// incarnation is a new instance and supersedes regardless of its sequence.
 func supersedes(u, stored upstream.Upstream) bool {
 	if u.Born != stored.Born {
 		return u.Born > stored.Born
@@ -237,7 +236,7 @@
 	return out
 }
 
-// Address returns the address of one run of an upstream, if known.
+// Address returns the address of one instance of an upstream, if known.
 func (d *Directory) Address(incarnation, born uint64) (netip.AddrPort, bool) {
 	e := d.entries[incarnation]
 	if e == nil || e.Born != born || !e.Address.IsValid() {
@@ -246,8 +245,8 @@
 	return e.Address, true
 }
 
-// RecentAddresses returns the addresses of the upstreams with the most recent announcements, except for
-// the excluded ones.
+// RecentAddresses returns the addresses of up to limit ready upstreams with the most recent
+// announcements, except for the excluded ones.
 func (d *Directory) RecentAddresses(limit int, excluded func(incarnation uint64) bool) []netip.AddrPort {
 	latestFirst := func(a, b *entry) int { return b.lastAnnounced.Compare(a.lastAnnounced) }
 	var latest []*entry
--- a/internal/upstream/directory/directory_test.go
+++ b/internal/upstream/directory/directory_test.go
@@ -46,7 +46,7 @@
 	notices := d.Since(epoch, 0)
 	require.Len(t, notices, 1)
 	require.Equal(t, upstream.Withdrawn, notices[0].Upstream.State)
-	require.Equal(t, "orders", notices[0].Upstream.Service, "a withdrawal may carry only the incarnation")
+	require.Equal(t, "orders", notices[0].Upstream.Service, "a deregistration may carry only the incarnation")
 }
 
 func TestSilenceIsPublishedOnceAndEndsWithAnAnnouncement(t *testing.T) {
@@ -66,7 +66,7 @@
 
 // Guards against flows to a crashed upstream instead of its live successor at the same address:
 // a delayed announcement of the first must not take the address back.
-func TestOneDelayedAnnouncementTakesNoAddress(t *testing.T) {
+func TestOneDelayedAnnouncementTakesNoAddressBack(t *testing.T) {
 	d := newDirectory()
 	d.Announce(epoch, announced(1, 1, upstream.Ready), 0)
 	d.Announce(epoch.Add(time.Second), announced(2, 1, upstream.Ready), 0)
@@ -76,7 +76,7 @@
 	require.True(t, newer)
 	require.Equal(t, []bool{true, false}, replaced(d))
 	publish, _ = d.Announce(epoch.Add(2*time.Second), announced(1, 3, upstream.Draining), 0)
-	require.True(t, publish, "draining is published whichever upstream holds the address")
+	require.True(t, publish, "a departure is published whichever upstream holds the address")
 }
 
 // Guards against a live upstream that gets no flow because a dead one keeps its address: the
@@ -144,9 +144,9 @@
 		}
 		d.Announce(epoch.Add(time.Duration(id)*time.Millisecond), u, 0)
 	}
-	ports := func(most int) []uint16 {
+	ports := func(limit int) []uint16 {
 		var out []uint16
-		for _, a := range d.RecentAddresses(most, func(id uint64) bool { return id == 6 }) {
+		for _, a := range d.RecentAddresses(limit, func(id uint64) bool { return id == 6 }) {
 			out = append(out, a.Port())
 		}
 		return out
@@ -187,7 +187,7 @@
 	require.False(t, d.Since(epoch, 0)[0].Recalled, "an announced upstream is not restored")
 }
 
-// startedAt returns an announcement with the time of the start.
+// startedAt returns an announcement of incarnation 1 that started at born.
 func startedAt(born, sequence uint64, s upstream.State) upstream.Upstream {
 	u := announced(1, sequence, s)
 	u.Born = born
@@ -211,8 +211,8 @@
 }
 
 // Guards against a restarted upstream that loses its flows or gets none because announcements
-// of its earlier run arrive late.
-func TestDelayedAnnouncementsOfAnEarlierRunAreIgnored(t *testing.T) {
+// of its earlier instance arrive late.
+func TestDelayedAnnouncementsOfAnEarlierInstanceAreIgnored(t *testing.T) {
 	for _, s := range []upstream.State{upstream.Ready, upstream.Draining, upstream.Withdrawn} {
 		d := newDirectory()
 		d.Announce(epoch, startedAt(200, 1, upstream.Ready), 0)
@@ -224,15 +224,15 @@
 	}
 }
 
-func TestWithdrawalWithoutAStartEndsTheCurrentRun(t *testing.T) {
+func TestDeregistrationWithoutBornWithdrawsTheCurrentInstance(t *testing.T) {
 	d := newDirectory()
 	d.Announce(epoch, startedAt(200, 1, upstream.Ready), 0)
-	gone := upstream.Upstream{Identity: upstream.Identity{Incarnation: 1}, State: upstream.Withdrawn}
-	_, newer := d.Announce(epoch, gone, 0)
+	withdrawn := upstream.Upstream{Identity: upstream.Identity{Incarnation: 1}, State: upstream.Withdrawn}
+	_, newer := d.Announce(epoch, withdrawn, 0)
 	require.True(t, newer)
 	require.Equal(t, uint64(200), d.Since(epoch, 0)[0].Upstream.Born)
 	_, newer = d.Announce(epoch, startedAt(200, 9, upstream.Ready), 0)
-	require.False(t, newer, "a delayed announcement does not revive a run")
+	require.False(t, newer, "a delayed announcement does not revive an instance")
 }
 
 // Guards against an upstream that counts as replaced after it has restarted at another address
--- a/internal/upstream/handover/handover.go
+++ b/internal/upstream/handover/handover.go
@@ -11,23 +11,24 @@
 // The batch delays, as shares of the announcement interval, which is usually 1.2 s. An upstream
 // announces itself again only after the acknowledgement, or after waiting a second for it. Down
 // to the fourth level the delays add up to 0.7 of the interval. With an eighth at every level,
-// the top balancers of a zone of 60 received a hundred handovers per second.
+// the roots of a zone of 60 received a hundred batches per second.
 const (
-	// topShare applies at the top balancer of a zone, and to direct announcements one level below.
-	topShare = 1.0 / 4
+	// rootShare applies at the roots of a zone, and to direct announcements one level below.
+	rootShare = 1.0 / 4
 	// directShare applies to direct announcements of upstreams at lower levels.
 	directShare = 1.0 / 6
-	// relayedShare applies to announcements that other balancers forward, below the top.
-	relayedShare = 1.0 / 12
+	// forwardedShare applies to announcements that other balancers forward, below the roots.
+	forwardedShare = 1.0 / 12
 )
 
 // BatchDelay returns the batch delay at a level of the balancer tree for announcements with an
-// interval, which upstreams make directly to the balancer or other balancers forward to it.
+// interval. direct means that upstreams send them to the balancer; other balancers forward the
+// rest to it.
 func BatchDelay(interval time.Duration, level int, direct bool) time.Duration {
-	share := relayedShare
+	share := forwardedShare
 	switch {
 	case level == 0 || direct && level == 1:
-		share = topShare
+		share = rootShare
 	case direct:
 		share = directShare
 	}
@@ -41,7 +42,7 @@
 type Announcement struct {
 	_        struct{} `cbor:",toarray"`
 	Upstream upstream.Upstream
-	// Cold is the remaining time of its slow start when it was received.
+	// Cold is the remaining time of the upstream's slow start when the announcement was received.
 	Cold time.Duration
 	Age  time.Duration
 }
--- a/internal/upstream/handover/handover_test.go
+++ b/internal/upstream/handover/handover_test.go
@@ -15,14 +15,14 @@
 
 const delay = 150 * time.Millisecond
 
-// At every level, the acknowledgement arrives well within the second that upstreams wait for it,
-// and within the announcement interval.
+// Guards against upstreams that announce themselves again because the acknowledgement arrives
+// after the second for which they wait for it, or after the announcement interval.
 func TestBatchDelaysAddUpToLessThanASecond(t *testing.T) {
 	const interval = 1200 * time.Millisecond
 	for level := range 5 {
 		all := handover.BatchDelay(interval, level, true)
-		for above := range level {
-			all += handover.BatchDelay(interval, above, false)
+		for higher := range level {
+			all += handover.BatchDelay(interval, higher, false)
 		}
 		require.LessOrEqual(t, all, 800*time.Millisecond)
 	}
@@ -57,8 +57,8 @@
 	w.Wait()
 }
 
-// Guards against overloaded voters: with a call for each announcement of 3,000 upstreams, they
-// answered late.
+// Guards against voters that answer late because they receive a call for each announcement of
+// 3,000 upstreams.
 func TestAnnouncementsAreSentInBatches(t *testing.T) {
 	s := &sent{}
 	h := handover.New(time.Now, s.send)
@@ -92,7 +92,7 @@
 }
 
 // Guards against an upstream that counts as silent although its announcements are acknowledged:
-// its balancer cannot reach a voter, but acknowledges them nevertheless.
+// its balancer acknowledges them without reaching a voter.
 func TestAnnouncementsThatCannotBeSentAreNotAcknowledged(t *testing.T) {
 	failed := errors.New("no voter answers")
 	h := handover.New(time.Now, (&sent{err: failed}).send)
--- a/internal/upstream/owner/doc.go
+++ b/internal/upstream/owner/doc.go
@@ -1,4 +1,4 @@
-// Package owner assigns each upstream to the voter that receives its announcements.
+// Package owner assigns each upstream to its owner, the voter that receives its announcements.
 //
 // Each voter notifies all balancers of the upstreams that announce themselves to it, and again
 // when their announcements stop. An upstream that alternates between two voters causes two
--- a/internal/upstream/owner/owner.go
+++ b/internal/upstream/owner/owner.go
@@ -12,9 +12,9 @@
 // Voter is a reachable voter.
 type Voter struct{ Address, Zone string }
 
-// Of returns the address of the voter that an upstream announces itself to, or "" if none is
-// reachable. It uses rendezvous hashing: if a voter fails, only its upstreams move. Upstreams of
-// one address have the same voter, so that it notices when one takes the address of another.
+// Of returns the address of the voter that owns an upstream, or "" if none is reachable. It uses
+// rendezvous hashing: if a voter fails, only its upstreams move. Upstreams of one address have
+// the same owner, which thus detects that one of them replaces another.
 func Of(u upstream.Upstream, voters []Voter) string {
 	candidates := lo.Filter(voters, func(v Voter, _ int) bool { return v.Zone == u.Zone })
 	if len(candidates) == 0 {
--- a/internal/upstream/owner/owner_test.go
+++ b/internal/upstream/owner/owner_test.go
@@ -14,7 +14,7 @@
 	return upstream.Upstream{Identity: upstream.Identity{Incarnation: incarnation}, Zone: "a"}
 }
 
-func TestVoterOfTheOwnZoneIsPreferred(t *testing.T) {
+func TestVoterOfTheUpstreamsZoneIsPreferred(t *testing.T) {
 	require.Equal(t, "v1", owner.Of(announcement(1), []owner.Voter{{Address: "v2", Zone: "b"}, {Address: "v1", Zone: "a"}}))
 	require.Equal(t, "v2", owner.Of(announcement(1), []owner.Voter{{Address: "v2", Zone: "b"}}))
 	require.Empty(t, owner.Of(announcement(1), nil))
@@ -23,7 +23,7 @@
 // Guards against callers that wait for a replaced upstream: its successor at the same address
 // announces itself to another voter, so that the old one stays live until its announcements are
 // overdue.
-func TestUpstreamsOfOneAddressHaveOneVoter(t *testing.T) {
+func TestUpstreamsOfOneAddressHaveOneOwner(t *testing.T) {
 	all := []owner.Voter{{Address: "v1", Zone: "a"}, {Address: "v2", Zone: "a"}, {Address: "v3", Zone: "a"}, {Address: "v4", Zone: "b"}}
 	assigned := map[string]int{}
 	for i := range uint64(300) {
--- a/internal/upstream/registry/gossip.go
+++ b/internal/upstream/registry/gossip.go
@@ -49,8 +49,8 @@
 		return nil
 	}
 	var update wireUpdate
-	update.Changes, budget = r.loadChanges(entries, budget)
-	update.Renewals, budget = r.loadRenewals(entries, budget)
+	update.Changes, budget = r.selectChanges(entries, budget)
+	update.Renewals, budget = r.selectRenewals(entries, budget)
 	for range rotationPerMessage {
 		r.rotation = (r.rotation + 1) % len(entries)
 		if e := entries[r.rotation]; encodedSize(e.Upstream) <= budget && len(update.Changes) == 0 {
@@ -61,11 +61,11 @@
 	return b
 }
 
-func (r *Registry) loadChanges(entries []*entry, budget int) ([]upstream.Upstream, int) {
-	fresh := slices.DeleteFunc(slices.Clone(entries), func(e *entry) bool { return e.gossiped >= changeTransmissions })
-	slices.SortStableFunc(fresh, func(a, b *entry) int { return cmp.Compare(a.gossiped, b.gossiped) })
+func (r *Registry) selectChanges(entries []*entry, budget int) ([]upstream.Upstream, int) {
+	changed := slices.DeleteFunc(slices.Clone(entries), func(e *entry) bool { return e.gossiped >= changeTransmissions })
+	slices.SortStableFunc(changed, func(a, b *entry) int { return cmp.Compare(a.gossiped, b.gossiped) })
 	var changes []upstream.Upstream
-	for _, e := range fresh {
+	for _, e := range changed {
 		size := encodedSize(e.Upstream)
 		if size > budget {
 			break
@@ -77,7 +77,7 @@
 	return changes, budget
 }
 
-func (r *Registry) loadRenewals(entries []*entry, budget int) ([]wireRenewal, int) {
+func (r *Registry) selectRenewals(entries []*entry, budget int) ([]wireRenewal, int) {
 	var renewals []wireRenewal
 	for _, e := range entries {
 		if e.renewalGossiped >= renewalTransmissions || e.gossiped < changeTransmissions {
@@ -93,8 +93,8 @@
 	return renewals, budget
 }
 
-// HandlePayload merges the gossip payload of another balancer. Its announcements need no service token,
-// since the group token authenticates gossip.
+// HandlePayload merges the gossip payload of another balancer. Its announcements need no service
+// token, since the group token authenticates gossip.
 func (r *Registry) HandlePayload(now time.Time, _ swim.Member, data []byte) {
 	var update wireUpdate
 	if len(data) == 0 || cbor.Unmarshal(data, &update) != nil {
--- a/internal/upstream/registry/registry.go
+++ b/internal/upstream/registry/registry.go
@@ -64,9 +64,9 @@
 	configuration configuration.Configuration
 	entries       map[netip.AddrPort]*entry
 	version       uint64
-	// rotation is the index of the last announcement that Load repeated.
+	// rotation is the index of the last announcement that Payload repeated.
 	rotation int
-	// urgent reports whether there is a change to push; see TakeUrgent.
+	// urgent reports whether there is a change to push at once; see TakeUrgent.
 	urgent bool
 	// reachableZones are the zones with a reachable balancer.
 	reachableZones map[string]bool
@@ -139,21 +139,21 @@
 // Announce stores an announcement that an upstream sent, with the digest of its service token, or
 // returns a RefusedError.
 func (r *Registry) Announce(now time.Time, u upstream.Upstream, tokenSha256 string) error {
-	refuse := func(reason string) error {
+	reject := func(reason string) error {
 		return &RefusedError{Address: u.Address, Service: u.Service, Reason: reason}
 	}
 	s, ok := r.configuration.Service(u.Service)
 	if !ok {
-		return refuse(ReasonService)
+		return reject(ReasonService)
 	}
 	if subtle.ConstantTimeCompare([]byte(tokenSha256), []byte(s.TokenSha256)) != 1 {
-		return refuse(ReasonToken)
+		return reject(ReasonToken)
 	}
 	if !u.Address.Addr().Is4() || u.Address.Port() == 0 || u.Slots == 0 {
-		return refuse(ReasonAddress)
+		return reject(ReasonAddress)
 	}
 	if e := r.entries[u.Address]; e != nil && !u.Newer(e.Upstream) && u != e.Upstream {
-		return refuse(ReasonStale)
+		return reject(ReasonStale)
 	}
 	r.merge(now, u)
 	return nil
@@ -215,7 +215,8 @@
 	}
 }
 
-// warming reports whether the share of an entry may have changed with its slow start.
+// warming reports whether an entry is in its slow start, or was until a second ago, so that its
+// share may have changed.
 func (r *Registry) warming(now time.Time, e *entry) bool {
 	return now.Sub(e.firstSeen) <= time.Duration(r.configuration.Preset().ColdStartSeconds+1)*time.Second
 }
--- a/internal/upstream/view/doc.go
+++ b/internal/upstream/view/doc.go
@@ -1,3 +1,3 @@
-// Package view merges the notices that several voters send about upstreams into the single
-// view by which a balancer places flows.
+// Package view merges the notices that several voters send about upstreams into the one state by
+// which a balancer places flows.
 package view
--- a/internal/upstream/view/record.go
+++ b/internal/upstream/view/record.go
@@ -12,14 +12,14 @@
 type voterNotice struct {
 	directory.Notice
 	receivedAt time.Time
-	// life and version are those of the voter when it sent the notice.
+	// life and version are those of the voter when it sent the notice; see Update.
 	life, version uint64
-	// expiresAt ends a notice that the voter has not confirmed since its restart, and is zero
+	// expiresAt is when a notice expires that the voter has not confirmed since its restart, zero
 	// for a confirmed one.
 	expiresAt time.Time
 }
 
-// obsolete reports whether the notice may be forgotten after some time.
+// obsolete reports whether the notice can be forgotten after Settings.ForgetAfter.
 func (t *voterNotice) obsolete() bool {
 	return t.Silent || t.Replaced || t.Upstream.State == upstream.Withdrawn || !t.expiresAt.IsZero()
 }
@@ -44,7 +44,7 @@
 type record struct {
 	byVoter []sourcedNotice
 	// born is the latest start in any notice. A voter that missed that start may still send
-	// notices on an earlier run for a while; they are ignored.
+	// notices on an earlier instance for a while; they are ignored.
 	born uint64
 }
 
@@ -76,7 +76,7 @@
 }
 
 // target merges the notices of one upstream, and returns whether there are any on its latest
-// run. While no voter is reachable, the last notices of all voters stay valid.
+// instance. While no voter is reachable, the last notices of all voters stay valid.
 func (r *record) target(now time.Time, anyReachable bool) (Target, bool) {
 	var m merger
 	if r == nil {
--- a/internal/upstream/view/source.go
+++ b/internal/upstream/view/source.go
@@ -6,23 +6,23 @@
 	"time"
 )
 
-// maxChanges bounds the changes that are kept per voter, at 16 bytes each. A follower that
-// missed more receives all notices of the voter, at 40 bytes per upstream.
+// maxChanges bounds the changes that are kept per voter, at 16 bytes each. A follower that lacks
+// more receives all notices of the voter, at 40 bytes per upstream.
 const maxChanges = 1024
 
 // source holds the state received from one voter.
 type source struct {
 	life    uint64
 	contact time.Time
-	// reachable reports whether the voter's contact lease was valid when the view was last aged.
+	// reachable reports whether the contact lease was valid at the last call of View.expire.
 	reachable bool
 	// changes are the latest changes since the voter started, for followers of this balancer.
 	changes []change
-	// provisionalUntil is when provisional notices expire: those from before the voter's
-	// restart, and restored ones.
-	provisionalUntil time.Time
-	// hasProvisional reports whether there are any.
-	hasProvisional bool
+	// unconfirmedUntil is when unconfirmed notices expire: those from before the voter's restart,
+	// and restored ones.
+	unconfirmedUntil time.Time
+	// hasUnconfirmed reports whether there may be unconfirmed notices that have not expired.
+	hasUnconfirmed bool
 	notices        map[uint64]*voterNotice
 }
 
@@ -34,29 +34,29 @@
 // restart records a restart of the voter, and when its earlier notices expire.
 func (s *source) restart(life uint64, expiresAt time.Time) {
 	s.life, s.changes = life, nil
-	s.provisionalUntil, s.hasProvisional = expiresAt, true
+	s.unconfirmedUntil, s.hasUnconfirmed = expiresAt, true
 	for _, t := range s.notices {
 		t.expiresAt = expiresAt
 	}
 }
 
-// addProvisional returns when a restored notice expires: the voter forgets a restored upstream
-// without a notice unless the upstream announces itself. All provisional notices of a voter
-// expire together, since only one expiry time is tracked per voter.
-func (s *source) addProvisional(now, expiresAt time.Time) time.Time {
-	if !s.provisionalUntil.After(now) {
-		s.provisionalUntil = expiresAt
+// addRestored records a restored notice and returns when it expires: the voter forgets a restored
+// upstream without a notice unless the upstream announces itself. All unconfirmed notices of a
+// voter expire together, since only one expiry time is tracked per voter.
+func (s *source) addRestored(now, expiresAt time.Time) time.Time {
+	if !s.unconfirmedUntil.After(now) {
+		s.unconfirmedUntil = expiresAt
 	}
-	s.hasProvisional = true
-	return s.provisionalUntil
+	s.hasUnconfirmed = true
+	return s.unconfirmedUntil
 }
 
-// provisionalExpired returns true once after the provisional notices have expired.
-func (s *source) provisionalExpired(now time.Time) bool {
-	if !s.hasProvisional || now.Before(s.provisionalUntil) {
+// unconfirmedExpired returns true once after the unconfirmed notices have expired.
+func (s *source) unconfirmedExpired(now time.Time) bool {
+	if !s.hasUnconfirmed || now.Before(s.unconfirmedUntil) {
 		return false
 	}
-	s.hasProvisional = false
+	s.hasUnconfirmed = false
 	return true
 }
 
--- a/internal/upstream/view/view.go
+++ b/internal/upstream/view/view.go
@@ -11,12 +11,12 @@
 
 // Settings configures a view.
 type Settings struct {
-	// ContactLease is how long the liveness reports of a voter stay valid without contact.
+	// ContactLease is how long the notices of a voter stay valid without contact.
 	ContactLease time.Duration
-	// ProvisionalTTL is how long an upstream stays live that a voter knows only from before its
-	// restart, or has restored.
+	// ProvisionalTTL is how long an unconfirmed notice stays valid: one from before the voter's
+	// restart, or a restored one.
 	ProvisionalTTL time.Duration
-	// ForgetAfter is how long an upstream is kept without a valid notice.
+	// ForgetAfter is how long an obsolete notice is kept.
 	ForgetAfter time.Duration
 }
 
@@ -24,15 +24,15 @@
 type Target struct {
 	upstream.Upstream
 	ColdUntil time.Time
-	// Live reports whether some reachable voter has recently received its announcements.
+	// Live reports whether some reachable voter receives its announcements in time.
 	Live bool
-	// Ended reports whether this incarnation has certainly ended, and with it its flows.
+	// Ended reports whether this incarnation no longer runs, so that its flows can be reset.
 	Ended bool
 }
 
 // Update is an update from one voter, received directly or through relaying balancers.
 type Update struct {
-	// Voter identifies the voter, Life its current run.
+	// Voter identifies the voter, and Life the run of its process.
 	Voter string
 	Life  uint64
 	// Version is the version of the voter's directory that includes these notices.
@@ -48,26 +48,26 @@
 	sources  map[string]*source
 	// records holds the notices of all voters by incarnation.
 	records map[uint64]*record
-	// reachable is the number of reachable voters when the view was last aged.
+	// reachable is the number of reachable voters at the last call of expire.
 	reachable int
 	// changed holds the upstreams that may differ from the last result of Changes.
 	changed map[uint64]bool
-	// whole makes Changes return all upstreams.
-	whole bool
+	// allChanged makes the next call of Changes return all upstreams.
+	allChanged bool
 	// forgotAt is when obsolete notices were last deleted.
 	forgotAt time.Time
 }
 
 // New returns an empty view.
 func New(s Settings) *View {
-	return &View{settings: s, sources: map[string]*source{}, records: map[uint64]*record{}, changed: map[uint64]bool{}, whole: true}
+	return &View{settings: s, sources: map[string]*source{}, records: map[uint64]*record{}, changed: map[uint64]bool{}, allChanged: true}
 }
 
 // ApplyNotices applies notices that a voter sent just now. If the voter has restarted, its earlier
 // notices stay valid for Settings.ProvisionalTTL, since it has not yet received the announcements
 // of all its upstreams.
-func (v *View) ApplyNotices(now time.Time, name string, life uint64, notices []directory.Notice) {
-	v.Apply(now, Update{Voter: name, Life: life, Contact: now, Notices: notices})
+func (v *View) ApplyNotices(now time.Time, voter string, life uint64, notices []directory.Notice) {
+	v.Apply(now, Update{Voter: voter, Life: life, Contact: now, Notices: notices})
 }
 
 // Apply applies an update that may have been relayed; see ApplyNotices.
@@ -81,7 +81,7 @@
 		s.restart(update.Life, now.Add(v.settings.ProvisionalTTL))
 		v.markChanged(s)
 	}
-	if s.provisionalExpired(now) {
+	if s.unconfirmedExpired(now) {
 		v.markChanged(s)
 	}
 	if update.Contact.After(s.contact) {
@@ -90,7 +90,7 @@
 	for _, n := range update.Notices {
 		t := voterNotice{Notice: n, receivedAt: now, life: update.Life, version: update.Version}
 		if n.Recalled {
-			t.expiresAt = s.addProvisional(now, now.Add(v.settings.ProvisionalTTL))
+			t.expiresAt = s.addRestored(now, now.Add(v.settings.ProvisionalTTL))
 		}
 		v.store(s, t)
 	}
@@ -99,11 +99,11 @@
 	v.limitChanged()
 }
 
-// limitChanged bounds the memory of a view whose changes are never collected: it would otherwise
-// keep the identifiers of all past upstreams.
+// limitChanged bounds the memory of a view whose Changes is never called: it would otherwise keep
+// the incarnations of all past upstreams.
 func (v *View) limitChanged() {
 	if len(v.changed) > len(v.records) {
-		v.whole = true
+		v.allChanged = true
 		clear(v.changed)
 	}
 }
@@ -128,8 +128,9 @@
 	}
 }
 
-// Since returns the notices of a voter's run after a version, as the voter would send them
-// now. Recalled notices are left out, since their expiry depends on the receiver's clock.
+// Since returns the notices that a voter has sent since it started as life and after a version,
+// as the voter would send them now. Restored notices are left out, since their expiry depends on
+// the receiver's clock.
 func (v *View) Since(now time.Time, voter string, life, version uint64) []directory.Notice {
 	s := v.sources[voter]
 	if s == nil || s.life != life {
@@ -165,7 +166,7 @@
 	}
 }
 
-// Changes holds the upstreams that differ from an earlier state.
+// Changes holds the upstreams that may differ from an earlier state.
 type Changes struct {
 	// Whole means that Targets holds all upstreams.
 	Whole   bool
@@ -175,9 +176,9 @@
 
 // Changes returns the upstreams that may differ since the last call, and whether there are any.
 func (v *View) Changes(now time.Time) (Changes, bool) {
-	v.age(now)
-	if v.whole {
-		v.whole = false
+	v.expire(now)
+	if v.allChanged {
+		v.allChanged = false
 		clear(v.changed)
 		return Changes{Whole: true, Targets: v.targets(now)}, true
 	}
@@ -199,13 +200,13 @@
 
 // Targets returns all known upstreams, sorted by incarnation.
 func (v *View) Targets(now time.Time) []Target {
-	v.age(now)
+	v.expire(now)
 	return v.targets(now)
 }
 
 // Target returns one upstream and whether it is known.
 func (v *View) Target(now time.Time, incarnation uint64) (Target, bool) {
-	v.age(now)
+	v.expire(now)
 	return v.records[incarnation].target(now, v.reachable > 0)
 }
 
@@ -222,11 +223,10 @@
 
 func byIncarnation(a, b Target) int { return cmp.Compare(a.Incarnation, b.Incarnation) }
 
-// age marks the upstreams that change with time alone: those of voters that became
-// unreachable or reachable, and those with expired provisional
-// notices. For one voter among many these are
-// few, so the others need not be merged again.
-func (v *View) age(now time.Time) {
+// expire marks the upstreams whose state changes without a notice: those of voters that became
+// unreachable or reachable, and those with expired unconfirmed notices. One voter among many has
+// few of them, and the others need not be merged again.
+func (v *View) expire(now time.Time) {
 	reachable := 0
 	for _, s := range v.sources {
 		if r := now.Sub(s.contact) <= v.settings.ContactLease; r != s.reachable {
@@ -236,13 +236,13 @@
 		if s.reachable {
 			reachable++
 		}
-		if s.provisionalExpired(now) {
+		if s.unconfirmedExpired(now) {
 			v.markChanged(s)
 		}
 	}
 	if (reachable == 0) != (v.reachable == 0) {
 		// While no voter is reachable, the last notices of all voters stay valid.
-		v.whole = true
+		v.allChanged = true
 	}
 	v.reachable = reachable
 }
--- a/internal/upstream/view/view_test.go
+++ b/internal/upstream/view/view_test.go
@@ -72,14 +72,14 @@
 	d.Announce(epoch, x.WithState(upstream.Withdrawn), 0)
 	for _, seconds := range []int{0, 2, 5, 9} {
 		require.False(t, next(after(seconds)).Live, "a withdrawn upstream gets no new flows")
-		require.False(t, next(after(seconds)).Ended, "it serves on for seconds if the acknowledgement is late or lost")
+		require.False(t, next(after(seconds)).Ended, "it serves its flows for seconds if the acknowledgement is late or lost")
 	}
 	require.True(t, next(after(11)).Ended)
 }
 
 // Guards against a balancer without upstreams for seconds after the only reachable voter has
 // restarted: its first answer is empty and must not replace the earlier notices.
-func TestRestartedVoterRemovesNothingAtOnce(t *testing.T) {
+func TestRestartedVoterRemovesNoUpstreamAtOnce(t *testing.T) {
 	v := newView()
 	v.ApplyNotices(epoch, "v1", 1, []directory.Notice{notice(1, upstream.Ready)})
 	v.ApplyNotices(after(1), "v1", 2, nil)
@@ -179,8 +179,8 @@
 	require.Equal(t, map[uint64]bool{1: false}, changedLiveness(v, after(9)), "the notices from before v1's restart have expired")
 }
 
-// Guards against packets delayed by hundreds of ms at a balancer that processes all upstreams
-// of the fleet again whenever one voter is unreachable.
+// Guards against packets delayed by hundreds of ms at a balancer that merges all upstreams of the
+// fleet again whenever one voter is unreachable.
 func TestUnreachableVoterChangesOnlyItsUpstreams(t *testing.T) {
 	v := newView()
 	const voters = 25
@@ -220,10 +220,10 @@
 	require.Empty(t, v.Targets(after(800)))
 }
 
-// replica is the state that results from applying all changes.
-type replica map[uint64]view.Target
+// applied is the state that results from applying all changes.
+type applied map[uint64]view.Target
 
-func (r replica) apply(c view.Changes) {
+func (r applied) apply(c view.Changes) {
 	if c.Whole {
 		clear(r)
 	}
@@ -235,7 +235,7 @@
 	}
 }
 
-func (r replica) sorted() []view.Target {
+func (r applied) sorted() []view.Target {
 	out := []view.Target{}
 	for _, id := range slices.Sorted(maps.Keys(r)) {
 		out = append(out, r[id])
@@ -251,7 +251,7 @@
 		incremental := router.New(router.Settings{Zone: "a"})
 		now := epoch
 		runs := map[string]uint64{}
-		replica := replica{}
+		replica := applied{}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 4000).Draw(t, "pause")) * time.Millisecond)
 			name := rapid.SampledFrom([]string{"v1", "v2", "v3"}).Draw(t, "voter")
@@ -289,8 +289,8 @@
 }
 
 // Guards against a restarted upstream that gets no flow or whose flows are reset: one voter
-// knows the new run, while others still send notices on the earlier run, before or after.
-func TestNoticesOnAnEarlierRunAreIgnored(t *testing.T) {
+// knows the new instance, while others still send notices on the earlier one, before or after.
+func TestNoticesOnAnEarlierInstanceAreIgnored(t *testing.T) {
 	before := notice(90, upstream.Withdrawn)
 	before.Upstream.Born, before.Replaced, before.Silent = 100, true, true
 	again := notice(1, upstream.Ready)
@@ -307,9 +307,9 @@
 	}
 }
 
-// The voter that knows the new run restarts and receives no announcement: notices of another
-// voter on the earlier run are still ignored.
-func TestEarlierRunStaysEnded(t *testing.T) {
+// The voter that knows the new instance restarts and receives no announcement: notices of another
+// voter on the earlier instance are still ignored.
+func TestEarlierInstanceIsNotRevived(t *testing.T) {
 	v := newView()
 	before := notice(90, upstream.Ready)
 	before.Upstream.Born = 100
@@ -352,7 +352,7 @@
 	require.Equal(t, []uint64{1, 2, 3}, incarnations(v.Since(after(1), "v1", 1, 0)))
 	require.Equal(t, []uint64{3}, incarnations(v.Since(after(1), "v1", 1, 5)))
 	require.Empty(t, v.Since(after(1), "v1", 1, 6))
-	require.Empty(t, v.Since(after(1), "v1", 2, 0), "another run")
+	require.Empty(t, v.Since(after(1), "v1", 2, 0), "another life")
 	require.Empty(t, v.Since(after(1), "v2", 1, 0))
 	apply(v, after(2), 1, 7, numbered(1, 9))
 	require.Equal(t, []uint64{1, 3}, incarnations(v.Since(after(2), "v1", 1, 5)))
@@ -360,7 +360,7 @@
 
 // Guards against followers that take notices from before a voter's restart for current ones,
 // because a balancer relays both together.
-func TestOnlyNoticesOfTheCurrentRunAreRelayed(t *testing.T) {
+func TestOnlyNoticesOfTheCurrentLifeAreRelayed(t *testing.T) {
 	v := newView()
 	apply(v, epoch, 1, 5, numbered(1, 1))
 	apply(v, after(1), 2, 1, numbered(2, 1))
@@ -382,8 +382,8 @@
 	require.Zero(t, v.Since(after(9), "v1", 1, 0)[0].Cold)
 }
 
-// Guards against memory that grows with every past upstream, at a voter that keeps a view for
-// its disk and never collects the changes.
+// Guards against memory that grows with every past upstream, at a voter that keeps a view only to
+// save it to disk and never calls Changes.
 func TestUncollectedChangesAreBounded(t *testing.T) {
 	v := newView()
 	for n := range 100 {
@@ -396,7 +396,7 @@
 	require.LessOrEqual(t, len(c.Targets)+len(c.Removed), 2)
 }
 
-// A follower that missed more changes than are kept receives all notices.
+// A follower that lacks more changes than are kept receives all notices.
 func TestSinceReturnsAllNoticesIfChangesWereTrimmed(t *testing.T) {
 	v := newView()
 	for n := range uint64(5000) {
@@ -408,7 +408,7 @@
 
 // Guards against upstreams of a partitioned zone that stay live: a balancer relays older updates
 // of a voter there, which must not count as contact with that voter.
-func TestRelayedUpdatesAreNoContact(t *testing.T) {
+func TestRelayedUpdateDoesNotCountAsContact(t *testing.T) {
 	v := newView()
 	v.Apply(epoch, view.Update{Voter: "v2", Life: 1, Version: 1, Contact: epoch})
 	apply(v, epoch, 1, 5, numbered(1, 1))
