--- a/internal/fanout/assignment/assignment.go
+++ b/internal/fanout/assignment/assignment.go
@@ -15,11 +15,11 @@
 	maxPropagation = 3200 * time.Millisecond
 	// overlap is how long a list stays valid after its successor arrived: a balancer owns a
 	// key only if all valid lists assign it. It is twice maxPropagation, since a balancer that
-	// leaves and rejoins may learn of the rejoining first and keep its keys, and the others
-	// may learn of the rejoining another maxPropagation later.
+	// leaves and rejoins may receive the list with its rejoining first and keep its keys, and
+	// the others may receive that list another maxPropagation later.
 	overlap = 2 * maxPropagation
 	// startupGrace is how long a balancer owns no keys after its start. Restarted voters
-	// learn of the fleet by reports that arrive every 5 s; a list of only a few balancers
+	// receive the members of the fleet in reports every 5 s; a list of only a few balancers
 	// would assign all keys to them.
 	startupGrace = 6 * time.Second
 )
@@ -30,7 +30,7 @@
 	members []uint64
 }
 
-// Assignment is one balancer's view of the assignment. It must be used by one goroutine only.
+// Assignment decides which keys one balancer owns. It must be used by one goroutine only.
 //
 // A key belongs to the balancer with the highest rendezvous weight, so that a balancer that
 // joins or leaves moves only its own keys. Two balancers may own the same key for a while if
@@ -48,7 +48,7 @@
 	return &Assignment{self: xxhash.Sum64String(self), started: now}
 }
 
-// Set sets the addresses of the known balancers.
+// Set sets the addresses of the zone's known balancers.
 func (a *Assignment) Set(now time.Time, addresses []string) {
 	if len(a.lists) > 0 && slices.Equal(a.known, addresses) {
 		return
--- a/internal/fanout/assignment/assignment_test.go
+++ b/internal/fanout/assignment/assignment_test.go
@@ -62,7 +62,7 @@
 	require.False(t, a.Owns(epoch.Add(5*time.Second), 7))
 	require.True(t, a.Owns(epoch.Add(7*time.Second), 7))
 	a.Set(epoch.Add(8*time.Second), []string{"other"})
-	require.False(t, a.Owns(epoch.Add(9*time.Second), 7), "a loss of the key takes effect at once")
+	require.False(t, a.Owns(epoch.Add(9*time.Second), 7), "a balancer that loses a key stops owning it at once")
 	a.Set(epoch.Add(10*time.Second), []string{"me"})
 	require.False(t, a.Owns(epoch.Add(12*time.Second), 7), "others may still use the previous list")
 	require.True(t, a.Owns(epoch.Add(17*time.Second), 7))
@@ -121,10 +121,10 @@
 }
 
 // Guards against a key with two owners for a millisecond. A balancer leaves the list and rejoins
-// 2.2 s later; it learns of the rejoining before the leaving, and another balancer learns of the
-// rejoining 1 s later. That one relied on the list without the first balancer after one
-// propagation time, while the second change was still propagating.
-func TestBalancerThatMissedItsLeavingKeepsItsKeys(t *testing.T) {
+// 2.2 s later; it receives the rejoining before the leaving and keeps its keys. Another balancer
+// receives the rejoining 1 s later; after one propagation time it relied on the list without the
+// first one alone, while the second change was still propagating.
+func TestBalancerThatMissedItsOwnRemovalKeepsItsKeys(t *testing.T) {
 	all := names(8)
 	without := slices.Delete(slices.Clone(all), 6, 7)
 	for key := range uint64(64) {
@@ -137,7 +137,7 @@
 			a.Set(epoch, without)
 			others = append(others, a)
 		}
-		// Up to the last moment at which the others may not know of the rejoining.
+		// Up to the latest time at which the others may not have received the rejoining.
 		for now := time.Duration(0); now <= 5200*time.Millisecond; now += 100 * time.Millisecond {
 			for _, a := range others {
 				require.False(t, left.Owns(epoch.Add(now), key) && a.Owns(epoch.Add(now), key), "at %s", now)
--- a/internal/fanout/bootstrap/bootstrap.go
+++ b/internal/fanout/bootstrap/bootstrap.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// responseTimeout is how long the polled voter may take before another one is polled as well. It is
-// several times what a voter on a quarter of a core takes while 200 balancers start.
+// responseTimeout is how long the polled voter may take before another one is polled as well: several
+// times what a voter on a quarter of a core takes while 200 balancers start.
 const responseTimeout = 150 * time.Millisecond
 
 // Sequencer decides which voter is polled during startup. The zero value is ready for use.
@@ -29,8 +29,8 @@
 	return true
 }
 
-// RecordResponse records that a voter answered, and whether its state was complete; that of a voter
-// with an empty disk is not. It reports whether this ends the startup.
+// RecordResponse records that a voter answered, and whether its state was complete; the state of a
+// voter with an empty disk is not. It reports whether this ends the startup.
 func (t *Sequencer) RecordResponse(voter string, complete bool) bool {
 	if t.done {
 		return false
--- a/internal/fanout/bootstrap/bootstrap_test.go
+++ b/internal/fanout/bootstrap/bootstrap_test.go
@@ -22,7 +22,7 @@
 	require.True(t, x.RecordResponse("v2", true))
 	require.True(t, x.Done())
 	require.True(t, x.Allow(at(190), "v3"))
-	require.False(t, x.RecordResponse("v3", true), "startup was over before")
+	require.False(t, x.RecordResponse("v3", true), "the startup has already ended")
 }
 
 func TestFailedVoterAllowsTheNext(t *testing.T) {
@@ -40,7 +40,7 @@
 	require.True(t, x.Allow(at(0), "empty"))
 	require.False(t, x.RecordResponse("empty", false))
 	require.True(t, x.Allow(at(1), "empty"), "an incomplete voter may still be polled")
-	require.True(t, x.Allow(at(2), "whole"))
+	require.True(t, x.Allow(at(2), "complete"))
 	require.False(t, x.Done())
-	require.True(t, x.RecordResponse("whole", true))
+	require.True(t, x.RecordResponse("complete", true))
 }
--- a/internal/fanout/bootstrap/doc.go
+++ b/internal/fanout/bootstrap/doc.go
@@ -2,8 +2,9 @@
 // others.
 //
 // After a power loss all voters and balancers start together. A response with all upstreams takes a
-// voter a third of a millisecond and a narrow link some ten, so one such response has to be enough.
-// Which voter recovers first is unknown; connections to all of them are therefore opened at once.
+// voter a third of a millisecond and a narrow link some ten, so that a balancer must request only
+// one. Which voter recovers first is unknown; connections to all of them are therefore opened at
+// once.
 //
 // The package has no I/O and no clock. A Sequencer is not safe for concurrent use.
 package bootstrap
--- a/internal/fanout/chunk/chunk.go
+++ b/internal/fanout/chunk/chunk.go
@@ -7,8 +7,9 @@
 	"wasabideal/internal/upstream/directory"
 )
 
-// maxNotices is the number of notices from which a response includes no further voter's. 500 notices
-// are 20 kB compressed, which a link of 2 Mbit/s delivers to ten followers within a second.
+// maxNotices is the number of notices in a response from which it includes those of no further
+// voter. 500 notices are 20 kB compressed, which a link of 2 Mbit/s delivers to ten followers
+// within a second.
 const maxNotices = 500
 
 // Chunker limits and orders responses to the balancers of an availability zone.
@@ -17,9 +18,9 @@
 // New returns a Chunker for followers in a zone.
 func New(zone string) Chunker { return Chunker{zone: zone} }
 
-// Fill adds the notices to the voters' states, first to voters of the follower's zone, where its
-// upstreams announce themselves. Once the limit is reached, the other voters keep their age only,
-// and the follower requests their notices next.
+// Fill adds the notices to the voters' updates, first for voters of the follower's zone, to which
+// the upstreams of the zone announce themselves. Once maxNotices is reached, the remaining updates
+// are reduced to their age, so that the follower requests their notices with its next poll.
 func (c Chunker) Fill(all []origins.Update, notices func(origins.Update) []directory.Notice) {
 	filled := 0
 	for _, i := range c.order(all) {
@@ -35,7 +36,7 @@
 	}
 }
 
-// order returns the indices of the voters' states, the given zone first.
+// order returns the indices of the updates, those from voters of the follower's zone first.
 func (c Chunker) order(all []origins.Update) []int {
 	order := make([]int, 0, len(all))
 	for i := range all {
--- a/internal/fanout/chunk/chunk_test.go
+++ b/internal/fanout/chunk/chunk_test.go
@@ -51,12 +51,12 @@
 			}
 			chunk.New("z2").Fill(all, notices)
 			responses++
-			require.LessOrEqual(t, responses, c.voters, "each answer has updates")
+			require.LessOrEqual(t, responses, c.voters, "each response has updates")
 			filled := 0
 			for _, x := range all {
 				filled += len(x.Notices)
 				if len(x.Notices) > 0 && responses == 1 && c.responses > 1 {
-					require.Equal(t, "z2", x.Zone, "the notices of the own zone come first")
+					require.Equal(t, "z2", x.Zone, "the notices of the follower's zone come first")
 				}
 				require.Equal(t, x.Life != 0, follower.Apply(epoch, x))
 			}
@@ -71,7 +71,7 @@
 }
 
 // Guards against voters that count as unreachable while their notices are deferred.
-func TestAnswerCoversContactOfAllVoters(t *testing.T) {
+func TestResponseHasContactOfAllVoters(t *testing.T) {
 	above, notices := parent(25, 400)
 	all, _ := above.UpdatesSince(epoch.Add(time.Second), nil)
 	chunk.New("z0").Fill(all, notices)
--- a/internal/fanout/members/members.go
+++ b/internal/fanout/members/members.go
@@ -9,7 +9,7 @@
 )
 
 // ReportInterval is the interval of a balancer's reports of its followers. A report of 80 members
-// is 3 kB; every five seconds that is 0.6 kB/s from a balancer at the top of the tree.
+// is 3 kB; every five seconds that is 0.6 kB/s from a root.
 const ReportInterval = 5 * time.Second
 
 // lease is how long a member is kept without refresh. A refresh from three levels below arrives
--- a/internal/fanout/membership/membership.go
+++ b/internal/fanout/membership/membership.go
@@ -15,7 +15,7 @@
 // their followers to restarted voters within seconds.
 const retention = 30 * time.Second
 
-// List holds the balancers known to one source. Life and Version identify the source's state.
+// List holds the balancers known to one source. Life and Version identify the list at the source.
 type List struct {
 	Life, Version uint64
 	Members       []member.Member
@@ -47,7 +47,7 @@
 	c.merge(now)
 }
 
-// RemoveSource removes a source. Its balancers are kept for the retention.
+// RemoveSource removes a source. Its balancers are kept for the retention time.
 func (c *Membership) RemoveSource(now time.Time, source string) {
 	if _, known := c.lists[source]; !known {
 		return
--- a/internal/fanout/membership/membership_test.go
+++ b/internal/fanout/membership/membership_test.go
@@ -46,7 +46,7 @@
 	require.Equal(t, []string{"b1"}, c.Addresses())
 }
 
-func TestBalancersOfDroppedSourceExpire(t *testing.T) {
+func TestBalancersOfRemovedSourceExpire(t *testing.T) {
 	c := membership.New()
 	c.SetList(epoch, "v1", list(1, "b1"))
 	c.RemoveSource(epoch, "v1")
--- a/internal/fanout/origins/origins.go
+++ b/internal/fanout/origins/origins.go
@@ -14,7 +14,8 @@
 type Known struct {
 	_     struct{} `cbor:",toarray"`
 	Voter string
-	// Life changes when the voter restarts; Version and Doubts rise until then.
+	// Life changes when the voter restarts. Until then Version, of its notices, and Doubts, of its
+	// suspicions, rise.
 	Life, Version, Doubts uint64
 	// Age is the time since the last contact with the voter.
 	Age time.Duration
@@ -30,8 +31,8 @@
 	Zone string
 	// Notices are the upstream changes after the version that was requested.
 	Notices []directory.Notice
-	// Subjects lists all suspicions of the voter. It is valid only if Doubted is set; otherwise the
-	// receiver keeps those that it has.
+	// Subjects lists all suspicions of the voter if Doubted is set; otherwise the receiver keeps
+	// those that it has.
 	Subjects []evidence.Suspicion
 	Doubted  bool
 }
@@ -40,12 +41,12 @@
 func (u Update) ContactOnly() Update { return Update{Known: Known{Voter: u.Voter, Age: u.Age}} }
 
 type state struct {
-	life, version, suspicions uint64
-	zone                      string
-	contact                   time.Time
-	// subjects are the voter's suspicions as received at subjectsAt.
-	subjects   []evidence.Suspicion
-	subjectsAt time.Time
+	life, version, suspicionsVersion uint64
+	zone                             string
+	contact                          time.Time
+	// suspicions are the voter's suspicions as received at suspicionsAt.
+	suspicions   []evidence.Suspicion
+	suspicionsAt time.Time
 }
 
 // Origins holds the state received from each voter.
@@ -61,7 +62,7 @@
 }
 
 func (s state) known(now time.Time, voter string) Known {
-	return Known{Voter: voter, Life: s.life, Version: s.version, Doubts: s.suspicions, Age: now.Sub(s.contact)}
+	return Known{Voter: voter, Life: s.life, Version: s.version, Doubts: s.suspicionsVersion, Age: now.Sub(s.contact)}
 }
 
 // Known returns the state received from each voter, in the order of their names.
@@ -83,14 +84,14 @@
 	case x.Life != s.life:
 		return now.Add(-x.Age).After(s.contact)
 	default:
-		return x.Version >= s.version && x.Doubts >= s.suspicions
+		return x.Version >= s.version && x.Doubts >= s.suspicionsVersion
 	}
 }
 
 // Complete fills in the held life and versions of an update that carries only an age.
 func (o *Origins) Complete(x Update) Update {
 	if s := o.byVoter[x.Voter]; x.Life == 0 {
-		x.Life, x.Version, x.Doubts = s.life, s.version, s.suspicions
+		x.Life, x.Version, x.Doubts = s.life, s.version, s.suspicionsVersion
 	}
 	return x
 }
@@ -102,12 +103,12 @@
 		return false
 	}
 	s := o.byVoter[x.Voter]
-	changed := s.life != x.Life || s.version != x.Version || s.suspicions != x.Doubts
+	changed := s.life != x.Life || s.version != x.Version || s.suspicionsVersion != x.Doubts
 	s.life, s.version, s.zone = x.Life, x.Version, cmp.Or(x.Zone, s.zone)
 	if x.Doubted {
-		s.subjects, s.subjectsAt = x.Subjects, now
+		s.suspicions, s.suspicionsAt = x.Subjects, now
 	}
-	s.suspicions = x.Doubts
+	s.suspicionsVersion = x.Doubts
 	if contact := now.Add(-x.Age); contact.After(s.contact) {
 		s.contact = contact
 	}
@@ -151,9 +152,9 @@
 		} else {
 			x = x.ContactOnly()
 		}
-		x.Doubted = x.Life != 0 && (!found || k.Life != s.life || k.Doubts != s.suspicions)
+		x.Doubted = x.Life != 0 && (!found || k.Life != s.life || k.Doubts != s.suspicionsVersion)
 		if x.Doubted {
-			x.Subjects = aged(s.subjects, now.Sub(s.subjectsAt))
+			x.Subjects = addAge(s.suspicions, now.Sub(s.suspicionsAt))
 		}
 		out = append(out, x)
 	}
@@ -168,11 +169,11 @@
 	case remote.Life != s.life:
 		return local.Age < remote.Age
 	default:
-		return s.version >= remote.Version && s.suspicions >= remote.Doubts && (s.version > remote.Version || s.suspicions > remote.Doubts)
+		return s.version >= remote.Version && s.suspicionsVersion >= remote.Doubts && (s.version > remote.Version || s.suspicionsVersion > remote.Doubts)
 	}
 }
 
-func aged(subjects []evidence.Suspicion, elapsed time.Duration) []evidence.Suspicion {
+func addAge(subjects []evidence.Suspicion, elapsed time.Duration) []evidence.Suspicion {
 	out := slices.Clone(subjects)
 	for i := range out {
 		out[i].Age += elapsed
--- a/internal/fanout/origins/origins_test.go
+++ b/internal/fanout/origins/origins_test.go
@@ -17,9 +17,8 @@
 	return origins.Update{Known: origins.Known{Voter: "v1", Life: life, Version: version, Age: age}}
 }
 
-// Guards against new flows to an upstream that has left. A balancer changes to a parent with an
-// older version of a voter's state, and the update received last was applied instead of the
-// newest.
+// Guards against new flows to a withdrawn upstream. A balancer changes to a parent with an older
+// version of a voter's state, and the update received last was applied instead of the newest.
 func TestOlderVersionIsRejected(t *testing.T) {
 	o := origins.New()
 	require.True(t, o.Apply(epoch, update(1, 7, 0)))
--- a/internal/fanout/relay/doc.go
+++ b/internal/fanout/relay/doc.go
@@ -1,3 +1,3 @@
-// Package relay answers the polls of a balancer's followers with the voter state that the balancer
-// has received.
+// Package relay lets a balancer answer the polls of its followers with the voter state that it has
+// received.
 package relay
--- a/internal/fanout/relay/relay.go
+++ b/internal/fanout/relay/relay.go
@@ -20,7 +20,7 @@
 	followerExpiry = 2 * time.Second
 	// noticeInterval is the minimum time between two responses with upstream notices, as at a voter.
 	// Without it, five voters would wake all followers up to fifty times a second. With three
-	// levels below the voters, a departure is known everywhere within a second.
+	// levels of balancers, a departure reaches all of them within a second.
 	noticeInterval = 250 * time.Millisecond
 	// suspicionDelay is how long a response with suspicions waits for those of other voters, which
 	// receive the same reports within some milliseconds.
@@ -49,10 +49,10 @@
 
 // Response contains what a follower lacks.
 type Response struct {
-	// Revision is the revision of the configuration in force here, or a newer announced one that
-	// this balancer has failed to get for some time.
+	// Revision is the revision of the configuration in force here, or a newer one that this
+	// balancer knows of but has failed to get for some time.
 	Revision uint64
-	// Origins holds the state of the voters.
+	// Origins holds the updates from the voters.
 	Origins []origins.Update
 	// Voters holds the RPC addresses of all known voters.
 	Voters []string
@@ -72,13 +72,13 @@
 type FullError struct{ Followers int }
 
 func (e *FullError) Error() string {
-	return fmt.Sprintf("%d balancers follow this one; ask another", e.Followers)
+	return fmt.Sprintf("this balancer already has %d followers; follow another one", e.Followers)
 }
 
 // LeavingError is returned if this balancer is shutting down.
 type LeavingError struct{}
 
-func (*LeavingError) Error() string { return "this balancer stops; follow another" }
+func (*LeavingError) Error() string { return "this balancer is shutting down; follow another one" }
 
 // Source is the source of the responses.
 type Source interface {
@@ -90,12 +90,13 @@
 
 // Relay holds the polls of followers until there are updates. It is safe for concurrent use.
 type Relay struct {
-	content      Source
+	source       Source
 	clock        func() time.Time
 	maxFollowers int
 	mu           sync.Mutex
-	changed      chan struct{}
-	// lastWake is when waiting polls were last woken, nextWake when they are scheduled to be.
+	// changed is closed and replaced to wake the held polls.
+	changed chan struct{}
+	// lastWake is when held polls were last woken, nextWake when they are scheduled to be.
 	lastWake, nextWake time.Time
 	// lastRequest is the time of each follower's last poll, lastUpdate that of its last response with
 	// updates.
@@ -105,7 +106,7 @@
 // New returns a relay that accepts at most maxFollowers followers.
 func New(c Source, clock func() time.Time, maxFollowers int) *Relay {
 	return &Relay{
-		content: c, clock: clock, maxFollowers: maxFollowers, changed: make(chan struct{}), lastRequest: map[string]time.Time{},
+		source: c, clock: clock, maxFollowers: maxFollowers, changed: make(chan struct{}), lastRequest: map[string]time.Time{},
 		lastUpdate: map[string]time.Time{},
 	}
 }
@@ -124,15 +125,15 @@
 	hold := time.NewTimer(q.Hold)
 	defer hold.Stop()
 	for {
-		changed := r.changes()
+		changed := r.changedChannel()
 		now := r.clock()
-		a, updated := r.content.Updates(now, q)
+		a, updated := r.source.Updates(now, q)
 		a.Held = now.Sub(received)
 		pause := r.responseDelay(now, q, a, updated)
 		if updated && pause <= 0 {
 			return a, nil
 		}
-		if r.content.ShuttingDown() {
+		if r.source.ShuttingDown() {
 			return Response{}, &LeavingError{}
 		}
 		select {
@@ -140,7 +141,7 @@
 		case <-changed:
 		case <-hold.C:
 			now = r.clock()
-			a, _ = r.content.Updates(now, q)
+			a, _ = r.source.Updates(now, q)
 			a.Held = now.Sub(received)
 			return a, nil
 		case <-ctx.Done():
@@ -201,7 +202,7 @@
 	return r.countFollowers(r.clock())
 }
 
-func (r *Relay) changes() chan struct{} {
+func (r *Relay) changedChannel() chan struct{} {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.changed
--- a/internal/fanout/rendezvous/rendezvous.go
+++ b/internal/fanout/rendezvous/rendezvous.go
@@ -21,8 +21,8 @@
 	return n
 }
 
-// First returns the names of the limit nodes with the highest weights for a key, highest first, or
-// all names in their given order if there are no more than limit.
+// First returns the names of up to limit nodes with the highest weights for a key, highest first. If
+// there are no more than limit nodes, it returns all names in their given order.
 func (n Nodes) First(key uint64, limit int) []string {
 	if len(n.names) <= limit {
 		return n.names
--- a/internal/fanout/selection/fleet_test.go
+++ b/internal/fanout/selection/fleet_test.go
@@ -31,10 +31,10 @@
 	maxUpdatesPerSecond                      = 100
 	tickEvery                                = 100 * time.Millisecond
 	inZone, betweenZones                     = time.Millisecond, 3 * time.Millisecond
-	// knownWithin is the bound on departures for fleets with a fan-out tree. A parent's state
-	// counts as stale at half of it.
+	// knownWithin is the bound on the time in which a departure reaches all balancers of a fleet
+	// with a fan-out tree. A parent's state counts as stale at half of it.
 	knownWithin = 4 * time.Second
-	// undisturbedFor is how long a balancer must have run undisturbed before the bound applies to
+	// undisturbedFor is how long a balancer must have run without faults before the bound applies to
 	// it.
 	undisturbedFor = 4 * time.Second
 	// seeds is the number of voters in the settings.
@@ -51,16 +51,17 @@
 type process struct {
 	name, zone string
 	voter      bool
-	// starts counts the process starts. poweredOff is without power, partitioned is cut off from
-	// every process, votersPartitioned from the voters only.
+	// starts counts the process starts. poweredOff means that the process is down, partitioned that
+	// it is cut off from every other process, votersPartitioned from the voters only.
 	starts                                     int
 	poweredOff, partitioned, votersPartitioned bool
 	pausedUntil                                time.Time
-	disturbed                                  time.Time
-	queued                                     []func()
-	waiting                                    []func()
-	woken                                      time.Time
-	waking                                     bool
+	// disturbed is when the last fault of the process ended or ends.
+	disturbed time.Time
+	queued    []func()
+	waiting   []func()
+	woken     time.Time
+	waking    bool
 	// version is the latest version of a voter; origins is what a balancer has received.
 	version    uint64
 	fleet      *members.Members
@@ -68,13 +69,13 @@
 	membership *membership.Membership
 	followers  *members.Members
 	selection  *selection.Selection
-	watches    map[string]*modelWatch
+	sources    map[string]*modelSource
 	lastPoll   map[string]time.Time
 	// messages and bytes count what this process sent.
 	messages, bytes int
 }
 
-type modelWatch struct {
+type modelSource struct {
 	target     *process
 	responsive bool
 	stopped    bool
@@ -90,7 +91,8 @@
 	balancers []*process
 	loss      float64
 	// changed holds the time at which the voters received each version.
-	changed       []time.Time
+	changed []time.Time
+	// late describes the balancers that did not receive a version in time.
 	late          []string
 	mostFollowers int
 }
@@ -135,7 +137,7 @@
 		return
 	}
 	p.origins, p.membership, p.followers = origins.New(), membership.New(), members.New()
-	p.watches = map[string]*modelWatch{}
+	p.sources = map[string]*modelSource{}
 	p.selection = selection.New(selection.Settings{
 		Self: p.name, Shape: m.shape, StaleAfter: knownWithin / 2, Jitter: m.random.Float64(),
 	}, m.Now)
@@ -144,8 +146,8 @@
 	m.AfterFunc(200*time.Millisecond, m.whileAlive(p, func() { m.reportFollowers(p) }))
 }
 
-// whileAlive wraps a callback so that it runs only in the current life of a process, and is
-// deferred while the process is paused.
+// whileAlive wraps a callback so that it runs only until the process stops, and is deferred while
+// the process is paused.
 func (m *model) whileAlive(p *process, do func()) func() {
 	start := p.starts
 	return func() {
@@ -233,7 +235,7 @@
 
 func (m *model) reconcile(p *process) {
 	answering := 0
-	for _, w := range p.watches {
+	for _, w := range p.sources {
 		if w.target.voter && w.responsive {
 			answering++
 		}
@@ -250,24 +252,24 @@
 		}
 	}
 	wanted = append(wanted, s.Parents...)
-	for name, w := range p.watches {
+	for name, w := range p.sources {
 		if !slices.Contains(wanted, name) {
 			w.stopped = true
-			delete(p.watches, name)
+			delete(p.sources, name)
 			p.membership.RemoveSource(m.Now, name)
 		}
 	}
 	for _, name := range wanted {
-		if p.watches[name] == nil {
-			w := &modelWatch{target: m.processes[name]}
-			p.watches[name] = w
+		if p.sources[name] == nil {
+			w := &modelSource{target: m.processes[name]}
+			p.sources[name] = w
 			m.poll(p, w)
 		}
 	}
 }
 
 // poll polls a source; the response triggers the next poll.
-func (m *model) poll(p *process, w *modelWatch) {
+func (m *model) poll(p *process, w *modelSource) {
 	hold, grace := parentHold, parentGrace
 	if w.target.voter {
 		hold, grace = voterHold, voterGrace
@@ -317,7 +319,7 @@
 	return follows || len(s.lastPoll) < maxFollowers
 }
 
-// reply answers immediately if there are updates, else after the hold.
+// reply answers a poll immediately if there are updates, else after the hold.
 func (m *model) reply(s, to *process, known []origins.Known, fleet uint64, hold time.Duration, deliver func([]origins.Update, membership.List, time.Duration)) {
 	received := m.Now
 	s.lastPoll[to.name] = m.Now
@@ -369,7 +371,7 @@
 }
 
 // answered applies a response and polls again.
-func (m *model) answered(p *process, w *modelWatch, all []origins.Update, l membership.List, roundTrip time.Duration) {
+func (m *model) answered(p *process, w *modelSource, all []origins.Update, l membership.List, roundTrip time.Duration) {
 	w.responsive = true
 	updated, fresh := false, 0
 	for _, x := range all {
@@ -404,7 +406,7 @@
 	}
 }
 
-func (m *model) failed(p *process, w *modelWatch) {
+func (m *model) failed(p *process, w *modelSource) {
 	w.responsive = false
 	if w.target.voter {
 		m.AfterFunc(voterRetryPause, m.whileAlive(p, func() {
@@ -415,7 +417,7 @@
 		return
 	}
 	w.stopped = true
-	delete(p.watches, w.target.name)
+	delete(p.sources, w.target.name)
 	p.membership.RemoveSource(m.Now, w.target.name)
 	p.selection.RecordFailure(m.Now, w.target.name)
 	m.reconcile(p)
@@ -456,7 +458,7 @@
 		all = append(all, members.Heartbeat{Member: member.Member{Zone: p.zone, Address: p.name}})
 		up = append(up, m.processes[parent])
 	} else {
-		for _, w := range p.watches {
+		for _, w := range p.sources {
 			if w.target.voter && w.responsive {
 				up = append(up, w.target)
 			}
@@ -490,7 +492,7 @@
 	m.AfterFunc(knownWithin, func() { m.check(version, published) })
 }
 
-// check records the undisturbed balancers that do not have a version in time.
+// check records the balancers without recent faults that do not have a version in time.
 func (m *model) check(version uint64, published time.Time) {
 	for _, b := range m.balancers {
 		if b.poweredOff || b.partitioned || b.votersPartitioned || published.Sub(b.disturbed) < undisturbedFor {
@@ -507,7 +509,7 @@
 	}
 }
 
-// requireNoCycles fails if a balancer follows itself through others.
+// requireNoCycles fails if a balancer is its own indirect follower.
 func (m *model) requireNoCycles(t require.TestingT) {
 	for _, b := range m.balancers {
 		steps := 0
@@ -521,7 +523,7 @@
 // shapeLevels returns an upper bound on the levels of the largest zone.
 func (m *model) shapeLevels() []int { return make([]int, 8) }
 
-// countFollowers returns how many balancers polled a process in the last second.
+// countFollowers returns how many balancers have polled a process within the last second.
 func (m *model) countFollowers(p *process) int {
 	n := 0
 	for _, at := range p.lastPoll {
@@ -634,9 +636,9 @@
 	}
 }
 
-// Undisturbed balancers receive each change in time, whatever fails among 1,000: relays that pause,
-// lose power, are partitioned from every process or from the voters, or restart in bulk, including
-// all roots of a zone; lost messages; and voters that restart.
+// Balancers without recent faults receive each change in time, whatever fails among 1,000: balancers
+// that pause, lose power, are partitioned from every process or from the voters, or restart in
+// bulk, including all roots of a zone; lost messages; and voters that restart.
 func TestChangesArriveInTimeDespiteFailures(t *testing.T) {
 	for seed := range uint64(*runs) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) { runWithFaults(t, seed) })
--- a/internal/fanout/selection/selection.go
+++ b/internal/fanout/selection/selection.go
@@ -13,10 +13,10 @@
 	// most of the voters' load came from balancers in a rolling restart, which received each change
 	// directly from them.
 	startupPeriod = 500 * time.Millisecond
-	// voterSubsetPeriod is how long one voter is enough after a start, and some voters after a
-	// parent failed. It is below the four seconds for which a voter's relayed report of upstreams
-	// that other voters monitor remains valid. Polling all voters at once would make all followers
-	// of a stopping balancer connect to each of them.
+	// voterSubsetPeriod is how long one voter is enough after a start, and a subset of the voters
+	// after a parent failed. It is below the four seconds for which a voter's restored notices,
+	// on upstreams that other voters own, remain valid. Polling all voters at once would make all
+	// followers of a stopping balancer connect to each of them.
 	voterSubsetPeriod = 2500 * time.Millisecond
 	// avoidPeriod is how long a failed balancer is not polled again.
 	avoidPeriod = 5 * time.Second
@@ -24,10 +24,10 @@
 	// polled as well. A connection and a response take some ms.
 	candidateTimeout = 300 * time.Millisecond
 	// degradedFraction is the fraction of StaleAfter for which a parent may have too few fresh
-	// voters before others are polled. Its state is StaleAfter old by then, half of the bound on
-	// configurations and departures. With a fraction of 1, a balancer whose parent was cut off
-	// placed a flow 6.2 s after a change, where 5 are allowed. A voter that restarts is back in
-	// time.
+	// voters before other sources are polled. Its state is StaleAfter old by then, half of the
+	// bound on configurations and departures. With a fraction of 1, a balancer whose parent was
+	// cut off placed a flow by a configuration replaced 6.2 s before, where 5 are allowed. A voter
+	// that restarts answers again within this time.
 	degradedFraction = 0.2
 	// firstProbeFraction is the fraction of StaleAfter over which the first probes of the voters
 	// are spread, so that the balancers of a zone do not poll them all at once.
@@ -52,7 +52,7 @@
 
 // Sources are the processes that a balancer polls.
 type Sources struct {
-	// Voters selects the voters, VoterSubset limits them to some because a parent is expected soon,
+	// Voters selects the voters. VoterSubset limits them to a few while a parent is expected soon,
 	// and SingleVoter to one because the balancer has just started.
 	Voters, VoterSubset, SingleVoter bool
 	// Parents are the polled balancers, the current parent first.
@@ -62,13 +62,15 @@
 // Reason is why a balancer changed its parent.
 type Reason string
 
-// Reasons as they appear in the log.
+// Reasons as they appear in the log. FewerFreshVoters means that a candidate has more fresh voters
+// than the parent, or that more voters answer directly. Moved and Root mean that the balancer's
+// position in the tree changed, Root to level 0.
 const (
-	Joined Reason = "candidate answers"
-	Failed Reason = "parent does not answer"
-	Stale  Reason = "parent hears fewer voters"
-	Moved  Reason = "place in the zone changed"
-	Root   Reason = "place at the top of the zone"
+	Joined           Reason = "candidate answers"
+	Failed           Reason = "parent does not answer"
+	FewerFreshVoters Reason = "parent hears fewer voters"
+	Moved            Reason = "place in the zone changed"
+	Root             Reason = "place at the top of the zone"
 )
 
 // Change is a change of parent; an empty parent stands for the voters.
@@ -83,16 +85,16 @@
 	started  time.Time
 	place    tree.Place
 	placed   bool
-	// parent is empty while the voters are followed.
+	// parent is empty while the balancer follows the voters.
 	parent string
-	// parentFailedAt is when the last parent failed, zero if none has; until voterSubsetUntil some
-	// voters are enough in its place.
+	// parentFailedAt is when the last parent failed, zero if none has. Until voterSubsetUntil a
+	// subset of the voters is enough in its place.
 	parentFailedAt, voterSubsetUntil time.Time
-	// freshVoters is the number of fresh voters per source; the key "" holds how many voters answer
-	// this balancer directly.
+	// freshVoters is the number of fresh voters at each polled balancer; the key "" holds how many
+	// voters answer this balancer directly.
 	freshVoters map[string]int
-	// degradedSince is when the followed source fell below the quorum of fresh voters, zero while
-	// it has one.
+	// degradedSince is when the parent, or the direct answers without a parent, fell below a quorum
+	// of fresh voters; zero while there is one.
 	degradedSince time.Time
 	// avoidedUntil holds when each avoided balancer may be polled again.
 	avoidedUntil map[string]time.Time
@@ -117,7 +119,7 @@
 // Level returns the balancer's level in the tree.
 func (s *Selection) Level() int { return s.place.Level }
 
-// Parent returns the current parent, empty while the voters are followed.
+// Parent returns the current parent, empty while the balancer follows the voters.
 func (s *Selection) Parent() string { return s.parent }
 
 // TakeChange returns and clears the last change.
@@ -139,7 +141,7 @@
 	}
 }
 
-// trackDegradation records since when the followed source has too few fresh voters.
+// trackDegradation updates degradedSince by the number of fresh voters.
 func (s *Selection) trackDegradation(now time.Time, fresh int) {
 	if fresh >= s.quorum {
 		s.degradedSince = time.Time{}
@@ -162,13 +164,13 @@
 	case s.misplaced() && fresh >= min(s.freshVoters[s.parent], s.quorum):
 		s.setParent(now, from, Moved)
 	case fresh > s.freshVoters[s.parent]:
-		s.setParent(now, from, Stale)
+		s.setParent(now, from, FewerFreshVoters)
 	default:
 		s.avoid(now, from)
 	}
 }
 
-// RecordFailure records that a balancer did not answer or refused.
+// RecordFailure records that a balancer did not answer or rejected the poll.
 func (s *Selection) RecordFailure(now time.Time, from string) {
 	delete(s.freshVoters, from)
 	s.avoid(now, from)
@@ -188,11 +190,12 @@
 	s.trackDegradation(now, s.freshVoters[parent])
 }
 
-// misplaced reports whether the parent is no longer a candidate.
+// misplaced reports whether the parent is not a candidate of the balancer's current place.
 func (s *Selection) misplaced() bool {
 	return s.parent != "" && !slices.Contains(s.place.Candidates, s.parent)
 }
 
+// isStale reports whether the source has been degraded for too long.
 func (s *Selection) isStale(now time.Time) bool {
 	return !s.degradedSince.IsZero() && now.Sub(s.degradedSince) > s.fractionOfStaleAfter(degradedFraction)
 }
@@ -222,8 +225,8 @@
 	}
 }
 
-// rootSources returns the sources of a root: the voters, and another root if most voters do not
-// answer directly.
+// rootSources returns the sources of a root: the voters, and another root if fewer than a quorum of
+// voters answer directly.
 func (s *Selection) rootSources(now time.Time) Sources {
 	out := Sources{Voters: true}
 	if s.isStale(now) {
@@ -256,14 +259,14 @@
 	if s.parent != "" && s.isStale(now) && s.freshVoters[""] > s.freshVoters[s.parent] {
 		s.avoid(now, s.parent)
 		s.parentFailedAt, s.voterSubsetUntil = now.Add(-candidateTimeout), time.Time{}
-		s.setParent(now, "", Stale)
+		s.setParent(now, "", FewerFreshVoters)
 	}
 }
 
-func (s *Selection) candidates(now time.Time, most int) []string {
+func (s *Selection) candidates(now time.Time, limit int) []string {
 	var out []string
 	for _, c := range s.place.Candidates {
-		if c != s.parent && len(out) < most && !now.Before(s.avoidedUntil[c]) {
+		if c != s.parent && len(out) < limit && !now.Before(s.avoidedUntil[c]) {
 			out = append(out, c)
 		}
 	}
--- a/internal/fanout/selection/selection_test.go
+++ b/internal/fanout/selection/selection_test.go
@@ -38,7 +38,7 @@
 			return a
 		}
 	}
-	require.Fail(t, "no such level")
+	require.Fail(t, "no balancer on level 1")
 	return ""
 }
 
@@ -84,8 +84,8 @@
 }
 
 // Guards against a balancer that knows a fifth of the upstreams four seconds after its start. It
-// found no parent, one voter was enough until it did, and that voter monitored the upstreams of one
-// zone.
+// found no parent, polled a single voter until it did, and that voter owned only the upstreams of
+// one zone.
 func TestAllVotersArePolledWithoutParent(t *testing.T) {
 	all := zone(20)
 	s := selection.New(selection.Settings{Self: firstLevelBalancer(t, all), Shape: shape, StaleAfter: staleAfter}, epoch)
@@ -103,7 +103,7 @@
 	}
 }
 
-// Guards against followers of a balancer that lost power and receive no change for seconds. The
+// Guards against followers that receive no change for seconds after their parent lost power. The
 // next candidate had lost power too, and candidates were polled one after the other, each for its
 // full timeout.
 func TestFailedParentIsReplacedByCandidatesThenVoters(t *testing.T) {
@@ -138,15 +138,15 @@
 	require.Equal(t, c[:1], s.Decide(at(6*time.Second)).Parents, "failed candidates are retried")
 }
 
-// Guards against late departures on working connections: the parent answers but is cut off from the
-// voters, and a parent was replaced only once it did not answer.
-func TestStaleParentIsReplacedByFresherOne(t *testing.T) {
+// Guards against departures that arrive late from a parent that answers but is cut off from the
+// voters: a parent was replaced only once it did not answer.
+func TestParentWithFewerFreshVotersIsReplaced(t *testing.T) {
 	s, c := newFollowing(t)
 	s.RecordResponse(epoch, c[0], 1)
 	require.Equal(t, c[:1], s.Decide(at(staleAfter/5)).Parents)
 	later := at(staleAfter/5 + 10*time.Millisecond)
 	s.RecordResponse(later, c[0], 1)
-	require.Equal(t, c[:2], s.Decide(later).Parents, "the parent is polled until another one is fresher")
+	require.Equal(t, c[:2], s.Decide(later).Parents, "the parent is polled until a candidate has more fresh voters")
 	s.RecordResponse(later, c[1], voters)
 	require.Equal(t, selection.Sources{Parents: c[1:2]}, s.Decide(later))
 }
@@ -154,7 +154,7 @@
 // Guards against all balancers of a zone polling unreachable voters, and reaching them all at once
 // on recovery. When a zone is cut off or all voters are down, every candidate has equally few fresh
 // voters, but a stale parent was replaced regardless.
-func TestStaleParentIsKeptWithoutFresherOne(t *testing.T) {
+func TestParentIsKeptIfNoCandidateHasMoreFreshVoters(t *testing.T) {
 	s, c := newFollowing(t)
 	polled := 0
 	for d := time.Duration(0); d < time.Minute; d += 100 * time.Millisecond {
@@ -242,8 +242,8 @@
 
 // Guards against a balancer that places a flow by a configuration replaced 6.2 s earlier, where 5
 // are allowed, although it can reach all voters. Its parent was cut off from the voters but
-// answered, and all other candidates were full. The parent's state had to be StaleAfter old, half
-// of the bound, for as long again, and the voters were polled up to five seconds after that.
+// answered, and all other candidates were full. The parent's state had to be older than StaleAfter,
+// half of the bound, for as long again, and the voters were polled up to five seconds after that.
 func TestIsolatedParentIsReplacedWithinBound(t *testing.T) {
 	const bound = 2 * staleAfter
 	for _, jitter := range []float64{0, 0.5, 1} {
--- a/internal/fanout/tree/tree.go
+++ b/internal/fanout/tree/tree.go
@@ -17,8 +17,8 @@
 	Fanout int
 }
 
-// maxCandidates bounds the candidate parents of a balancer. Each that fails takes some tenths of a
-// second, so that following the voters is faster after that many.
+// maxCandidates bounds the candidate parents of a balancer. Each one that fails takes some tenths of
+// a second; after that many, following the voters is faster.
 const maxCandidates = 8
 
 // Place is the position of a balancer in the tree.
@@ -108,9 +108,9 @@
 	if s.MultiLevel(zone) {
 		nodes = nodes[:max(s.Roots, 1)]
 	}
-	top := map[string]bool{}
+	roots := map[string]bool{}
 	for _, n := range nodes {
-		top[n.address] = true
+		roots[n.address] = true
 	}
-	return top
+	return roots
 }
--- a/internal/fanout/tree/tree_test.go
+++ b/internal/fanout/tree/tree_test.go
@@ -43,15 +43,15 @@
 	}
 }
 
-func TestTopIsLevelZero(t *testing.T) {
+func TestRootsAreAtLevelZero(t *testing.T) {
 	all := zone(40)
-	top := shape.RootsOf(all)
+	roots := shape.RootsOf(all)
 	for _, a := range all {
-		require.Equal(t, shape.PlaceOf(a, all).Level == 0, top[a])
+		require.Equal(t, shape.PlaceOf(a, all).Level == 0, roots[a])
 	}
 }
 
-// Hashes spread followers unevenly; a balancer has up to twice the mean number.
+// Hashes spread followers unevenly, but no balancer has more than twice the mean number.
 func TestFollowersAreSpread(t *testing.T) {
 	all := zone(600)
 	followers := map[string]int{}
@@ -80,7 +80,7 @@
 }
 
 // Guards against a cycle whose balancers receive no changes although each of their parents answers.
-// Two balancers with different lists, while others joined and left, followed each other, each above
+// While others joined and left, two balancers with different lists followed each other, each above
 // the other in its own list.
 func TestNoCyclesWithDifferentLists(t *testing.T) {
 	all := zone(60)
