--- a/internal/flow/choice/plan.go
+++ b/internal/flow/choice/plan.go
@@ -15,15 +15,16 @@
 //
 // Flows arrive at zones in proportion to the slots that their balancers own, and leave in
 // proportion to the capacity there: a zone keeps flows up to its capacity and spills the
-// excess to zones with spare capacity. Plans use no load reports, which are seconds old: balancers that all
-// follow them overshoot (max over mean 1.09 to 1.20 at 3,000 openings a second).
+// excess to zones with spare capacity. Plans use no load reports, which are seconds old: balancers
+// that all act on them overshoot (max over mean 1.09 to 1.20 at 3,000 openings a second).
 type Plan struct {
 	pool []Candidate
 	// localShare is the share of flows that stay in the local zone.
 	localShare float64
-	local      []int
-	spill      []spillZone
-	all        []int
+	// local and all are the pool indices of the upstreams in the local zone and in all zones.
+	local []int
+	spill []spillZone
+	all   []int
 }
 
 // spillZone is a zone that receives spilled flows, with their cumulative share.
--- a/internal/flow/ownership/ownership.go
+++ b/internal/flow/ownership/ownership.go
@@ -27,7 +27,7 @@
 	Address netip.AddrPort
 	// Start distinguishes the incarnations of a balancer: after a restart it stores no flow.
 	Start uint64
-	// Passive members may store flows, but are no replicas: they are joining or leaving.
+	// Passive members are joining or leaving: they may store flows, but are no replicas.
 	Passive bool
 }
 
@@ -40,6 +40,8 @@
 	zoneShares map[string]float64
 }
 
+// ranking holds the indices of the members to query for a slot's flows; the first ones are its
+// replicas.
 type ranking struct {
 	members  [maxLookups]uint16
 	length   uint8
@@ -80,10 +82,11 @@
 	members []Member
 	seeds   []uint64
 	zones   []int
-	// zoneBest holds the best active member of each zone, and top the best of all zones.
+	// zoneBest holds the active member of each zone with the highest score, and top the best of all
+	// zones.
 	zoneBest []score
 	top      [replicaCount]score
-	// passive is the best passive member.
+	// passive is the passive member with the highest score.
 	passive score
 }
 
@@ -160,7 +163,7 @@
 		r.add(s)
 	}
 	last := b.top[replicaCount-1]
-	if r.length == replicaCount-1 && b.oneZone(r) && last.known && b.zones[last.index] == b.zones[r.members[0]] {
+	if r.length == replicaCount-1 && b.sameZone(r) && last.known && b.zones[last.index] == b.zones[r.members[0]] {
 		if other := b.bestOutside(b.zones[r.members[0]]); other.known {
 			last = other
 		}
@@ -168,7 +171,7 @@
 	r.add(last)
 }
 
-func (b *builder) oneZone(r *ranking) bool { return b.zones[r.members[0]] == b.zones[r.members[1]] }
+func (b *builder) sameZone(r *ranking) bool { return b.zones[r.members[0]] == b.zones[r.members[1]] }
 
 func (b *builder) bestOutside(zone int) score {
 	var other score
@@ -215,8 +218,8 @@
 
 // IsOwner reports whether the local balancer owns the slot.
 func (o *Ownership) IsOwner(slot int) bool {
-	c := o.Replicas(slot)
-	return len(c) > 0 && o.IsSelf(c[0])
+	replicas := o.Replicas(slot)
+	return len(replicas) > 0 && o.IsSelf(replicas[0])
 }
 
 // IsReplica reports whether the local balancer is a replica of the slot.
@@ -231,14 +234,14 @@
 func (o *Ownership) countZoneShares() map[string]float64 {
 	shares := map[string]float64{}
 	for slot := range o.slots {
-		if c := o.Replicas(slot); len(c) > 0 {
-			shares[o.members[c[0]].Zone] += 1.0 / Slots
+		if replicas := o.Replicas(slot); len(replicas) > 0 {
+			shares[o.members[replicas[0]].Zone] += 1.0 / Slots
 		}
 	}
 	return shares
 }
 
-// SameReplicas reports whether both rankings have the same incarnations of the same replicas.
+// SameReplicas reports whether a slot has the same incarnations of the same replicas in both.
 func (o *Ownership) SameReplicas(p *Ownership, slot int) bool {
 	a, b := o.Replicas(slot), p.Replicas(slot)
 	if len(a) != len(b) {
--- a/internal/flow/router/configure.go
+++ b/internal/flow/router/configure.go
@@ -19,11 +19,11 @@
 // JoinStage is the stage of a balancer that joins its group.
 type JoinStage uint8
 
-// The stages of joining. Callers retransmit openings that are dropped meanwhile.
+// The stages of joining. Callers retransmit openings that a joining balancer drops.
 const (
-	// Joined balancers open the flows that they own.
+	// Joined balancers open the flows of all slots that they own.
 	Joined JoinStage = iota
-	// Provisional balancers open them only in slots with another known replica.
+	// Provisional balancers open only those in slots with another known replica.
 	Provisional
 	// Discovering balancers open no flow.
 	Discovering
@@ -130,13 +130,13 @@
 // SetOwnership replaces the ranking of members and starts the repair of changed slots.
 func (r *Router) SetOwnership(now time.Time, o *ownership.Ownership) {
 	before := r.ownership
-	at := r.seconds(now)
+	nowSeconds := r.seconds(now)
 	for slot := range ownership.Slots {
 		if o.SameReplicas(before, slot) {
 			continue
 		}
 		r.versions[slot]++
-		r.changedAt[slot] = at + 1
+		r.changedAt[slot] = nowSeconds + 1
 		if o.MustRepair(before, slot) || r.repair.isDirty(slot) && o.IsReplica(slot) {
 			r.repair.markDirty(slot)
 		}
@@ -170,7 +170,7 @@
 }
 
 // unsettled reports whether the replicas of the slot changed less than Settle ago.
-func (r *Router) unsettled(slot int, at uint32) bool {
-	c := r.changedAt[slot]
-	return c != 0 && at-(c-1) < uint32(r.settings.Settle/time.Second)
+func (r *Router) unsettled(slot int, nowSeconds uint32) bool {
+	changedAt := r.changedAt[slot]
+	return changedAt != 0 && nowSeconds-(changedAt-1) < uint32(r.settings.Settle/time.Second)
 }
--- a/internal/flow/router/doc.go
+++ b/internal/flow/router/doc.go
@@ -2,9 +2,9 @@
 //
 // Every flow has an owner and replicas (package ownership). A balancer that stores the flow
 // sends its packets to the upstream; any other relays them to the owner. Packets replicate the
-// flow: an opening passes through every replica before the upstream receives it, so a caller's
-// response to the upstream proves that the replicas have the flow. After a membership change,
-// packets and background repair within a byte budget create the missing copies.
+// flow: an opening is relayed through all replicas before the upstream receives it, so a caller's
+// acknowledgement of the upstream's response proves that the replicas store the flow. After a
+// membership change, packets and background repair within a byte budget create the missing copies.
 //
 // The router is modified in place, because routing a packet of a stored flow must not allocate.
 // It is not safe for concurrent use, and the current time is an argument of each call.
--- a/internal/flow/router/relayed.go
+++ b/internal/flow/router/relayed.go
@@ -25,35 +25,35 @@
 	slot := ownership.Slot(hash)
 	switch {
 	case h.HasFlag(relay.FlagHasEntry):
-		r.relayedEntry(now, &h, hash, slot, packet, out)
+		r.handleEntry(now, &h, hash, slot, packet, out)
 	case h.HasFlag(relay.FlagNotFound):
-		r.relayedMiss(now, hash, slot, packet, out)
+		r.handleNotFound(now, hash, slot, packet, out)
 	case h.HasFlag(relay.FlagLookup):
-		r.relayedLookup(now, &h, hash, slot, packet, out)
+		r.handleLookup(now, &h, hash, slot, packet, out)
 	default:
-		r.relayedPacket(now, &h, hash, slot, packet, out)
+		r.handlePacket(now, &h, hash, slot, packet, out)
 	}
 }
 
-// relayedEntry stores a copy of the flow and forwards the packet.
-func (r *Router) relayedEntry(now time.Time, h *relay.Header, hash uint64, slot int, packet []byte, out *effect.List) {
+// handleEntry stores a copy of the flow and forwards the packet.
+func (r *Router) handleEntry(now time.Time, h *relay.Header, hash uint64, slot int, packet []byte, out *effect.List) {
 	c := record{key: r.parser.Key, state: table.State(h.State), target: h.Target, fromOwner: r.isOwner(slot, h.Origin)}
 	e := r.store(now, c, hash, slot)
 	if e == nil {
-		// The table is full: the flow has one replica fewer.
+		// The table is full: the flow has one copy fewer.
 		r.forward(h, r.targets.intern(h.Target), packet, out)
 		return
 	}
-	at := r.seconds(now)
-	e.LastCopied = at
-	r.observe(e, at)
+	nowSeconds := r.seconds(now)
+	e.LastCopied = nowSeconds
+	r.observe(e, nowSeconds)
 	r.forward(h, e.Upstream, packet, out)
 }
 
 // store merges a flow received from another member and returns its entry, or nil if the table
 // is full.
 func (r *Router) store(now time.Time, c record, hash uint64, slot int) *table.Entry {
-	at := r.seconds(now)
+	nowSeconds := r.seconds(now)
 	index := r.targets.intern(c.target)
 	if e := r.table.Find(c.key, hash); e != nil {
 		r.merge(e, c, index)
@@ -61,8 +61,8 @@
 	}
 	e, err := r.table.Insert(table.Entry{
 		Key: c.key, State: c.state, CopyPackets: requiredCopyPackets, Upstream: index,
-		LastSeen: at, LastCopied: at, Version: r.versions[slot],
-	}, hash, at)
+		LastSeen: nowSeconds, LastCopied: nowSeconds, Version: r.versions[slot],
+	}, hash, nowSeconds)
 	if err != nil {
 		r.Counters.TableFull++
 		return nil
@@ -92,8 +92,8 @@
 	r.addLoad(e, 1)
 }
 
-// relayedPacket routes a packet relayed by a balancer that does not store the flow.
-func (r *Router) relayedPacket(now time.Time, h *relay.Header, hash uint64, slot int, packet []byte, out *effect.List) {
+// handlePacket routes a packet relayed by a balancer that does not store the flow.
+func (r *Router) handlePacket(now time.Time, h *relay.Header, hash uint64, slot int, packet []byte, out *effect.List) {
 	e := r.table.Find(r.parser.Key, hash)
 	if e != nil && (r.mayServe(e, slot, now) || h.Hops >= maxHops) {
 		r.serve(now, e, slot, packet, nil, out)
@@ -102,9 +102,9 @@
 	r.miss(now, hash, slot, packet, h.Hops, out)
 }
 
-// relayedLookup handles a lookup by an owner that does not store the flow. It sends the packet
+// handleLookup handles a lookup by an owner that does not store the flow. It sends the packet
 // through the owner with a copy of the flow, or forwards the lookup to the next member.
-func (r *Router) relayedLookup(now time.Time, h *relay.Header, hash uint64, slot int, packet []byte, out *effect.List) {
+func (r *Router) handleLookup(now time.Time, h *relay.Header, hash uint64, slot int, packet []byte, out *effect.List) {
 	e := r.table.Find(r.parser.Key, hash)
 	reopens := e != nil && r.parser.Opening && e.State == table.Closing
 	unconfirmed := e != nil && r.unconfirmed(e, slot, now) && !h.PathEmpty()
@@ -127,8 +127,8 @@
 	r.send(h, origin, packet, out)
 }
 
-// relayedMiss handles the response that no queried member stores the flow.
-func (r *Router) relayedMiss(now time.Time, hash uint64, slot int, packet []byte, out *effect.List) {
+// handleNotFound handles the response that no queried member stores the flow.
+func (r *Router) handleNotFound(now time.Time, hash uint64, slot int, packet []byte, out *effect.List) {
 	if e := r.table.Find(r.parser.Key, hash); e != nil {
 		r.serve(now, e, slot, packet, nil, out)
 		return
@@ -138,9 +138,9 @@
 
 // isOwner reports whether the address is that of the slot's owner.
 func (r *Router) isOwner(slot int, a netip.AddrPort) bool {
-	c := r.ownership.Replicas(slot)
-	return len(c) > 0 && r.peerOf(c[0]) == a
+	replicas := r.ownership.Replicas(slot)
+	return len(replicas) > 0 && r.memberAddress(replicas[0]) == a
 }
 
-// peerOf returns the address of the member with the given index.
-func (r *Router) peerOf(i uint16) netip.AddrPort { return r.ownership.Member(i).Address }
+// memberAddress returns the address of the member with the given index.
+func (r *Router) memberAddress(i uint16) netip.AddrPort { return r.ownership.Member(i).Address }
--- a/internal/flow/router/repair.go
+++ b/internal/flow/router/repair.go
@@ -27,7 +27,7 @@
 	maxScan = 1 << 16
 )
 
-// record is a flow received from another member.
+// record is a copy of a flow received from another member.
 type record struct {
 	key    key.Key
 	state  table.State
@@ -43,7 +43,8 @@
 	sent time.Time
 }
 
-// repair scans the table and sends the flows of dirty slots to their replicas.
+// repair scans the table and sends the flows of dirty slots, whose replicas have changed, to the
+// other replicas.
 type repair struct {
 	dirty      [ownership.Slots]bool
 	anyDirty   bool
@@ -145,7 +146,7 @@
 		if r.ownership.IsSelf(i) {
 			continue
 		}
-		r.appendRecord(now, r.peerOf(i), e, out)
+		r.appendRecord(now, r.memberAddress(i), e, out)
 	}
 	e.Version = r.versions[slot]
 	e.CopyPackets = requiredCopyPackets
@@ -221,21 +222,22 @@
 // expiryTicks is the number of ticks in which the whole table is scanned for expired flows.
 const expiryTicks = 64
 
-// expire removes flows that have timed out, and those of which this balancer is no replica.
+// expire removes flows that have timed out, and those of which this balancer is no longer a
+// replica.
 func (r *Router) expire(now time.Time) {
-	at := r.seconds(now)
+	nowSeconds := r.seconds(now)
 	n := max(r.table.Capacity()/expiryTicks, 1)
 	for range n {
 		r.expiryPosition = (r.expiryPosition + 1) % r.table.Capacity()
 		e := r.table.At(r.expiryPosition)
-		if e != nil && r.expired(e, at) {
+		if e != nil && r.expired(e, nowSeconds) {
 			r.remove(e)
 		}
 	}
 }
 
-func (r *Router) expired(e *table.Entry, at uint32) bool {
-	idle := at - e.LastSeen
+func (r *Router) expired(e *table.Entry, nowSeconds uint32) bool {
+	idle := nowSeconds - e.LastSeen
 	switch e.State {
 	case table.Opening:
 		return idle > uint32(r.settings.OpeningTimeout/time.Second)
@@ -243,7 +245,7 @@
 		return idle > uint32(r.settings.ClosingTimeout/time.Second)
 	}
 	slot := ownership.Slot(e.Key.Hash())
-	if !r.ownership.IsReplica(slot) && !r.unsettled(slot, at) && !r.repair.isDirty(slot) {
+	if !r.ownership.IsReplica(slot) && !r.unsettled(slot, nowSeconds) && !r.repair.isDirty(slot) {
 		return true
 	}
 	return idle > uint32(r.settings.IdleTimeout/time.Second)
--- a/internal/flow/router/router.go
+++ b/internal/flow/router/router.go
@@ -28,10 +28,12 @@
 
 // Settings configure a router. Durations are in whole seconds.
 type Settings struct {
-	Self           string
-	Zone           string
-	Address        netip.AddrPort
-	MaxFlows       int
+	Self     string
+	Zone     string
+	Address  netip.AddrPort
+	MaxFlows int
+	// Settle is how long after a change of a slot's replicas only former replicas may store a flow:
+	// openings, too, are looked up at other members first, and packets of lost flows are dropped.
 	Settle         time.Duration
 	OpeningTimeout time.Duration
 	IdleTimeout    time.Duration
@@ -41,7 +43,9 @@
 	Lost        LostPolicy
 }
 
-// Counters are the router's totals since its start.
+// Counters are the router's totals since its start. Asked counts lookups at other members,
+// Foreign packets for an upstream whose address has been reassigned, Misdelivered selected
+// upstreams of another service, and CopiedByTrickle flows that background repair copied.
 type Counters struct {
 	Hits, Relays, Openings, Asked, Lost, Resets, Dropped    uint64
 	UnknownService, NoUpstream, TableFull, Foreign          uint64
@@ -75,7 +79,7 @@
 	spill     int
 	targets   targets
 	repair    repair
-	// versions are incremented with each change of a slot's replicas.
+	// versions hold a number per slot, incremented with each change of its replicas.
 	versions [ownership.Slots]uint16
 	// changedAt is the time of the slot's last change in seconds plus 1, or 0.
 	changedAt      [ownership.Slots]uint32
@@ -103,9 +107,9 @@
 		byHash:    map[uint32]*service{},
 	}
 	r.repair.restart()
-	// A balancer that has just started knows no other member yet. Other members may
-	// store the flows that it does not know, so sending their packets to an upstream
-	// selected here would reset the connections.
+	// A balancer that has just started knows no other member yet. Other members may store
+	// flows that it does not store; if it sent their packets to an upstream of its own choice,
+	// the connections would be reset.
 	for slot := range r.changedAt {
 		r.changedAt[slot] = 1
 	}
@@ -191,7 +195,7 @@
 		if r.ownership.IsSelf(i) {
 			return netip.AddrPort{}, false
 		}
-		if a := r.peerOf(i); !r.unreachable[a] {
+		if a := r.memberAddress(i); !r.unreachable[a] {
 			return a, true
 		}
 	}
@@ -241,7 +245,7 @@
 	}
 }
 
-// open creates a flow at a selected upstream and routes its first packet.
+// open selects an upstream, stores the flow and routes its first packet.
 func (r *Router) open(now time.Time, hash uint64, slot int, packet []byte, out *effect.List) {
 	s := r.service()
 	if s == nil {
@@ -256,11 +260,11 @@
 	if !ok {
 		return
 	}
-	at := r.seconds(now)
+	nowSeconds := r.seconds(now)
 	e, err := r.table.Insert(table.Entry{
 		Key: r.parser.Key, State: table.Opening, Upstream: upstreamIndex,
-		LastSeen: at, LastCopied: at, Version: r.versions[slot],
-	}, hash, at)
+		LastSeen: nowSeconds, LastCopied: nowSeconds, Version: r.versions[slot],
+	}, hash, nowSeconds)
 	if err != nil {
 		r.Counters.TableFull++
 		return
--- a/internal/flow/router/serve.go
+++ b/internal/flow/router/serve.go
@@ -9,20 +9,20 @@
 	"wasabideal/internal/wire/relay"
 )
 
-// requiredCopyPackets is the number of packets sent through the replicas before they are
+// requiredCopyPackets is the number of packets relayed through the replicas before they are
 // assumed to store the flow: one packet may be lost.
 const requiredCopyPackets = 2
 
 // serve sends a packet of a stored flow to its upstream, through the replicas if they may lack
-// the flow. If force is set, the packet first goes to that member, which lacks the flow.
+// the flow. If force is set, the packet is first relayed to that member, which lacks the flow.
 func (r *Router) serve(now time.Time, e *table.Entry, slot int, packet []byte, force *netip.AddrPort, out *effect.List) {
-	at := r.seconds(now)
+	nowSeconds := r.seconds(now)
 	if e.State == table.Closing && r.parser.Opening {
 		r.reopen(now, e, slot, packet, out)
 		return
 	}
-	viaReplicas := r.mustCopy(e, slot, at)
-	r.observe(e, at)
+	viaReplicas := r.mustCopy(e, slot, nowSeconds)
+	r.observe(e, nowSeconds)
 	if force == nil && !viaReplicas {
 		r.toUpstream(e.Upstream, packet, out)
 		return
@@ -37,7 +37,8 @@
 			continue
 		}
 		if r.unreachable[m.Address] {
-			// The packet would be lost on the way; later packets copy the flow.
+			// A packet through an unreachable replica would be lost. The count restarts, so that
+			// later packets copy the flow to it.
 			e.CopyPackets = 0
 			continue
 		}
@@ -47,15 +48,15 @@
 	r.forward(&h, e.Upstream, packet, out)
 }
 
-// mustCopy reports whether a packet has to go through the flow's replicas: if they may lack the
-// flow, if the packet opens, confirms or closes it, and regularly, so that the idle timeout
+// mustCopy reports whether a packet has to be relayed through the flow's replicas: if they may lack
+// the flow, if the packet opens, confirms or closes it, and regularly, so that the idle timeout
 // does not remove the copies of an active flow.
-func (r *Router) mustCopy(e *table.Entry, slot int, at uint32) bool {
+func (r *Router) mustCopy(e *table.Entry, slot int, nowSeconds uint32) bool {
 	if e.Version != r.versions[slot] {
 		e.Version = r.versions[slot]
 		e.CopyPackets = 0
 	}
-	if at-e.LastCopied > uint32(r.settings.IdleTimeout/time.Second)/4 {
+	if nowSeconds-e.LastCopied > uint32(r.settings.IdleTimeout/time.Second)/4 {
 		e.CopyPackets = requiredCopyPackets - 1
 	}
 	confirmed := e.State == table.Opening && r.parser.Acknowledges
@@ -65,13 +66,13 @@
 	if !r.parser.Opening {
 		e.CopyPackets++
 	}
-	e.LastCopied = at
+	e.LastCopied = nowSeconds
 	return true
 }
 
 // observe updates the flow's state according to the packet.
-func (r *Router) observe(e *table.Entry, at uint32) {
-	e.LastSeen = at
+func (r *Router) observe(e *table.Entry, nowSeconds uint32) {
+	e.LastSeen = nowSeconds
 	switch {
 	case r.parser.Closing:
 		r.table.SetState(e, table.Closing)
--- a/internal/flow/router/targets.go
+++ b/internal/flow/router/targets.go
@@ -25,6 +25,7 @@
 	return targets{index: map[relay.Target]uint32{}, addressServices: map[netip.AddrPort]uint32{}}
 }
 
+// intern returns the index of a target, which it adds if necessary.
 func (t *targets) intern(x relay.Target) uint32 {
 	if i, ok := t.index[x]; ok {
 		return i
@@ -39,6 +40,7 @@
 
 func (t *targets) at(i uint32) relay.Target { return t.list[i] }
 
+// add adds to the number of flows of a target.
 func (t *targets) add(i uint32, by int32) {
 	t.loads[i] += by
 }
--- a/internal/flow/table/table.go
+++ b/internal/flow/table/table.go
@@ -9,7 +9,8 @@
 // State is the state of a flow.
 type State uint8
 
-// The states of an entry. When two replicas differ, the higher state prevails.
+// The states of an entry; Empty marks a free array slot. When two replicas differ, the higher state
+// prevails.
 const (
 	Empty State = iota
 	Opening
@@ -24,10 +25,14 @@
 	// CopyPackets counts the packets that were sent through the flow's other replicas
 	// since the replicas of its slot last changed.
 	CopyPackets uint8
-	Upstream    uint32
-	LastSeen    uint32
-	LastCopied  uint32
-	Version     uint16
+	// Upstream is the index of the flow's upstream in the router's targets.
+	Upstream uint32
+	// LastSeen and LastCopied are the times of the last packet and of the last one sent through the
+	// other replicas, in seconds.
+	LastSeen   uint32
+	LastCopied uint32
+	// Version is the version of the slot's replicas that CopyPackets refers to.
+	Version uint16
 }
 
 // FullError reports the limit that is reached.
