--- a/internal/upstream/directory/directory.go
+++ b/internal/upstream/directory/directory.go
@@ -38,8 +38,8 @@
 	Replaced bool
 	// Age is the time since the last announcement.
 	Age time.Duration
-	// Recalled reports whether the notice is restored: this voter knows the upstream only from
-	// its saved state, and has not received an announcement of it since its restart.
+	// Recalled reports whether the upstream is restored: another voter had received its
+	// announcements, and this voter knows it only from the state that it saved before its restart.
 	Recalled bool
 }
 
@@ -107,8 +107,8 @@
 	return false, true
 }
 
-// Restore adds an upstream from the saved state of this voter, unless the same or a later
-// instance of it is known. It is forgotten without a notice if it does not announce itself here: otherwise, seconds after a power loss of all VMs, each voter would publish thousands of
+// Restore adds an upstream of another voter from this voter's saved state, unless the same or a
+// later instance of it is known. It is forgotten without a notice if it does not announce itself here: otherwise, seconds after a power loss of all VMs, each voter would publish thousands of
 // silent upstreams to every balancer.
 func (d *Directory) Restore(now time.Time, u upstream.Upstream, cold time.Duration) {
 	if old := d.entries[u.Incarnation]; old != nil && u.Born <= old.Born {
