--- a/internal/silence/accrual/accrual.go
+++ b/internal/silence/accrual/accrual.go
@@ -36,10 +36,10 @@
 	// retransmitted packet to be answered: several round trips to the farthest zone, the
 	// processing of a usual request, and the scheduling delay of a slow VM.
 	refutationTimeout = 60 * time.Millisecond
-	// refutationTimeoutPerHop is added for each balancer that relays the suspicion and its
-	// refutation. A relay collects the suspicions of several voters, reports every 20 ms,
-	// and adds another narrow link. Without this addition, flows of live upstreams were reset
-	// where links were full and two balancers relayed.
+	// refutationTimeoutPerHop is added for each balancer that relays the suspicion and forwards its
+	// refutation. A balancer on the way collects the suspicions of several voters, sends reports
+	// every 20 ms, and adds another narrow link. Without this addition, flows of live upstreams
+	// were reset where links were full and two balancers relayed.
 	refutationTimeoutPerHop = 120 * time.Millisecond
 	// evidenceTTL is how long a packet counts as evidence: as long as its caller waits.
 	evidenceTTL = 1500 * time.Millisecond
--- a/internal/upstream/owner/owner_test.go
+++ b/internal/upstream/owner/owner_test.go
@@ -23,7 +23,7 @@
 // Guards against callers that wait for a replaced upstream: its successor at the same address
 // announces itself to another voter, so that the old one stays live until its announcements are
 // overdue.
-func TestUpstreamsOfOneAddressHaveOneOwner(t *testing.T) {
+func TestUpstreamsOfOneAddressHaveOneVoter(t *testing.T) {
 	all := []owner.Voter{{Address: "v1", Zone: "a"}, {Address: "v2", Zone: "a"}, {Address: "v3", Zone: "a"}, {Address: "v4", Zone: "b"}}
 	assigned := map[string]int{}
 	for i := range uint64(300) {
