--- a/internal/upstream/owner/owner_test.go
+++ b/internal/upstream/owner/owner_test.go
@@ -14,7 +14,7 @@
 	return upstream.Upstream{Identity: upstream.Identity{Incarnation: incarnation}, Zone: "a"}
 }
 
-func TestVoterOfTheOwnZoneIsPreferred(t *testing.T) {
+func TestVoterOfTheUpstreamsZoneIsPreferred(t *testing.T) {
 	require.Equal(t, "v1", owner.Of(announcement(1), []owner.Voter{{Address: "v2", Zone: "b"}, {Address: "v1", Zone: "a"}}))
 	require.Equal(t, "v2", owner.Of(announcement(1), []owner.Voter{{Address: "v2", Zone: "b"}}))
 	require.Empty(t, owner.Of(announcement(1), nil))
