--- a/internal/model/configuration/configuration.go
+++ b/internal/model/configuration/configuration.go
@@ -60,7 +60,7 @@
 	return s.Cold.PerSecond
 }
 
-// Preset is a named set of limits, of which exactly one is active.
+// Preset is a named set of limits; exactly one preset is active.
 type Preset struct {
 	Name string
 	// SpillPercent is how far, in percent, the load of an upstream of the local zone may
@@ -84,9 +84,10 @@
 	return Preset{Name: "ordinary", SpillPercent: 25, SlotLimit: 2, QueueLimit: 64, RetryPercent: 10, ColdStartSeconds: 3}
 }
 
-// Configuration is the complete configuration by operators at one revision.
+// Configuration is the complete configuration set by operators, at one revision.
 type Configuration struct {
 	Revision uint64
+	// InForce is the name of the active preset.
 	InForce  string
 	Services []Service
 	Presets  []Preset
@@ -94,8 +95,9 @@
 	Routes []Route `json:",omitzero" cbor:",omitempty"`
 	// Limits are the limits for callers.
 	Limits Limits `json:",omitzero" cbor:",omitzero"`
-	// Extra holds the unknown members of the operator's document, encoded, by their position
-	// in it, so that reading the document back returns them. Only voters store them.
+	// Extra holds the unknown JSON members of the operator's document, encoded, by the path
+	// of the object that contains them, so that operators read back the document that they
+	// sent. Only voters store them.
 	Extra map[string][]byte `json:",omitzero" cbor:",omitempty"`
 }
 
--- a/internal/model/configuration/route.go
+++ b/internal/model/configuration/route.go
@@ -12,8 +12,9 @@
 // Class says how a route's requests may be handled.
 //
 // Operators may use classes that this version does not know. The name of such a class is
-// stored unchanged, so that the document can be read back as it was sent. Its requests get
-// the safest handling: they run at most once, and none of their flows is closed early.
+// stored unchanged, so that operators read back the document that they sent. Its requests
+// get the safest handling: they run at most once, and a flow with a pending request is not
+// reset when its upstream becomes unresponsive.
 type Class string
 
 // The classes of requests.
@@ -63,11 +64,11 @@
 	Objective time.Duration
 	// Priority ranks routes under overload; 0 is served first.
 	Priority int
-	// MaxAttempts is stored for the operator only; callers make the attempts.
+	// MaxAttempts is stored only for operators to read back; callers make the attempts.
 	MaxAttempts int
 }
 
-// Limits are the limits for callers, stored for the operator.
+// Limits are the limits for callers. They are stored only for operators to read back.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int
--- a/internal/model/evacuation/evacuation.go
+++ b/internal/model/evacuation/evacuation.go
@@ -18,21 +18,21 @@
 	maxNameBytes = 63
 )
 
-// InvalidError is the reason why a zone cannot be evacuated or restored.
+// InvalidError is the reason why an order for a zone cannot be stored.
 type InvalidError struct{ Zone, Reason string }
 
 func (e *InvalidError) Error() string {
 	return fmt.Sprintf("availability zone %q: %s", e.Zone, e.Reason)
 }
 
-// Zone is the latest order for an availability zone.
+// Zone is the latest order to start or end the evacuation of an availability zone.
 type Zone struct {
 	_    struct{} `cbor:",toarray"`
 	Name string
 	// Revision is the revision of the evacuations that introduced the order.
 	Revision  uint64
 	Evacuated bool
-	// Who, When and ChangeKey identify the operator, the time and the change of the order.
+	// Who is the operator, When the time and ChangeKey the idempotency key of the order.
 	Who       string
 	When      time.Time
 	ChangeKey string
@@ -40,8 +40,8 @@
 
 // Evacuations holds the current orders for all availability zones; it is immutable.
 //
-// A restored zone stays in the list: its revision distinguishes a delayed order from a
-// new one.
+// A zone whose evacuation has ended stays in the list: its revision distinguishes a
+// delayed order from a new one.
 type Evacuations struct {
 	_ struct{} `cbor:",toarray"`
 	// Revision increases with each order that changes a zone.
--- a/internal/model/evacuation/evacuation_test.go
+++ b/internal/model/evacuation/evacuation_test.go
@@ -19,7 +19,7 @@
 	require.Equal(t, []string{"b"}, first.EvacuatedZones())
 	require.Equal(t, []string{"a", "b"}, second.EvacuatedZones())
 	require.Equal(t, []string{"a"}, third.EvacuatedZones())
-	require.Equal(t, uint64(3), third.Lookup("b").Revision, "a restored zone keeps the revision of its restore")
+	require.Equal(t, uint64(3), third.Lookup("b").Revision, "a zone keeps the revision at which its evacuation ended")
 	require.False(t, third.Evacuated("c"))
 }
 
--- a/internal/model/roster/doc.go
+++ b/internal/model/roster/doc.go
@@ -1,6 +1,6 @@
 // Package roster defines the replicated list of balancers that store idempotency keys.
 //
-// Gossip cannot determine who stores a key: both sides of a partition would each
+// Gossip cannot determine which balancers store a key: both sides of a partition would each
 // find a majority. The roster therefore changes only in the voters' log. A new
 // list is valid together with the previous one until the keys are copied.
 package roster
--- a/internal/model/roster/roster.go
+++ b/internal/model/roster/roster.go
@@ -20,7 +20,8 @@
 	Rpc netip.AddrPort
 }
 
-// Roster is a replicated list, with the previous one until the change is settled.
+// Roster is the replicated list of members, with the previous list until the change is
+// settled.
 type Roster struct {
 	// Version increases with every change, Epoch with every new list.
 	Version  uint64
@@ -58,12 +59,12 @@
 	current, previous *ownership.Ownership
 }
 
-// NewView returns the view of a roster.
+// NewView computes which members store which keys under a roster.
 func NewView(r Roster) View {
-	return View{Roster: r, current: rank(r.Members), previous: rank(r.Previous)}
+	return View{Roster: r, current: newOwnership(r.Members), previous: newOwnership(r.Previous)}
 }
 
-func rank(ms []Member) *ownership.Ownership {
+func newOwnership(ms []Member) *ownership.Ownership {
 	list := make([]ownership.Member, 0, len(ms))
 	for _, m := range ms {
 		list = append(list, ownership.Member{Name: m.Name, Zone: m.Zone, Start: m.Start, Address: m.Rpc})
@@ -71,12 +72,13 @@
 	return ownership.New(list, "")
 }
 
-// Slot returns the slot of an idempotency key of a service.
+// Slot returns the hash slot of an idempotency key of a service.
 func Slot(service, idempotencyKey string) int {
 	return ownership.Slot(key.Mix(xxhash.Sum64String(service + "\x00" + idempotencyKey)))
 }
 
-// QuorumSets returns the sets of members that must each reach a majority.
+// QuorumSets returns the sets of members that store a slot's keys. A claim of a key needs
+// a majority of each set.
 func (v View) QuorumSets(slot int) [][]Member {
 	sets := [][]Member{members(v.current, slot)}
 	if !v.Roster.Settled() {
@@ -88,7 +90,8 @@
 // Current returns the members that store a slot's keys under the new list.
 func (v View) Current(slot int) []Member { return members(v.current, slot) }
 
-// Previous returns the members that store them under the previous list, none if settled.
+// Previous returns the members that store a slot's keys under the previous list, none if
+// the roster is settled.
 func (v View) Previous(slot int) []Member { return members(v.previous, slot) }
 
 func members(o *ownership.Ownership, slot int) []Member {
--- a/internal/model/upstream/upstream.go
+++ b/internal/model/upstream/upstream.go
@@ -8,7 +8,7 @@
 // State says whether an upstream accepts new flows.
 type State uint8
 
-// The states that an upstream announces or gets when its lease expires.
+// The states that an upstream announces.
 const (
 	Ready State = iota
 	Draining
@@ -25,7 +25,7 @@
 	return fmt.Sprintf("State(%d)", uint8(s))
 }
 
-// Identity identifies one incarnation of an upstream in a service.
+// Identity identifies an instance of an upstream, that is, one run of its process.
 //
 // The address alone is not sufficient: if an address is reassigned to another
 // service, packets of flows of the first service would reach the second one.
@@ -39,9 +39,12 @@
 type Upstream struct {
 	_ struct{} `cbor:",toarray"`
 	Identity
-	Zone     string
-	Door     string
-	Slots    uint16
+	Zone string
+	// Door is the address of the upstream's HTTP server; empty if requests are not proxied.
+	Door string
+	// Slots is the number of requests that the upstream can process at the same time.
+	Slots uint16
+	// Sequence increases with each announcement of an instance.
 	Sequence uint64
 	State    State
 	// Born is the start time of the upstream's process in milliseconds since 1970 by the
