--- a/internal/configuration/follower/follower.go
+++ b/internal/configuration/follower/follower.go
@@ -17,7 +17,8 @@
 	Source   netip.AddrPort
 }
 
-// Follower applies only newer revisions; it is not safe for concurrent use.
+// Follower holds the newest configuration received from voters and peers. It is not safe
+// for concurrent use.
 type Follower struct {
 	current   configuration.Configuration
 	source    netip.AddrPort
@@ -27,7 +28,8 @@
 	newestAt  netip.AddrPort
 }
 
-// New returns a follower without a configuration; source is where peers can fetch its own.
+// New returns a Follower without a configuration; peers fetch this balancer's configuration
+// from the address source.
 func New(source netip.AddrPort) *Follower { return &Follower{source: source} }
 
 // Current returns the applied configuration; revision 0 means none yet.
@@ -58,7 +60,8 @@
 	return f.newestAt, f.newest > f.current.Revision
 }
 
-// Payload encodes the own revision for gossip, so that peers can fetch it.
+// Payload encodes this balancer's revision for gossip, so that peers can fetch the
+// configuration.
 func (f *Follower) Payload(time.Time, int) []byte {
 	b, _ := cbor.Marshal(wireRevision{Revision: f.current.Revision, Source: f.source})
 	return b
--- a/internal/configuration/history/history_test.go
+++ b/internal/configuration/history/history_test.go
@@ -22,8 +22,8 @@
 }
 
 // Guards against full downloads after each change, 120 kB from every voter over a link
-// of 2 Mbit/s: when a route was inserted between two others, the follower's copy had
-// the same parts in another order, and the digest depended on the order.
+// of 2 Mbit/s. If a route is inserted between two others, the follower's copy has the
+// same parts in another order, so the digest must not depend on the order.
 func TestDigestIsIndependentOfOrder(t *testing.T) {
 	h := history.New(8).With(routes(1, 80, 443)).With(routes(2, 80, 8080, 443)).With(routes(5, 9090, 8080))
 	answer := h.Since(1)
--- a/internal/configuration/puller/puller.go
+++ b/internal/configuration/puller/puller.go
@@ -16,7 +16,7 @@
 	"wasabideal/internal/wire/rpc"
 )
 
-// Settings of a puller.
+// Settings configures a Puller.
 type Settings struct {
 	// Sources are tried in this order when one fails.
 	Sources []string
@@ -37,8 +37,8 @@
 	Offer(c configuration.Configuration)
 	OfferRoster(r roster.Roster)
 	Evacuations() evacuation.Evacuations
-	// OfferEvacuations is called before Offer for the same response, so that no flow is
-	// placed by a new configuration without its evacuations.
+	// OfferEvacuations is called before Offer for the same response, so that no new flow is
+	// routed by a new configuration before the evacuations apply.
 	OfferEvacuations(e evacuation.Evacuations)
 }
 
@@ -49,7 +49,7 @@
 	store    Store
 }
 
-// New returns a puller that updates a store.
+// New returns a Puller that updates a store.
 func New(s Settings, log hclog.Logger, st Store) *Puller {
 	return &Puller{settings: s, log: log, store: st}
 }
--- a/internal/configuration/source/source.go
+++ b/internal/configuration/source/source.go
@@ -40,13 +40,13 @@
 	current func() bool
 }
 
-// New returns a source without a configuration; current reports whether this
+// New returns a Source without a configuration; current reports whether this
 // process knows that its newest revision is the newest accepted one.
 func New(current func() bool) *Source {
 	return &Source{history: history.New(maxDeltas), changed: make(chan struct{}), current: current}
 }
 
-// Serve registers the source's method at a server.
+// Serve registers the RPC method with a server.
 func (s *Source) Serve(r *rpc.Server, token string) {
 	rpc.Handle(r, Method, token, func(ctx context.Context, q Request) (history.Response, error) {
 		return s.Since(ctx, q), nil
