--- a/internal/member/registrar/registrar.go
+++ b/internal/member/registrar/registrar.go
@@ -13,7 +13,7 @@
 
 type empty struct{}
 
-// Registrar sends heartbeats to the leader of the voters.
+// Registrar sends reports to the leader of the voters.
 type Registrar struct {
 	voters   []string
 	interval time.Duration
@@ -27,7 +27,7 @@
 	return &Registrar{voters: voters, interval: interval, pool: p, report: report}
 }
 
-// Run sends heartbeats at a fixed interval until ctx ends.
+// Run sends a report at a fixed interval until ctx ends.
 func (r *Registrar) Run(ctx context.Context) {
 	t := time.NewTicker(r.interval)
 	defer t.Stop()
@@ -41,14 +41,14 @@
 	}
 }
 
-// register sends a heartbeat to the last known leader, then to the other voters until
+// register sends a report to the last known leader, then to the other voters until
 // one accepts it.
 func (r *Registrar) register(ctx context.Context) {
-	h := r.report()
+	report := r.report()
 	for i := range r.voters {
 		candidate := (r.leader + i) % len(r.voters)
 		call, cancel := context.WithTimeout(ctx, callTimeout)
-		_, err := pool.Call[rostermanager.Report, empty](call, r.pool, r.voters[candidate], voter.ReportMethod, h)
+		_, err := pool.Call[rostermanager.Report, empty](call, r.pool, r.voters[candidate], voter.ReportMethod, report)
 		cancel()
 		if err == nil {
 			r.leader = candidate
--- a/internal/member/repairstatus/repairstatus.go
+++ b/internal/member/repairstatus/repairstatus.go
@@ -9,7 +9,8 @@
 // flagRepairing is the payload of a balancer that creates replicas; others send none.
 const flagRepairing = 1
 
-// Tracker holds the balancers that reported repairs. It is not safe for concurrent use.
+// Tracker tracks the balancers that report repairs in progress. It is not safe for
+// concurrent use.
 type Tracker struct {
 	repairing func() bool
 	expiry    time.Duration
--- a/internal/member/seal/seal.go
+++ b/internal/member/seal/seal.go
@@ -5,7 +5,7 @@
 	"crypto/sha256"
 )
 
-// Size is the length of a signature in bytes.
+// Size is the length in bytes of a signature, a truncated HMAC.
 const Size = 8
 
 // Signer signs and verifies datagrams with a truncated HMAC-SHA-256.
--- a/internal/member/swim/member.go
+++ b/internal/member/swim/member.go
@@ -11,7 +11,7 @@
 // State is the state of a member.
 type State uint8
 
-// The states; a later one overrides an earlier one of the same incarnation.
+// The states; a higher one overrides a lower one of the same incarnation.
 const (
 	Alive State = iota
 	Suspect
@@ -24,15 +24,16 @@
 // String returns the name of the state, as used in JSON and logs.
 func (s State) String() string { return stateNames[min(int(s), len(stateNames)-1)] }
 
-// Member is an update about one balancer.
+// Member is the state of one balancer as it is gossiped.
 type Member struct {
 	_       struct{} `cbor:",toarray"`
 	Name    string
 	Zone    string
 	Address netip.AddrPort
-	// Start identifies a process: it is its start time in nanoseconds.
+	// Start is the start time of the process in nanoseconds; it identifies the process.
 	Start uint64
-	// Incarnation is incremented by the member itself to refute an update about it.
+	// Incarnation is incremented by the member itself to refute a suspicion or to change
+	// Passive.
 	Incarnation uint64
 	State       State
 	// Passive members own no flows: they are joining or leaving.
--- a/internal/member/swim/message.go
+++ b/internal/member/swim/message.go
@@ -19,7 +19,8 @@
 	kindSync
 )
 
-// message is the wire format of all gossip messages.
+// message is the wire format of all gossip messages. Number identifies a probe, Digest is a
+// hash of the sender's members, News are updates and Riders the piggybacked payloads.
 type message struct {
 	_      struct{} `cbor:",toarray"`
 	Kind   messageKind
@@ -60,7 +61,7 @@
 		out.Add(effect.Effect{Kind: effect.Alarm, Text: "encoding a gossip message failed: " + err.Error()})
 		return
 	}
-	data := s.seal.Sign(append([]byte{Kind}, b...))
+	data := s.signer.Sign(append([]byte{Kind}, b...))
 	s.budget -= float64(len(data) + overhead)
 	s.Counters.Sent++
 	s.Counters.SentBytes += uint64(len(data) + overhead)
@@ -78,7 +79,7 @@
 	s.Counters.ReceivedBytes += uint64(len(datagram) + overhead)
 	s.merge(now, m.From)
 	if p := s.peers[m.From.Name]; p != nil && m.Kind == kindAck {
-		s.setDirect(p, true)
+		s.setRespondsDirectly(p, true)
 	}
 	for _, n := range m.News {
 		s.merge(now, n)
@@ -93,7 +94,7 @@
 
 func (s *Swim) decode(datagram []byte) (message, bool) {
 	var m message
-	b, err := s.seal.Verify(datagram)
+	b, err := s.signer.Verify(datagram)
 	if err != nil || len(b) < 1 {
 		return m, false
 	}
@@ -120,7 +121,7 @@
 		s.handleAck(now, m, out)
 	case kindPingRequest:
 		s.sequence++
-		s.relayed[s.sequence] = relayedProbe{origin: from, sequence: m.Number, sent: now}
+		s.indirectProbes[s.sequence] = indirectProbe{requester: from, sequence: m.Number, sent: now}
 		s.send(now, m.Target, message{Kind: kindPing, Number: s.sequence}, out)
 	case kindJoin:
 		for range max((len(s.peers)+membersPerSync-1)/membersPerSync, 1) {
@@ -136,9 +137,9 @@
 // handleAck completes a probe. The ack of an indirect probe is forwarded to the member
 // that requested the probe.
 func (s *Swim) handleAck(now time.Time, m message, out *effect.List) {
-	if r, ok := s.relayed[m.Number]; ok {
-		delete(s.relayed, m.Number)
-		s.send(now, r.origin, message{Kind: kindSync, Number: r.sequence, News: []Member{m.From}}, out)
+	if r, ok := s.indirectProbes[m.Number]; ok {
+		delete(s.indirectProbes, m.Number)
+		s.send(now, r.requester, message{Kind: kindSync, Number: r.sequence, News: []Member{m.From}}, out)
 		return
 	}
 	delete(s.probes, m.Number)
--- a/internal/member/swim/probe.go
+++ b/internal/member/swim/probe.go
@@ -71,20 +71,20 @@
 		case !p.indirect && t.State <= Suspect && now.Sub(p.sent) > s.settings.IndirectAfter:
 			p.indirect = true
 			s.probes[n] = p
-			s.setDirect(t, false)
+			s.setRespondsDirectly(t, false)
 			for _, m := range s.randomPeers(indirectProbers, p.target) {
 				s.send(now, m.Address, message{Kind: kindPingRequest, Number: n, Target: t.Address}, out)
 			}
 		}
 	}
-	maps.DeleteFunc(s.relayed, func(_ uint32, p relayedProbe) bool {
+	maps.DeleteFunc(s.indirectProbes, func(_ uint32, p indirectProbe) bool {
 		return now.Sub(p.sent) > s.settings.SuspectAfter
 	})
 }
 
-func (s *Swim) setDirect(p *peer, direct bool) {
-	if p.direct != direct {
-		p.direct = direct
+func (s *Swim) setRespondsDirectly(p *peer, direct bool) {
+	if p.respondsDirectly != direct {
+		p.respondsDirectly = direct
 		s.version++
 	}
 }
--- a/internal/member/swim/swim.go
+++ b/internal/member/swim/swim.go
@@ -61,15 +61,18 @@
 	probeEvery = 2
 	// pushFanout is the number of members that receive a push.
 	pushFanout = 3
-	// reviveEvery is the interval of probes of dead members, in probes.
+	// reviveEvery is the number of probes of which one goes to a dead member.
 	reviveEvery = 4
 )
 
 type peer struct {
 	Member
-	since         time.Time
+	// since is the time of the last update about the member.
+	since time.Time
+	// transmissions is how often that update was sent.
 	transmissions int
-	direct        bool
+	// respondsDirectly is unset if the last direct probe was not answered in time.
+	respondsDirectly bool
 }
 
 type probe struct {
@@ -80,39 +83,44 @@
 
 // Swim is the protocol instance of one balancer. It is not safe for concurrent use.
 type Swim struct {
-	settings     Settings
-	seal         seal.Signer
-	self         Member
-	peers        map[string]*peer
-	order        []string
-	updates      []*peer
-	urgentChange bool
-	digestSum    uint64
-	next         int
-	ticks        uint64
-	sequence     uint32
-	probes       map[uint32]probe
-	relayed      map[uint32]relayedProbe
-	random       *rand.Rand
-	piggybacks   []Piggyback
-	budget       float64
-	lastTick     time.Time
-	version      uint64
-	rotation     int
-	Counters     Counters
+	settings Settings
+	signer   seal.Signer
+	self     Member
+	peers    map[string]*peer
+	// order is the probe order of this round, next the index of the next member in it.
+	order []string
+	// updates are the updates that may still be sent.
+	updates        []*peer
+	urgentChange   bool
+	digestSum      uint64
+	next           int
+	ticks          uint64
+	sequence       uint32
+	probes         map[uint32]probe
+	indirectProbes map[uint32]indirectProbe
+	random         *rand.Rand
+	piggybacks     []Piggyback
+	// budget is the number of bytes that may be sent now; it may be negative.
+	budget   float64
+	lastTick time.Time
+	version  uint64
+	// rotation is the index of the last member that nextMembers returned.
+	rotation int
+	Counters Counters
 }
 
-type relayedProbe struct {
-	origin   netip.AddrPort
-	sequence uint32
-	sent     time.Time
+// indirectProbe is a probe that another member requested.
+type indirectProbe struct {
+	requester netip.AddrPort
+	sequence  uint32
+	sent      time.Time
 }
 
 // New returns a Swim whose only member is itself.
 func New(s Settings, piggybacks ...Piggyback) *Swim {
 	return &Swim{
-		settings: s, seal: seal.New(s.Token, s.Group), self: s.Self,
-		peers: map[string]*peer{}, probes: map[uint32]probe{}, relayed: map[uint32]relayedProbe{},
+		settings: s, signer: seal.New(s.Token, s.Group), self: s.Self,
+		peers: map[string]*peer{}, probes: map[uint32]probe{}, indirectProbes: map[uint32]indirectProbe{},
 		random: rand.New(rand.NewPCG(s.Seed, s.Self.Start)), piggybacks: piggybacks,
 	}
 }
@@ -150,16 +158,16 @@
 func (s *Swim) Unreachable() map[netip.AddrPort]bool {
 	u := map[netip.AddrPort]bool{}
 	for _, p := range s.peers {
-		if p.State == Suspect || p.State == Alive && !p.direct {
+		if p.State == Suspect || p.State == Alive && !p.respondsDirectly {
 			u[p.Address] = true
 		}
 	}
 	return u
 }
 
-// Isolated reports whether at least as many members are dead or unknown seeds as are
-// reachable, including this balancer. It is then more likely that this balancer is
-// partitioned than that all of them failed.
+// Isolated reports whether the dead members and unknown seeds are at least as many as the
+// reachable members, including this balancer. It is then more likely that this balancer is
+// partitioned than that all of the others failed.
 func (s *Swim) Isolated() bool {
 	unreachable, reachable := len(s.unknownSeeds()), 1
 	for _, p := range s.peers {
@@ -178,7 +186,7 @@
 	return slices.DeleteFunc(slices.Clone(s.settings.Seeds), s.isKnown)
 }
 
-// SetPassive announces whether this balancer owns flows.
+// SetPassive announces whether this balancer is passive, that is, owns no flows.
 func (s *Swim) SetPassive(passive bool) {
 	s.self.Passive = passive
 	s.self.Incarnation++
@@ -279,9 +287,9 @@
 // store stores a member that supersedes the known one.
 func (s *Swim) store(now time.Time, m Member) {
 	old := s.peers[m.Name]
-	p := &peer{Member: m, since: now, direct: true}
+	p := &peer{Member: m, since: now, respondsDirectly: true}
 	if old != nil && old.Start == m.Start {
-		p.direct = old.direct
+		p.respondsDirectly = old.respondsDirectly
 	}
 	if old != nil {
 		s.digestSum -= old.digest()
