--- a/internal/balancer/reducer/changes_test.go
+++ b/internal/balancer/reducer/changes_test.go
@@ -51,7 +51,7 @@
 	for i, name := range f.order {
 		n := f.nodes[name]
 		if i%4 == 3 {
-			// This balancer learns of it by gossip only.
+			// This balancer receives the new revision only by gossip.
 			continue
 		}
 		f.after(time.Duration(i)*200*time.Millisecond, func() {
--- a/internal/balancer/reducer/experiment_test.go
+++ b/internal/balancer/reducer/experiment_test.go
@@ -68,7 +68,7 @@
 	return best
 }
 
-// modulo selects the candidate at the hash modulo the size of the pool.
+// modulo selects the candidate at index hash mod len(pool).
 func modulo(hash uint64, pool []choice.Candidate) int {
 	if len(pool) == 0 {
 		return -1
@@ -76,8 +76,8 @@
 	return int(hash % uint64(len(pool)))
 }
 
-// randomWithTable selects at random and stores only the flows that a balancer opened
-// itself.
+// randomWithTable selects at random and stores the choice in a flow table that balancers
+// do not share.
 func randomWithTable(f *fleet, n *node, c *caller, flags tcpFlags, pool []upstream.Upstream) int {
 	if len(pool) == 0 {
 		return -1
--- a/internal/balancer/reducer/failures_test.go
+++ b/internal/balancer/reducer/failures_test.go
@@ -16,8 +16,8 @@
 
 var steps = flag.Int("steps", 12, "random steps of each run")
 
-// Guards against balancers that disagree for minutes on the first rank of a flow. All
-// start together, and two discover each other before a seed responds. If seeds are
+// Guards against balancers that disagree for minutes on the owner of a flow. All start
+// together, and two discover each other before a seed responds. If seeds are
 // contacted only while no member is known, the two remain a separate group.
 func TestSimultaneousStartFormsOneGroup(t *testing.T) {
 	for seed := range uint64(20) {
@@ -35,7 +35,7 @@
 // Guards against flows that end with a planned change: each kind in turn, with 600 open
 // flows.
 func TestPlannedChangesBreakNoFlow(t *testing.T) {
-	f := suez(5)
+	f := suezFleet(5)
 	f.openFlows(600, "orders", time.Second, time.Second)
 	f.usePreset("peak")
 	f.run(5 * time.Second)
@@ -50,10 +50,10 @@
 	require.Zero(t, f.misdelivered)
 }
 
-// Guards against new flows to a draining upstream. It announces Draining to one balancer
-// while flows are opened; updates that wait for the next probes take seconds.
+// Guards against new flows to a draining upstream. The upstream announces Draining to one
+// balancer while flows are opened; updates that wait for the next probes take seconds.
 func TestDrainEndsNewFlowsWithinASecond(t *testing.T) {
-	f := suez(6)
+	f := suezFleet(6)
 	f.openFlows(500, "orders", time.Second, time.Second)
 	u := f.anyUpstream()
 	begin := f.now
@@ -68,7 +68,7 @@
 // orders fails, its address is announced for notes and its flows continue to send; an
 // address alone does not identify an upstream.
 func TestReusedAddressReceivesNoOldFlows(t *testing.T) {
-	f := suez(7)
+	f := suezFleet(7)
 	f.openFlows(600, "orders", time.Second, 500*time.Millisecond)
 	u := f.anyUpstream()
 	require.NotEmpty(t, u.connections)
@@ -92,7 +92,7 @@
 // Guards against new flows to a withdrawn upstream. Gossip that lists it as ready
 // arrives late, so the withdrawal must be kept.
 func TestLateGossipDoesNotRestoreAWithdrawnUpstream(t *testing.T) {
-	f := suez(8)
+	f := suezFleet(8)
 	u := f.anyUpstream()
 	old := u.Upstream
 	u.State = upstream.Withdrawn
@@ -107,11 +107,11 @@
 	}
 }
 
-// Guards against broken flows after a fast restart of a balancer. It returns under the
-// same name with an empty table before its failure is detected, and must not be treated
-// as the old process, which held replicas.
+// Guards against broken flows after a fast restart of a balancer. The balancer returns
+// under the same name with an empty table before its failure is detected, and must not be
+// treated as the old process, which stored replicas.
 func TestFastRestartBreaksNoFlow(t *testing.T) {
-	f := suez(9)
+	f := suezFleet(9)
 	f.openFlows(600, "orders", time.Second, time.Second)
 	for _, name := range []string{"b001", "b005"} {
 		f.startNode(f.nodes[name])
@@ -147,9 +147,9 @@
 
 // Guards against permanent loss when one balancer cannot reach another. Packets from
 // b001 to b004 are lost, all others arrive, so b004 remains a member; b001 must not
-// depend on it as the first rank of a flow.
+// depend on b004 as the owner of a flow.
 func TestOneWayReachabilityBreaksNoFlow(t *testing.T) {
-	f := suez(11)
+	f := suezFleet(11)
 	f.openFlows(600, "orders", time.Second, time.Second)
 	f.cut = func(from, to string) bool { return from == "b001" && to == "b004" }
 	f.run(30 * time.Second)
@@ -158,10 +158,10 @@
 }
 
 // Guards against flows that break when a partition ends. Both sides open flows; then
-// packets of all flows reach all balancers, and the first rank of a flow may not have
-// received it from the other side.
+// packets of all flows reach all balancers, and the owner of a flow may not have received
+// the flow from the other side.
 func TestFlowsOfBothSidesSurviveAPartition(t *testing.T) {
-	f := suez(12)
+	f := suezFleet(12)
 	f.openFlows(300, "orders", time.Second, time.Second)
 	f.partition("Ismailia", 10*time.Second)
 	f.run(4 * time.Second)
@@ -174,7 +174,7 @@
 
 // TestGarbageIsDroppedAndCounted sends random bytes to both ports.
 func TestGarbageIsDroppedAndCounted(t *testing.T) {
-	f := suez(13)
+	f := suezFleet(13)
 	n := f.nodes["b000"]
 	peer := f.nodes["b001"].peer
 	rapid.Check(t, func(t *rapid.T) {
@@ -199,7 +199,7 @@
 // other flows must survive.
 func TestRandomChanges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := suez(rapid.Uint64().Draw(t, "seed"))
+		f := suezFleet(rapid.Uint64().Draw(t, "seed"))
 		f.openFlows(60, "orders", time.Second, time.Second)
 		f.openFlows(20, "notes", time.Second, time.Second)
 		f.loss, f.duplicate, f.jitter = 0.005, 0.02, time.Millisecond
--- a/internal/balancer/reducer/fleet_test.go
+++ b/internal/balancer/reducer/fleet_test.go
@@ -43,17 +43,20 @@
 	upstreams map[netip.AddrPort]*backend
 	callers   []*caller
 	config    configuration.Configuration
-	cut       func(from, to string) bool
+	// cut reports whether the network drops messages between two zones or two nodes.
+	cut func(from, to string) bool
 	// partitionedUntil is the time after which all balancers agree on the members again.
 	partitionedUntil time.Time
 	loss             float64
 	duplicate        float64
 	jitter           time.Duration
 	maxFlows         int
-	repair           int
-	lost             router.LostPolicy
-	sticky           bool
-	site             site
+	// repair is RepairBytes of the routers, lost their policy for lost flows.
+	repair int
+	lost   router.LostPolicy
+	// sticky sends all packets of a caller to the same balancer.
+	sticky bool
+	site   site
 	// baseline replaces the reducer's routing in comparisons.
 	baseline baseline
 
@@ -556,8 +559,8 @@
 	}
 )
 
-// suez returns a fleet of nine balancers in three zones with 15 and 4 upstreams.
-func suez(seed uint64) *fleet { return newSite(suezSite, seed, 20000) }
+// suezFleet returns a fleet of nine balancers in three zones with 15 and 4 upstreams.
+func suezFleet(seed uint64) *fleet { return newSite(suezSite, seed, 20000) }
 
 func newSite(s site, seed uint64, maxFlows int) *fleet {
 	f := newFleet(seed)
--- a/internal/balancer/reducer/fuzz_test.go
+++ b/internal/balancer/reducer/fuzz_test.go
@@ -17,7 +17,7 @@
 	f.Add([]byte{1, 1, 1, 0, 0})
 	f.Add([]byte{router.BatchKind, 0, 0, 0, 1})
 	f.Add([]byte{router.BatchAckKind, 0, 0, 0, 1})
-	s := suez(31)
+	s := suezFleet(31)
 	n, from := s.nodes["b000"], s.nodes["b001"].peer
 	signer := seal.New("group", "")
 	f.Fuzz(func(_ *testing.T, b []byte) {
--- a/internal/balancer/reducer/pool_test.go
+++ b/internal/balancer/reducer/pool_test.go
@@ -14,12 +14,12 @@
 )
 
 // Guards against a stable pool that loses an upstream for a moment at one balancer, which
-// breaks flows routed by hash alone. Each balancer sent a renewal twice, and some missed
-// the three renewals of a lease in a row.
+// breaks flows routed by hash alone. Formerly, each balancer sent a renewal only twice, and
+// some balancers missed the three renewals of a lease in a row.
 func TestStablePoolsDoNotFlap(t *testing.T) {
 	short := 0
 	for seed := range uint64(5) {
-		f := suez(seed)
+		f := suezFleet(seed)
 		f.run(5 * time.Second)
 		for range 300 {
 			f.run(100 * time.Millisecond)
@@ -33,11 +33,11 @@
 	require.Zero(t, short, "samples of a balancer's pool that lacks an upstream")
 }
 
-// Guards against new flows and requests to an evacuated zone. A zone is evacuated and
-// restored while flows are open, and an older evacuation arrives late. The fault has not
-// been observed; balancers prefer upstreams of their own zone.
+// Guards against new flows and requests to an evacuated zone from its own balancers, which
+// prefer upstreams of their zone. The evacuation starts and ends while flows are open, and
+// an older evacuation arrives late. The fault has not been observed.
 func TestEvacuatedZoneLeavesThePool(t *testing.T) {
-	f := suez(9)
+	f := suezFleet(9)
 	f.openFlows(300, "orders", time.Second, time.Second)
 	first := evacuation.Evacuations{}.With(evacuation.Zone{Name: "Adabiya", Evacuated: true})
 	second := first.With(evacuation.Zone{Name: "Adabiya"})
--- a/internal/balancer/reducer/reducer.go
+++ b/internal/balancer/reducer/reducer.go
@@ -50,11 +50,13 @@
 	leavingSince    time.Time
 	drained         bool
 	pushPending     bool
-	ranked          bool
-	lastRank        time.Time
-	startedAt       time.Time
-	joining         bool
-	rejected        uint64
+	// ranked is unset if the members have changed since lastRank.
+	ranked    bool
+	lastRank  time.Time
+	startedAt time.Time
+	joining   bool
+	// rejected counts malformed datagrams and those from non-members.
+	rejected uint64
 }
 
 // New returns a Reducer that starts at the given time.
@@ -86,9 +88,10 @@
 	Drained     bool
 	Flows       int
 	Openings    int
-	Refused     uint64
-	Members     []swim.Member
-	Upstreams   []upstream.Upstream
+	// Refused is the number of rejected datagrams.
+	Refused   uint64
+	Members   []swim.Member
+	Upstreams []upstream.Upstream
 	// Evacuated lists the availability zones that receive no new flows.
 	Evacuated     []string
 	Router        router.Counters
@@ -233,8 +236,8 @@
 }
 
 const (
-	// joinAfter is the time in which a starting balancer discovers its group. Until
-	// then it owns no flows: the others do not rank it, so they would never ask it
+	// joinAfter is the time in which a starting balancer discovers its group. Until then
+	// it owns no flows: the others do not know it, so they would never query it
 	// for flows that it opened.
 	joinAfter = 1500 * time.Millisecond
 	// aloneAfter is the time after which a balancer without known peers is alone.
@@ -254,8 +257,8 @@
 	}
 }
 
-// minLeaveTime is the minimum duration of a planned stop, in which the group learns of
-// it.
+// minLeaveTime is the minimum duration of a planned stop, so that gossip about it reaches
+// the group.
 const minLeaveTime = 2 * time.Second
 
 func (r *Reducer) checkDrained(now time.Time, out *effect.List) {
@@ -284,8 +287,8 @@
 	}
 }
 
-// updatePeers updates the accepted sender addresses and the routing to the current
-// members.
+// updatePeers passes the current members' addresses, zones and reachability to the other
+// components.
 func (r *Reducer) updatePeers() {
 	ms := r.swim.Members()
 	r.peers = make(map[netip.AddrPort]bool, len(ms))
--- a/internal/balancer/reducer/reducer_test.go
+++ b/internal/balancer/reducer/reducer_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestFlowsAreBalancedAndSurvive(t *testing.T) {
-	f := suez(1)
+	f := suezFleet(1)
 	u := f.addUpstream(50, "orders", "Adabiya")
 	f.openFlows(3000, "orders", 3*time.Second, time.Second)
 	f.run(10 * time.Second)
--- a/internal/balancer/reducer/spread_test.go
+++ b/internal/balancer/reducer/spread_test.go
@@ -12,10 +12,10 @@
 )
 
 // Guards against a balancer that keeps an old preset. A third of all messages is lost,
-// and only one balancer received the new revision from a voter; a revision that is sent
-// only once does not reach all.
+// and only one balancer receives the new revision from a voter; a revision that is sent
+// only once would not reach all.
 func TestRevisionReachesAllBalancersDespiteLoss(t *testing.T) {
-	f := suez(21)
+	f := suezFleet(21)
 	f.loss = 1.0 / 3
 	c := f.config.WithPreset("peak").WithRevision(5)
 	f.reduce(f.nodes["b003"], event.Event{Kind: event.ConfigurationReceived, Configuration: &c})
@@ -29,7 +29,7 @@
 // balancer without a disk restarts there and receives an old revision, which must not be
 // adopted as the newest because it arrived last.
 func TestRestartInAnIsolatedZoneUsesTheHighestRevision(t *testing.T) {
-	f := suez(22)
+	f := suezFleet(22)
 	f.usePreset("maintenance")
 	f.run(5 * time.Second)
 	old := f.config.WithPreset("ordinary").WithRevision(1)
@@ -47,10 +47,10 @@
 	}
 }
 
-// Guards against a reset of an idle flow at its next packet. It sends nothing for 20
+// Guards against a reset of an idle flow at its next packet. The flow sends nothing for 20
 // hours while balancers are replaced; idle flows must be kept and replicated too.
 func TestIdleFlowSurvivesTheReplacementOfBalancers(t *testing.T) {
-	f := suez(23)
+	f := suezFleet(23)
 	f.openFlows(200, "orders", time.Second, 20*time.Hour)
 	f.run(30 * time.Second)
 	for i, name := range []string{"b000", "b001", "b002", "b003", "b004"} {
@@ -68,9 +68,9 @@
 }
 
 // Guards against two connections for one caller. Its SYN arrives at two balancers at
-// the same time and again later; only one of them may be first in rank.
+// the same time and again later; only one balancer may own the flow.
 func TestSimultaneousSYNsOpenOneFlow(t *testing.T) {
-	f := suez(24)
+	f := suezFleet(24)
 	f.duplicate = 0.5
 	for i := range 200 {
 		c := f.call(i, "orders", time.Second)
@@ -87,9 +87,9 @@
 
 // Guards against a new flow that reaches a draining upstream. A flow closes, its
 // upstream drains and the caller opens a flow from the same port, which must not be
-// treated as the closed one.
+// treated as the closed flow.
 func TestReusedPortIsANewFlow(t *testing.T) {
-	f := suez(25)
+	f := suezFleet(25)
 	c := f.call(0, "orders", time.Hour)
 	f.run(2 * time.Second)
 	first := f.upstreams[c.upstream]
@@ -105,10 +105,10 @@
 	require.NotEqual(t, first.Address, c.upstream)
 }
 
-// Guards against resets of other flows when an upstream restarts. It returns with a new
-// incarnation and its kernel has lost the connections, so only its own flows break.
+// Guards against resets of other flows when an upstream restarts. The upstream returns with
+// a new incarnation and without its connections, so only its own flows break.
 func TestUpstreamRestartBreaksOnlyItsOwnFlows(t *testing.T) {
-	f := suez(26)
+	f := suezFleet(26)
 	f.openFlows(300, "orders", time.Second, time.Second)
 	u := f.anyUpstream()
 	own := len(u.connections)
@@ -148,7 +148,7 @@
 // Guards against a balancer that serves a service of another group, whose upstreams it
 // does not know. A service is moved to another group but remains in the configuration.
 func TestServicesOfAnotherGroupAreNotServed(t *testing.T) {
-	f := suez(28)
+	f := suezFleet(28)
 	f.openFlows(20, "orders", time.Second, time.Second)
 	c := f.config.WithRevision(2)
 	c.Services = append(c.Services[:0:0], c.Services...)
--- a/internal/core/event/event.go
+++ b/internal/core/event/event.go
@@ -25,7 +25,7 @@
 	ConfigurationReceived Kind = "Offered"
 	// EvacuationsReceived is a set of zone evacuations from a control voter or a peer.
 	EvacuationsReceived Kind = "Evacuated"
-	// StopPlanned starts a planned stop: the balancer hands over all flows.
+	// StopPlanned starts a planned stop: the balancer replicates all its flows elsewhere.
 	StopPlanned Kind = "StopPlanned"
 	// Stopped completes a planned stop: the balancer leaves the group.
 	Stopped Kind = "Stopped"
