--- a/internal/request/claimer/claimer.go
+++ b/internal/request/claimer/claimer.go
@@ -28,8 +28,8 @@
 	Granted Outcome = iota
 	// Taken means that another attempt holds the key; Result.Record is its record.
 	Taken
-	// Refused means that no majority granted the claim; the request was not sent.
-	Refused
+	// Rejected means that no majority granted the claim; the request was not sent.
+	Rejected
 )
 
 // Result is the outcome of a claim and the reason for it.
@@ -57,15 +57,16 @@
 	err    error
 }
 
-// Claim requests the key from the members of all replica sets. It is granted by a
-// majority of each set; otherwise all votes are released.
+// Claim claims the key at all members that store it. It is granted by a majority of each
+// quorum set; otherwise the claims at all members are released.
 //
-// Two attempts cannot both be granted: majorities of one set share a member, which
-// keeps the first. Until a roster change is settled, the previous set must agree too.
+// Two attempts cannot both be granted: two majorities of a set share a member, which keeps
+// the first attempt's record. Until a roster change is settled, a majority of the previous
+// set is needed too.
 func (c *Claimer) Claim(ctx context.Context, r keys.Record) Result {
 	v := c.view()
 	if len(v.Roster.Members) == 0 {
-		return Result{Outcome: Refused, Reason: "no roster of balancers is agreed yet"}
+		return Result{Outcome: Rejected, Reason: "no roster of balancers is agreed yet"}
 	}
 	sets := v.QuorumSets(roster.Slot(r.Service, r.Key))
 	votes := c.collectVotes(ctx, v.Roster.Epoch, sets, r)
@@ -74,7 +75,7 @@
 		return Result{Outcome: Granted, Record: r}
 	}
 	c.release(ctx, votes, r)
-	return refusal(votes, r)
+	return rejection(votes, r)
 }
 
 func count(set []roster.Member, granted map[string]vote) int {
@@ -84,10 +85,10 @@
 	})
 }
 
-// refusal returns the record with the most advanced state among the votes, or the
-// reason why there was no majority.
-func refusal(votes map[string]vote, r keys.Record) Result {
-	result := Result{Outcome: Refused, Reason: "no majority of the balancers that remember the key answered"}
+// rejection returns the record of another attempt with the highest state, or the reason why
+// there was no majority.
+func rejection(votes map[string]vote, r keys.Record) Result {
+	result := Result{Outcome: Rejected, Reason: "no majority of the balancers that remember the key answered"}
 	for _, x := range votes {
 		if x.err != nil {
 			result.Reason = fmt.Sprintf("no majority for the key: %v", x.err)
@@ -122,7 +123,7 @@
 	return all
 }
 
-// release releases all votes, including those of members whose response was late or
+// release releases the claims at all members, including those whose response was late or
 // lost. An unreachable member keeps its record: the key stays taken there, which
 // rejects repeats but never runs one twice.
 func (c *Claimer) release(ctx context.Context, votes map[string]vote, r keys.Record) {
--- a/internal/request/claimer/claimer_test.go
+++ b/internal/request/claimer/claimer_test.go
@@ -40,12 +40,12 @@
 }
 
 type node struct {
-	member  roster.Member
-	keys    *keys.Store
-	view    roster.View
-	moved   uint64
-	running bool
-	leaving bool
+	member      roster.Member
+	keys        *keys.Store
+	view        roster.View
+	copiedEpoch uint64
+	running     bool
+	leaving     bool
 }
 
 func newGroup(seed uint64) *group {
@@ -68,16 +68,16 @@
 func (g *group) start(n *node) {
 	n.member.Start++
 	n.keys = keys.New(window, 1000)
-	n.view, n.moved, n.running, n.leaving = roster.NewView(roster.Roster{}), 0, true, false
+	n.view, n.copiedEpoch, n.running, n.leaving = roster.NewView(roster.Roster{}), 0, true, false
 }
 
-// run advances the time in steps of a second: heartbeats, roster decisions and the
-// distribution of the roster. The voters are on side 0 of a partition.
+// run advances the time in steps of a second: reports to the voters, roster decisions
+// and the distribution of the roster. The voters are on side 0 of a partition.
 func (g *group) run(d time.Duration) {
 	for end := g.now.Add(d); g.now.Before(end); g.now = g.now.Add(time.Second) {
 		for _, n := range g.nodes {
 			if n.running && g.side[n.member.Name] == 0 {
-				g.manager.Record(g.now, rostermanager.Report{Member: n.member, Leaving: n.leaving, Moved: n.moved})
+				g.manager.Record(g.now, rostermanager.Report{Member: n.member, Leaving: n.leaving, Moved: n.copiedEpoch})
 			}
 		}
 		if c := g.manager.Decide(g.now, g.roster); c != nil {
@@ -106,7 +106,7 @@
 		n.view = roster.NewView(g.roster)
 		n.keys.SetEpoch(g.roster.Epoch)
 	}
-	if n.moved >= n.view.Roster.Epoch {
+	if n.copiedEpoch >= n.view.Roster.Epoch {
 		return
 	}
 	for m, records := range n.keys.Transfers(n.view, n.member) {
@@ -116,7 +116,7 @@
 		}
 		to.keys.Merge(records)
 	}
-	n.moved = n.view.Roster.Epoch
+	n.copiedEpoch = n.view.Roster.Epoch
 }
 
 func (g *group) find(m roster.Member) *node {
@@ -279,8 +279,8 @@
 
 // Guards against a key that runs twice after two of the three balancers that stored it
 // crashed together. Both restart empty and rejoin the roster as a majority without
-// records; claims are refused until the window has passed.
-func TestLostMajorityRefusesClaimsDuringTheWindow(t *testing.T) {
+// records; claims are rejected until the window has passed.
+func TestLostMajorityRejectsClaimsDuringTheWindow(t *testing.T) {
 	g := newGroup(3)
 	key := "precious"
 	require.Equal(t, claimer.Granted, g.attempt(g.nodes[0], key, 1, true))
@@ -298,8 +298,8 @@
 }
 
 // Guards against a key that runs twice because a flood of keys evicted it inside the
-// window. A full store refuses new keys instead.
-func TestFullStoreRefusesNewKeys(t *testing.T) {
+// window. A full store rejects new keys instead.
+func TestFullStoreRejectsNewKeys(t *testing.T) {
 	k := keys.New(window, 2)
 	for _, key := range []string{"a", "b"} {
 		_, err := k.Claim(epoch, 0, keys.Record{Key: key, Attempt: key})
--- a/internal/request/dispatch/dispatch.go
+++ b/internal/request/dispatch/dispatch.go
@@ -72,7 +72,7 @@
 // The results of an attempt.
 const (
 	Answered Result = iota
-	// Shed means that the upstream rejected the request without running it.
+	// Shed means that the upstream was full and rejected the request without running it.
 	Shed
 	// Failed means that there was no response, or a server error.
 	Failed
@@ -104,12 +104,13 @@
 	maxEjectionDoublings = 5
 	// minUsableShare is the share of the pool that is never ejected.
 	minUsableShare = 0.5
-	meanWeight     = 0.05
-	initialMean    = 20 * time.Millisecond
-	minMean        = time.Millisecond
-	budgetLimit    = 10.0
-	initialBudget  = 3.0
-	minRetryAfter  = 100 * time.Millisecond
+	// meanWeight is the weight of a new sample in the mean service time.
+	meanWeight         = 0.05
+	initialServiceTime = 20 * time.Millisecond
+	minServiceTime     = time.Millisecond
+	maxRetryBudget     = 10.0
+	initialRetryBudget = 3.0
+	minRetryAfter      = 100 * time.Millisecond
 )
 
 // Dispatcher schedules the requests of one service. It is not safe for concurrent use.
@@ -127,7 +128,7 @@
 func New(s Settings, seed uint64) *Dispatcher {
 	return &Dispatcher{
 		settings: s, random: rand.New(rand.NewPCG(seed, 5)), targets: map[string]*target{},
-		meanServiceTime: initialMean, retryBudget: initialBudget,
+		meanServiceTime: initialServiceTime, retryBudget: initialRetryBudget,
 	}
 }
 
@@ -169,13 +170,13 @@
 	if r.Since.IsZero() {
 		r.Since = now
 	}
-	d.retryBudget = min(d.retryBudget+float64(d.settings.RetryPercent)/100, budgetLimit)
-	return d.place(now, r)
+	d.retryBudget = min(d.retryBudget+float64(d.settings.RetryPercent)/100, maxRetryBudget)
+	return d.schedule(now, r)
 }
 
-// MayRetry takes one retry from the budget and reports whether there was one. Without
-// a budget, retries would keep a pool overloaded that lost most of its upstreams.
-func (d *Dispatcher) MayRetry() bool {
+// TakeRetry takes one retry from the budget and reports whether there was one. Without a
+// budget, retries would keep a pool that has lost most of its upstreams overloaded.
+func (d *Dispatcher) TakeRetry() bool {
 	if d.retryBudget < 1 {
 		return false
 	}
@@ -184,9 +185,9 @@
 }
 
 // Retry sends, queues or rejects a request after a shed or failed attempt.
-func (d *Dispatcher) Retry(now time.Time, r Request) []Decision { return d.place(now, r) }
+func (d *Dispatcher) Retry(now time.Time, r Request) []Decision { return d.schedule(now, r) }
 
-func (d *Dispatcher) place(now time.Time, r Request) []Decision {
+func (d *Dispatcher) schedule(now time.Time, r Request) []Decision {
 	if len(d.ordered) == 0 {
 		return d.reject(r, ReasonNoUpstream)
 	}
@@ -266,11 +267,11 @@
 	switch result {
 	case Answered:
 		t.shedStreak, t.failures, t.ejections = 0, 0, 0
-		d.meanServiceTime = max(time.Duration((1-meanWeight)*float64(d.meanServiceTime)+meanWeight*float64(took)), minMean)
+		d.meanServiceTime = max(time.Duration((1-meanWeight)*float64(d.meanServiceTime)+meanWeight*float64(took)), minServiceTime)
 	case Shed:
-		d.shed(now, t)
+		d.recordShed(now, t)
 	case Failed:
-		d.failed(now, t)
+		d.recordFailure(now, t)
 	case Cancelled:
 	}
 	return d.Tick(now)
--- a/internal/request/dispatch/experiment_test.go
+++ b/internal/request/dispatch/experiment_test.go
@@ -105,8 +105,8 @@
 	return best
 }
 
-// world simulates nine balancers and upstreams with two slots each.
-type world struct {
+// simulation simulates nine balancers and upstreams with two slots each.
+type simulation struct {
 	now       time.Time
 	random    *rand.Rand
 	queue     tasks
@@ -162,8 +162,8 @@
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func newWorld(upstreams int, build func(i int) policy) *world {
-	w := &world{
+func newSimulation(upstreams int, build func(i int) policy) *simulation {
+	w := &simulation{
 		now: epoch, random: rand.New(rand.NewPCG(9, 9)), deadlines: map[uint64]time.Time{}, avoid: map[uint64][]string{},
 		arrived: map[uint64]time.Time{}, attempts: map[uint64]int{}, lifetime: defaultLifetime,
 	}
@@ -179,7 +179,7 @@
 }
 
 // updateTargets updates the upstreams and the slot assignment at all balancers.
-func (w *world) updateTargets() {
+func (w *simulation) updateTargets() {
 	var names []string
 	for i := range w.policies {
 		names = append(names, fmt.Sprintf("b%d", i))
@@ -204,12 +204,12 @@
 	}
 }
 
-func (w *world) after(d time.Duration, run func()) {
+func (w *simulation) after(d time.Duration, run func()) {
 	w.sequence++
 	heap.Push(&w.queue, task{at: w.now.Add(d), sequence: w.sequence, run: run})
 }
 
-func (w *world) run(rate float64) {
+func (w *simulation) run(rate float64) {
 	var id uint64
 	var arrive func()
 	arrive = func() {
@@ -237,7 +237,7 @@
 	}
 }
 
-func (w *world) deliver(b int, ds []dispatch.Decision) {
+func (w *simulation) deliver(b int, ds []dispatch.Decision) {
 	for _, d := range ds {
 		if d.Err != nil {
 			w.result.notRun++
@@ -249,17 +249,17 @@
 	}
 }
 
-func (w *world) find(name string) *backend {
+func (w *simulation) find(name string) *backend {
 	i := slices.IndexFunc(w.upstreams, func(u *backend) bool { return u.name == name })
 	return w.upstreams[i]
 }
 
-func (u *backend) account(now time.Time) {
+func (u *backend) addBusyTime(now time.Time) {
 	u.busySeconds += float64(u.busy) * now.Sub(u.since).Seconds()
 	u.since = now
 }
 
-func (w *world) arrive(b int, d dispatch.Decision, begin time.Time) {
+func (w *simulation) arrive(b int, d dispatch.Decision, begin time.Time) {
 	u := w.find(d.Target)
 	switch {
 	case u.failing:
@@ -267,7 +267,7 @@
 	case u.busy >= slots:
 		w.after(*hop, func() { w.finish(b, d, dispatch.Shed, begin) })
 	default:
-		u.account(w.now)
+		u.addBusyTime(w.now)
 		u.busy++
 		factor := u.slowdown
 		if w.now.Sub(u.startedAt) < 5*time.Second {
@@ -275,7 +275,7 @@
 		}
 		took := time.Duration(w.random.ExpFloat64() * factor * float64(serviceTime))
 		w.after(took, func() {
-			u.account(w.now)
+			u.addBusyTime(w.now)
 			u.busy--
 			w.after(*hop, func() { w.finish(b, d, dispatch.Answered, begin) })
 		})
@@ -284,7 +284,7 @@
 
 const maxAttempts = 24
 
-func (w *world) finish(b int, d dispatch.Decision, r dispatch.Result, begin time.Time) {
+func (w *simulation) finish(b int, d dispatch.Decision, r dispatch.Result, begin time.Time) {
 	w.deliver(b, w.policies[b].done(w.now, d.Target, r, w.now.Sub(begin)))
 	switch r {
 	case dispatch.Answered:
@@ -316,15 +316,15 @@
 	return t.latencies[min(int(p*float64(len(t.latencies))), len(t.latencies)-1)].Round(time.Millisecond)
 }
 
-// imbalance returns the busy time of the busiest upstream divided by the mean, over
-// upstreams that are neither removed, failing nor slow.
-func (w *world) imbalance() float64 {
+// imbalance returns the busy time of the busiest upstream divided by the mean. Upstreams
+// that are removed, failing or slow are not counted.
+func (w *simulation) imbalance() float64 {
 	most, sum, n := 0.0, 0.0, 0.0
 	for _, u := range w.upstreams {
 		if u.removed || u.failing || u.slowdown > 1 {
 			continue
 		}
-		u.account(w.now)
+		u.addBusyTime(w.now)
 		most = max(most, u.busySeconds)
 		sum += u.busySeconds
 		n++
@@ -353,7 +353,7 @@
 }
 
 // disturb adds a cold start, a drain, a slow upstream and one that fails all requests.
-func (w *world) disturb() {
+func (w *simulation) disturb() {
 	w.upstreams[0].slowdown = 3
 	w.upstreams[1].failing = true
 	w.after(20*time.Second, func() { w.upstreams[2].removed = true; w.updateTargets() })
@@ -374,7 +374,7 @@
 	for _, scene := range []string{"quiet", "disturbed"} {
 		for _, load := range []float64{0.5, 0.8, 0.95, 1.1, 1.3} {
 			for _, c := range strategies {
-				w := newWorld(15, c.make)
+				w := newSimulation(15, c.make)
 				if scene == "disturbed" {
 					w.disturb()
 				}
@@ -391,12 +391,12 @@
 	}
 }
 
-// Guards against low goodput after a pool recovers. For 20 s, 70 % of the upstreams are gone
-// and 30 % serve; queues fill with expired requests, and retries keep the upstreams
-// busy beyond the 20 s.
+// Guards against low goodput after a pool recovers. For 20 s, ten of 15 upstreams (about
+// 70 %) are removed and the other 30 % serve; queues fill with expired requests, and
+// retries keep the upstreams busy beyond the 20 s.
 func TestGoodputRecoversWithinFiveSeconds(t *testing.T) {
-	w := newWorld(15, newScheduler)
-	part := func(removed bool) func() {
+	w := newSimulation(15, newScheduler)
+	setRemoved := func(removed bool) func() {
 		return func() {
 			for _, u := range w.upstreams[:10] {
 				u.removed = removed
@@ -404,8 +404,8 @@
 			w.updateTargets()
 		}
 	}
-	w.after(10*time.Second, part(true))
-	w.after(30*time.Second, part(false))
+	w.after(10*time.Second, setRemoved(true))
+	w.after(30*time.Second, setRemoved(false))
 	w.lifetime = 45 * time.Second
 	rate := 0.8 * 15 * slots / serviceTime.Seconds()
 	w.run(rate)
@@ -416,7 +416,7 @@
 // Guards against one broken upstream of 15 that attracts most requests: it returns
 // errors at once, so it always appears idle to a selection by idle slots.
 func TestFailingUpstreamAttractsNoRequests(t *testing.T) {
-	w := newWorld(15, newScheduler)
+	w := newSimulation(15, newScheduler)
 	w.upstreams[3].failing = true
 	w.lifetime = 20 * time.Second
 	w.run(300)
--- a/internal/request/dispatch/target.go
+++ b/internal/request/dispatch/target.go
@@ -50,18 +50,18 @@
 
 func (d *Dispatcher) usable(now time.Time, t *target) bool { return !now.Before(t.ejectedUntil) }
 
-// shed starts a backoff after a rejection: the upstream is full of other balancers'
-// requests until one of them ends. The backoff grows with consecutive rejections, and
-// jitter prevents balancers from retrying at the same time.
-func (d *Dispatcher) shed(now time.Time, t *target) {
+// recordShed starts a backoff after a rejection: other balancers' requests use all slots
+// of the upstream until one of them ends. The backoff grows with consecutive rejections,
+// and jitter prevents balancers from retrying at the same time.
+func (d *Dispatcher) recordShed(now time.Time, t *target) {
 	t.shedStreak = min(t.shedStreak+1, shedStreakLimit)
 	backoff := shedBackoff * float64(d.meanServiceTime) * float64(int(1)<<(t.shedStreak-1))
 	t.shedUntil = now.Add(time.Duration(backoff * (0.5 + d.random.Float64())))
 }
 
-// failed ejects an upstream after consecutive failures, unless less than half of the
+// recordFailure ejects an upstream after consecutive failures, unless less than half of the
 // pool would remain: the fault is then probably not in the upstreams.
-func (d *Dispatcher) failed(now time.Time, t *target) {
+func (d *Dispatcher) recordFailure(now time.Time, t *target) {
 	t.failures++
 	if t.failures < failuresToEject {
 		return
--- a/internal/request/door/attempt.go
+++ b/internal/request/door/attempt.go
@@ -14,8 +14,8 @@
 	"wasabideal/internal/request/keys"
 )
 
-// attempt sends the request to one upstream. It returns done when a response was
-// written to the caller, and retry when the request did not run or may run twice.
+// attempt sends the request to one upstream. It returns done if a response was written to
+// the caller, and retry if the request may be sent again: it did not run, or may run twice.
 func (p *Proxy) attempt(ctx context.Context, x *exchange, target string, try int) (retry, done bool) {
 	start := p.settings.Clock()
 	sent := &sentFlag{}
@@ -35,7 +35,7 @@
 	if response.StatusCode >= http.StatusInternalServerError {
 		result = dispatch.Failed
 	}
-	if result == dispatch.Failed && x.idempotent && x.replayable && try < maxAttempts && p.mayRetry() {
+	if result == dispatch.Failed && x.idempotent && x.replayable && try < maxAttempts && p.takeRetry() {
 		p.Counters.Retried.Add(1)
 		p.done(target, result, took())
 		x.excluded = append(x.excluded, target)
@@ -48,7 +48,7 @@
 
 // handleFailure handles an attempt without a response. A request that was not sent may
 // go to another upstream; one that was sent is retried only if it may run twice.
-func (p *Proxy) handleFailure(ctx context.Context, x *exchange, target string, sent *sentFlag, err error) (again, done bool) {
+func (p *Proxy) handleFailure(ctx context.Context, x *exchange, target string, sent *sentFlag, err error) (retry, done bool) {
 	result := dispatch.Failed
 	if x.request.Context().Err() != nil {
 		result = dispatch.Cancelled
@@ -58,7 +58,7 @@
 	if !sent.get() {
 		return ctx.Err() == nil, false
 	}
-	if ctx.Err() == nil && x.replayable && x.idempotent && p.mayRetry() {
+	if ctx.Err() == nil && x.replayable && x.idempotent && p.takeRetry() {
 		p.Counters.Retried.Add(1)
 		return true, false
 	}
--- a/internal/request/door/door.go
+++ b/internal/request/door/door.go
@@ -35,12 +35,14 @@
 	replayLimit = 64 << 10
 	// storedResponseLimit is the largest response body that is stored under a request key.
 	storedResponseLimit = 4 << 10
-	keyLimit            = 128
+	maxKeyBytes         = 128
 	maxAttempts         = 24
 	tickInterval        = 10 * time.Millisecond
-	hopMargin           = 5 * time.Millisecond
-	copyBuffer          = 32 << 10
-	defaultRetryAfter   = time.Second
+	// hopMargin is subtracted from the time left in the timeout sent to the upstream, so that
+	// its response arrives before the caller's deadline.
+	hopMargin         = 5 * time.Millisecond
+	copyBuffer        = 32 << 10
+	defaultRetryAfter = time.Second
 )
 
 // Settings configures a Proxy.
@@ -69,7 +71,7 @@
 	addresses        map[string]string
 	waiting          map[uint64]chan dispatch.Decision
 	lastID           uint64
-	// repeatable allows retries of requests with any method and no key.
+	// repeatable says that requests without a key may be retried whatever their method.
 	repeatable bool
 	priority   int
 	Counters   Counters
@@ -87,8 +89,8 @@
 	}
 }
 
-// SetTargets replaces the settings and the upstreams; doors maps an upstream's name
-// to its HTTP address.
+// SetTargets replaces the limits and the upstreams; addresses maps an upstream's name to
+// its HTTP address.
 func (p *Proxy) SetTargets(s dispatch.Settings, ts []dispatch.Target, addresses map[string]string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -121,7 +123,7 @@
 	}
 }
 
-// deliver sends each decision to the request that waits for it. d.mu must be held.
+// deliver sends each decision to the request that waits for it. p.mu must be held.
 func (p *Proxy) deliver(ds []dispatch.Decision) {
 	for _, x := range ds {
 		if w := p.waiting[x.ID]; w != nil {
@@ -235,10 +237,10 @@
 	p.deliver(p.dispatch.Done(p.settings.Clock(), target, r, took))
 }
 
-func (p *Proxy) mayRetry() bool {
+func (p *Proxy) takeRetry() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.dispatch.MayRetry()
+	return p.dispatch.TakeRetry()
 }
 
 func (p *Proxy) addressOf(target string) string {
--- a/internal/request/door/door_test.go
+++ b/internal/request/door/door_test.go
@@ -50,7 +50,7 @@
 // fixture is a Proxy with test servers as upstreams.
 type fixture struct {
 	t      *testing.T
-	door   *door.Proxy
+	proxy  *door.Proxy
 	server *httptest.Server
 }
 
@@ -64,21 +64,21 @@
 	limits := dispatch.Settings{SlotLimit: 2, QueueLimit: 4, RetryPercent: 100}
 	d := door.New(door.Settings{Service: "orders", Name: "b1", Limits: limits, Clock: time.Now}, c, hclog.NewNullLogger())
 	var targets []dispatch.Target
-	doors := map[string]string{}
+	addresses := map[string]string{}
 	for i, h := range upstreams {
 		s := httptest.NewServer(h)
 		t.Cleanup(s.Close)
 		name := fmt.Sprintf("u%d", i)
 		targets = append(targets, dispatch.Target{Name: name, Slots: 2, Share: 1, AssignedSlots: 2})
-		doors[name] = strings.TrimPrefix(s.URL, "http://")
+		addresses[name] = strings.TrimPrefix(s.URL, "http://")
 	}
-	d.SetTargets(limits, targets, doors)
+	d.SetTargets(limits, targets, addresses)
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	go d.Run(ctx)
 	s := httptest.NewServer(d)
 	t.Cleanup(s.Close)
-	return &fixture{t: t, door: d, server: s}
+	return &fixture{t: t, proxy: d, server: s}
 }
 
 // reply is the status and the headers of a response.
@@ -200,7 +200,7 @@
 			_, _, _ = e.post("", "slow", "Prefer", "wait=30")
 		}()
 	}
-	require.Eventually(t, func() bool { return e.door.Counters.Requests.Load() == 6 }, 5*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return e.proxy.Counters.Requests.Load() == 6 }, 5*time.Second, time.Millisecond)
 	require.Eventually(t, func() bool {
 		r, _, err := e.post("k", "x", "Prefer", "wait=30")
 		return err == nil && outcome(r) == door.OutcomeNotRun && r.Header.Get("Retry-After") != ""
--- a/internal/request/door/exchange.go
+++ b/internal/request/door/exchange.go
@@ -45,8 +45,8 @@
 	}
 	x.deadline = now.Add(timeout)
 	key := r.Header.Get(KeyHeader)
-	if len(key) > keyLimit {
-		return nil, &BadRequestError{Reason: fmt.Sprintf("%s is longer than %d bytes", KeyHeader, keyLimit)}
+	if len(key) > maxKeyBytes {
+		return nil, &BadRequestError{Reason: fmt.Sprintf("%s is longer than %d bytes", KeyHeader, maxKeyBytes)}
 	}
 	x.body, err = io.ReadAll(io.LimitReader(r.Body, replayLimit+1))
 	if err != nil {
@@ -101,7 +101,7 @@
 		return true
 	case claimer.Taken:
 		p.respondTaken(x, result.Record)
-	case claimer.Refused:
+	case claimer.Rejected:
 		p.respondNotRun(x, result.Reason, defaultRetryAfter)
 	}
 	return false
--- a/internal/request/keys/keys.go
+++ b/internal/request/keys/keys.go
@@ -10,7 +10,7 @@
 // State is the state of a key's request.
 type State uint8
 
-// The states of a key; a later one overrides an earlier one.
+// The states of a key; a higher one overrides a lower one.
 const (
 	// Claimed means that an attempt may send the request, or already has.
 	Claimed State = iota + 1
@@ -36,7 +36,8 @@
 	Fingerprint uint64
 	State       State
 	Answer      *Answer
-	Made        time.Time
+	// Made is the time of the claim.
+	Made time.Time
 }
 
 // FullError reports that the store is full. Evicting a key inside the window could
@@ -54,7 +55,8 @@
 	return fmt.Sprintf("claim under epoch %d, this balancer is at %d", e.Claim, e.Here)
 }
 
-// Store holds records for a window of time. It is not safe for concurrent use.
+// Store holds each record until a window of time after its claim has passed. It is not safe
+// for concurrent use.
 type Store struct {
 	window  time.Duration
 	limit   int
@@ -72,10 +74,10 @@
 // Len returns the number of stored keys.
 func (s *Store) Len() int { return len(s.records) }
 
-// SetEpoch sets the epoch of a newer roster; claims with an older epoch are refused.
+// SetEpoch sets the epoch of a newer roster; claims with another epoch are rejected.
 func (s *Store) SetEpoch(epoch uint64) { s.epoch = max(s.epoch, epoch) }
 
-// Claim creates a record, or returns the existing one.
+// Claim creates a record, or returns the existing record of the key.
 func (s *Store) Claim(now time.Time, epoch uint64, r Record) (Record, error) {
 	if epoch != s.epoch {
 		return Record{}, &EpochError{Claim: epoch, Here: s.epoch}
@@ -100,7 +102,7 @@
 	}
 }
 
-// Finish stores the response to a key's request.
+// Finish stores the response to a key's request, unless another attempt holds the key.
 func (s *Store) Finish(now time.Time, r Record) {
 	at := recordKey{r.Service, r.Key}
 	if old, ok := s.records[at]; ok && old.Attempt != r.Attempt {
--- a/internal/request/memory/memory.go
+++ b/internal/request/memory/memory.go
@@ -23,17 +23,19 @@
 	// mergeBatch is the largest number of records per call.
 	mergeBatch        = 200
 	mergeTimeout      = 3 * time.Second
-	moveRetryInterval = 300 * time.Millisecond
+	copyRetryInterval = 300 * time.Millisecond
 )
 
-// wireClaim is a call about one key. Start identifies the process that it is for.
+// wireClaim is the argument of a call about one key. Start identifies the process that is
+// called.
 type wireClaim struct {
 	Start  uint64
 	Epoch  uint64
 	Record keys.Record
 }
 
-// wireMerge copies records to the process that Start identifies.
+// wireMerge is the argument of a call that copies records. Start identifies the process
+// that is called.
 type wireMerge struct {
 	Start   uint64
 	Records []keys.Record
@@ -57,15 +59,16 @@
 	Clock  func() time.Time
 }
 
-// Replica holds the keys of one balancer and calls the key stores of others.
+// Replica holds the keys that this balancer stores and calls the key stores of others. It
+// is safe for concurrent use.
 type Replica struct {
-	settings Settings
-	log      hclog.Logger
-	pool     *pool.Pool
-	mu       sync.Mutex
-	keys     *keys.Store
-	view     roster.View
-	moved    uint64
+	settings    Settings
+	log         hclog.Logger
+	pool        *pool.Pool
+	mu          sync.Mutex
+	keys        *keys.Store
+	view        roster.View
+	copiedEpoch uint64
 }
 
 // New returns a Replica without keys.
@@ -172,7 +175,7 @@
 func (m *Replica) CopiedEpoch() uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.moved
+	return m.copiedEpoch
 }
 
 // Len returns the number of stored keys.
@@ -189,10 +192,8 @@
 	m.keys.Expire(m.settings.Clock())
 }
 
-// SetRoster adopts a roster and reports whether it is newer.
-//
-// It refuses claims with an older epoch before the records are copied, so that the
-// copy misses none.
+// SetRoster adopts a newer roster, and reports whether it is newer. From then on claims
+// with an older epoch are rejected, so that CopyRecords misses no record.
 func (m *Replica) SetRoster(r roster.Roster) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -211,13 +212,13 @@
 		v, transfers := m.transfers()
 		if v.Roster.Settled() || m.copyAll(ctx, transfers) {
 			m.mu.Lock()
-			m.moved = max(m.moved, v.Roster.Epoch)
+			m.copiedEpoch = max(m.copiedEpoch, v.Roster.Epoch)
 			m.mu.Unlock()
 			return
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(moveRetryInterval):
+		case <-time.After(copyRetryInterval):
 		}
 	}
 }
--- a/internal/request/slotassignment/slotassignment.go
+++ b/internal/request/slotassignment/slotassignment.go
@@ -9,7 +9,7 @@
 	"wasabideal/internal/flow/key"
 )
 
-// Upstream is a back end and the number of its slots.
+// Upstream is the name of an upstream and the number of its slots.
 type Upstream struct {
 	Name  string
 	Slots int
