--- a/internal/balancer/reducer/reducer.go
+++ b/internal/balancer/reducer/reducer.go
@@ -150,7 +150,7 @@
 	case event.UpstreamAnnounced:
 		err = r.registry.Announce(now, *e.Upstream, e.TokenSha256)
 	case event.ConfigurationReceived:
-		r.reduceOffer(now, *e.Configuration)
+		r.reduceConfiguration(now, *e.Configuration)
 	case event.EvacuationsReceived:
 		r.registry.SetEvacuations(*e.Evacuations)
 	case event.StopPlanned:
@@ -218,7 +218,7 @@
 	r.checkDrained(now, out)
 }
 
-func (r *Reducer) reduceOffer(now time.Time, c configuration.Configuration) {
+func (r *Reducer) reduceConfiguration(now time.Time, c configuration.Configuration) {
 	if !r.follower.Offer(now, c) {
 		return
 	}
--- a/internal/balancer/reducer/spread_test.go
+++ b/internal/balancer/reducer/spread_test.go
@@ -162,6 +162,6 @@
 			require.Empty(t, u.connections)
 		}
 	}
-	require.Len(t, f.nodes["b000"].reducer.Configuration().Services, 2, "the complete configuration is kept for followers")
+	require.Len(t, f.nodes["b000"].reducer.Configuration().Services, 2, "the complete configuration is kept for peers that fetch it")
 	require.Zero(t, f.broken)
 }
--- a/internal/request/claimer/claimer_test.go
+++ b/internal/request/claimer/claimer_test.go
@@ -24,7 +24,7 @@
 	service = "orders"
 )
 
-var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+var startTime = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
 // group simulates balancers that store keys and a network with partitions.
 type group struct {
@@ -50,8 +50,8 @@
 
 func newGroup(seed uint64) *group {
 	g := &group{
-		now: epoch, random: rand.New(rand.NewPCG(seed, 1)), side: map[string]int{}, sent: map[string]int{},
-		manager: rostermanager.New(rostermanager.Settings{ChangeInterval: time.Second, Silent: 5 * time.Second, KeyRetention: window}, epoch),
+		now: startTime, random: rand.New(rand.NewPCG(seed, 1)), side: map[string]int{}, sent: map[string]int{},
+		manager: rostermanager.New(rostermanager.Settings{ChangeInterval: time.Second, Silent: 5 * time.Second, KeyRetention: window}, startTime),
 	}
 	for i := range 5 {
 		g.nodes = append(g.nodes, &node{member: roster.Member{
@@ -302,13 +302,13 @@
 func TestFullStoreRejectsNewKeys(t *testing.T) {
 	k := keys.New(window, 2)
 	for _, key := range []string{"a", "b"} {
-		_, err := k.Claim(epoch, 0, keys.Record{Key: key, Attempt: key})
+		_, err := k.Claim(startTime, 0, keys.Record{Key: key, Attempt: key})
 		require.NoError(t, err)
 	}
-	_, err := k.Claim(epoch, 0, keys.Record{Key: "c", Attempt: "c"})
+	_, err := k.Claim(startTime, 0, keys.Record{Key: "c", Attempt: "c"})
 	var full *keys.FullError
 	require.ErrorAs(t, err, &full)
-	r, err := k.Claim(epoch, 0, keys.Record{Key: "a", Attempt: "other"})
+	r, err := k.Claim(startTime, 0, keys.Record{Key: "a", Attempt: "other"})
 	require.NoError(t, err)
 	require.Equal(t, "a", r.Attempt)
 }
--- a/internal/request/dispatch/experiment_test.go
+++ b/internal/request/dispatch/experiment_test.go
@@ -105,7 +105,7 @@
 	return best
 }
 
-// simulation simulates nine balancers and upstreams with two slots each.
+// simulation is a simulated run of nine balancers and upstreams with two slots each.
 type simulation struct {
 	now       time.Time
 	random    *rand.Rand
--- a/internal/request/keys/keys.go
+++ b/internal/request/keys/keys.go
@@ -82,55 +82,55 @@
 	if epoch != s.epoch {
 		return Record{}, &EpochError{Claim: epoch, Here: s.epoch}
 	}
-	at := recordKey{r.Service, r.Key}
-	if old, ok := s.records[at]; ok && now.Sub(old.Made) < s.window {
+	id := recordKey{r.Service, r.Key}
+	if old, ok := s.records[id]; ok && now.Sub(old.Made) < s.window {
 		return *old, nil
 	}
 	if len(s.records) >= s.limit {
 		return Record{}, &FullError{Limit: s.limit}
 	}
 	r.State, r.Made = Claimed, now
-	s.records[at] = &r
+	s.records[id] = &r
 	return r, nil
 }
 
 // Release deletes a record that was created by the attempt and is still Claimed.
 func (s *Store) Release(service, key, attempt string) {
-	at := recordKey{service, key}
-	if r, ok := s.records[at]; ok && r.Attempt == attempt && r.State == Claimed {
-		delete(s.records, at)
+	id := recordKey{service, key}
+	if r, ok := s.records[id]; ok && r.Attempt == attempt && r.State == Claimed {
+		delete(s.records, id)
 	}
 }
 
 // Finish stores the response to a key's request, unless another attempt holds the key.
 func (s *Store) Finish(now time.Time, r Record) {
-	at := recordKey{r.Service, r.Key}
-	if old, ok := s.records[at]; ok && old.Attempt != r.Attempt {
+	id := recordKey{r.Service, r.Key}
+	if old, ok := s.records[id]; ok && old.Attempt != r.Attempt {
 		return
 	}
 	r.State = Answered
 	if r.Made.IsZero() {
 		r.Made = now
 	}
-	s.records[at] = &r
+	s.records[id] = &r
 }
 
 // Merge adds records from another balancer.
 func (s *Store) Merge(rs []Record) {
 	for _, r := range rs {
-		at := recordKey{r.Service, r.Key}
-		if old, ok := s.records[at]; !ok || r.State > old.State {
+		id := recordKey{r.Service, r.Key}
+		if old, ok := s.records[id]; !ok || r.State > old.State {
 			x := r
-			s.records[at] = &x
+			s.records[id] = &x
 		}
 	}
 }
 
 // Expire deletes records older than the window.
 func (s *Store) Expire(now time.Time) {
-	for at, r := range s.records {
+	for id, r := range s.records {
 		if now.Sub(r.Made) >= s.window {
-			delete(s.records, at)
+			delete(s.records, id)
 		}
 	}
 }
