--- a/internal/request/keys/keys.go
+++ b/internal/request/keys/keys.go
@@ -10,7 +10,7 @@
 // State is the state of a key's request.
 type State uint8
 
-// The states of a key; a later one overrides an earlier one.
+// The states of a key; a higher one overrides a lower one.
 const (
 	// Claimed means that an attempt may send the request, or already has.
 	Claimed State = iota + 1
@@ -36,7 +36,8 @@
 	Fingerprint uint64
 	State       State
 	Answer      *Answer
-	Made        time.Time
+	// Made is the time of the claim.
+	Made time.Time
 }
 
 // FullError reports that the store is full. Evicting a key inside the window could
@@ -54,7 +55,8 @@
 	return fmt.Sprintf("claim under epoch %d, this balancer is at %d", e.Claim, e.Here)
 }
 
-// Store holds records for a window of time. It is not safe for concurrent use.
+// Store holds each record until a window of time after its claim has passed. It is not safe
+// for concurrent use.
 type Store struct {
 	window  time.Duration
 	limit   int
@@ -72,63 +74,63 @@
 // Len returns the number of stored keys.
 func (s *Store) Len() int { return len(s.records) }
 
-// SetEpoch sets the epoch of a newer roster; claims with an older epoch are refused.
+// SetEpoch sets the epoch of a newer roster; claims with another epoch are rejected.
 func (s *Store) SetEpoch(epoch uint64) { s.epoch = max(s.epoch, epoch) }
 
-// Claim creates a record, or returns the existing one.
+// Claim creates a record, or returns the existing record of the key.
 func (s *Store) Claim(now time.Time, epoch uint64, r Record) (Record, error) {
 	if epoch != s.epoch {
 		return Record{}, &EpochError{Claim: epoch, Here: s.epoch}
 	}
-	at := recordKey{r.Service, r.Key}
-	if old, ok := s.records[at]; ok && now.Sub(old.Made) < s.window {
+	id := recordKey{r.Service, r.Key}
+	if old, ok := s.records[id]; ok && now.Sub(old.Made) < s.window {
 		return *old, nil
 	}
 	if len(s.records) >= s.limit {
 		return Record{}, &FullError{Limit: s.limit}
 	}
 	r.State, r.Made = Claimed, now
-	s.records[at] = &r
+	s.records[id] = &r
 	return r, nil
 }
 
 // Release deletes a record that was created by the attempt and is still Claimed.
 func (s *Store) Release(service, key, attempt string) {
-	at := recordKey{service, key}
-	if r, ok := s.records[at]; ok && r.Attempt == attempt && r.State == Claimed {
-		delete(s.records, at)
+	id := recordKey{service, key}
+	if r, ok := s.records[id]; ok && r.Attempt == attempt && r.State == Claimed {
+		delete(s.records, id)
 	}
 }
 
-// Finish stores the response to a key's request.
+// Finish stores the response to a key's request, unless another attempt holds the key.
 func (s *Store) Finish(now time.Time, r Record) {
-	at := recordKey{r.Service, r.Key}
-	if old, ok := s.records[at]; ok && old.Attempt != r.Attempt {
+	id := recordKey{r.Service, r.Key}
+	if old, ok := s.records[id]; ok && old.Attempt != r.Attempt {
 		return
 	}
 	r.State = Answered
 	if r.Made.IsZero() {
 		r.Made = now
 	}
-	s.records[at] = &r
+	s.records[id] = &r
 }
 
 // Merge adds records from another balancer.
 func (s *Store) Merge(rs []Record) {
 	for _, r := range rs {
-		at := recordKey{r.Service, r.Key}
-		if old, ok := s.records[at]; !ok || r.State > old.State {
+		id := recordKey{r.Service, r.Key}
+		if old, ok := s.records[id]; !ok || r.State > old.State {
 			x := r
-			s.records[at] = &x
+			s.records[id] = &x
 		}
 	}
 }
 
 // Expire deletes records older than the window.
 func (s *Store) Expire(now time.Time) {
-	for at, r := range s.records {
+	for id, r := range s.records {
 		if now.Sub(r.Made) >= s.window {
-			delete(s.records, at)
+			delete(s.records, id)
 		}
 	}
 }
