--- a/internal/fanout/selection/selection.go
+++ b/internal/fanout/selection/selection.go
@@ -68,7 +68,7 @@
 const (
 	Joined           Reason = "candidate answers"
 	Failed           Reason = "parent does not answer"
-	FewerFreshVoters Reason = "parent hears fewer voters"
+	FewerFreshVoters Reason = "parent has fewer fresh voters"
 	Moved            Reason = "place in the zone changed"
 	Root             Reason = "place at the top of the zone"
 )
--- a/internal/fanout/selection/selection_test.go
+++ b/internal/fanout/selection/selection_test.go
@@ -194,7 +194,7 @@
 }
 
 // Guards against a root that sends flows to departed upstreams although other balancers of its zone
-// know of the departures. It was cut off from the voters only, and polled no other source.
+// have received the departures. It was cut off from the voters only, and polled no other source.
 func TestIsolatedRootPollsAnotherRoot(t *testing.T) {
 	all := zone(20)
 	var self string
