--- a/internal/configuration/history/history.go
+++ b/internal/configuration/history/history.go
@@ -36,7 +36,7 @@
 	Deltas []Delta
 	// Revision is the newest revision that the responding process knows.
 	Revision uint64
-	// Current says that the responding process knows Revision to be the newest accepted one.
+	// Current is set if the responding process has confirmed Revision as the newest accepted one.
 	Current bool
 	// Evacuations is set if it is newer than the follower's.
 	Evacuations *evacuation.Evacuations `cbor:",omitempty"`
--- a/internal/control/agreement/members_test.go
+++ b/internal/control/agreement/members_test.go
@@ -88,7 +88,7 @@
 
 // Guards against a partitioned zone without a configuration after a restart of
 // all VMs. If no disk records the commit index, a voter that restarts alone
-// cannot tell which entries are committed.
+// cannot determine which entries are committed.
 func TestRestartedVoterRestoresCommitIndex(t *testing.T) {
 	c := bootstrappedCluster(t)
 	require.NoError(t, c.propose(c.leader(), "kept", 1, "b"))
--- a/internal/control/agreement/message.go
+++ b/internal/control/agreement/message.go
@@ -9,7 +9,7 @@
 	JoinRequest MessageKind = iota
 	// Bootstrap carries the initial list of voters.
 	Bootstrap
-	// PreVote asks whether a vote would be granted, without raising any term.
+	// PreVote checks whether a vote would be granted, without raising any term.
 	PreVote
 	PreVoteResponse
 	RequestVote
@@ -19,7 +19,7 @@
 	AppendEntriesResponse
 	// InstallSnapshot carries a snapshot.
 	InstallSnapshot
-	// TimeoutNow asks a follower to start an election at once because the leader
+	// TimeoutNow requests that a follower start an election at once because the leader
 	// stops. The follower's RequestVote messages have Granted set.
 	TimeoutNow
 )
@@ -35,7 +35,7 @@
 	LogTerm uint64
 	Commit  uint64
 	// Granted is the result in a response. In a JoinRequest, it is set if the sender has a
-	// list of voters; in a RequestVote, if the leader asked for the election.
+	// list of voters; in a RequestVote, if the leader requested the election.
 	Granted  bool
 	Entries  []Entry
 	Snapshot *Snapshot
--- a/internal/control/referral/referral.go
+++ b/internal/control/referral/referral.go
@@ -31,11 +31,10 @@
 func New(s tree.Shape) *Referral { return &Referral{shape: s, referred: map[string]int{}} }
 
 // Choose returns the announcement address of a balancer in the upstream's zone, or "" if the
-// upstream stays with the voter, as in zones with few balancers. A hash of the announcement's
-// sequence number selects two candidates, and the one with fewer upstreams is chosen. An
-// upstream that announces itself to a voter again because its balancer did not respond thus gets
-// another balancer.
-// Root balancers are excluded, since they forward the reports of the others.
+// upstream stays with the voter, as in zones with few balancers. A hash of the sequence number
+// selects two candidates, of which the one with fewer upstreams is chosen: an upstream that
+// announces itself to a voter again because its balancer did not respond gets another one. Root
+// balancers are excluded, since they forward the reports of the others.
 func (r *Referral) Choose(now time.Time, u upstream.Upstream, zone []member.Member) string {
 	candidates := r.candidates(zone)
 	if len(candidates) == 0 {
--- a/internal/core/effect/effect.go
+++ b/internal/core/effect/effect.go
@@ -11,7 +11,7 @@
 	ToUpstream Kind = "ToUpstream"
 	// ToPeer sends a datagram to another balancer's peer port.
 	ToPeer Kind = "ToPeer"
-	// Fetch asks another balancer for a newer configuration.
+	// Fetch requests a newer configuration from another balancer.
 	Fetch Kind = "Fetch"
 	// Drained reports that every flow of this balancer is replicated elsewhere.
 	Drained Kind = "Drained"
--- a/internal/model/configuration/configuration.go
+++ b/internal/model/configuration/configuration.go
@@ -24,7 +24,7 @@
 	Addresses []netip.AddrPort
 	// TokenSha256 is the SHA-256 digest in hex of the token that upstreams authenticate with.
 	TokenSha256 string
-	// Repeatable says that a request without an idempotency key may be retried.
+	// Repeatable is set if a request without an idempotency key may be retried.
 	Repeatable bool
 	// Priority ranks services under overload; a higher one is served first.
 	Priority int
@@ -35,7 +35,7 @@
 	// Application is the operator's name of the application protocol; the balancer
 	// does not use it.
 	Application string `json:",omitzero" cbor:",omitempty"`
-	// TLS says that flows are encrypted end to end.
+	// TLS is set if flows are encrypted end to end.
 	TLS bool `json:",omitzero" cbor:",omitempty"`
 	// Cold limits the load of upstreams that have just started; nil if not configured.
 	Cold *Cold `json:",omitzero" cbor:",omitempty"`
--- a/internal/model/configuration/route.go
+++ b/internal/model/configuration/route.go
@@ -9,11 +9,9 @@
 	"github.com/samber/lo"
 )
 
-// Class says how a route's requests may be handled.
-//
-// Operators may use classes that this version does not know. The name of such a class is
-// stored unchanged, so that operators read back the document that they sent. Its requests
-// get the safest handling: they run at most once, and a flow with a pending request is not
+// Class determines how a route's requests may be handled. The name of a class that this version
+// does not know is stored unchanged, so that operators read back the document that they sent. Its
+// requests get the safest handling: they run at most once, and a flow with a pending request is not
 // reset when its upstream becomes unresponsive.
 type Class string
 
--- a/internal/model/upstream/upstream.go
+++ b/internal/model/upstream/upstream.go
@@ -5,7 +5,7 @@
 	"net/netip"
 )
 
-// State says whether an upstream accepts new flows.
+// State is whether an upstream accepts new flows.
 type State uint8
 
 // The states that an upstream announces.
--- a/internal/request/claimer/claimer.go
+++ b/internal/request/claimer/claimer.go
@@ -57,12 +57,10 @@
 	err    error
 }
 
-// Claim claims the key at all members that store it. It is granted by a majority of each
-// quorum set; otherwise the claims at all members are released.
-//
-// Two attempts cannot both be granted: two majorities of a set share a member, which keeps
-// the first attempt's record. Until a roster change is settled, a majority of the previous
-// set is needed too.
+// Claim claims the key at all members that store it. It is granted by a majority of each quorum
+// set; otherwise the claims at all members are released. Two attempts cannot both be granted: two
+// majorities of a set share a member, which keeps the first attempt's record. Until a roster change
+// is settled, a majority of the previous set is needed too.
 func (c *Claimer) Claim(ctx context.Context, r keys.Record) Result {
 	v := c.view()
 	if len(v.Roster.Members) == 0 {
--- a/internal/request/dispatch/dispatch.go
+++ b/internal/request/dispatch/dispatch.go
@@ -76,7 +76,7 @@
 	Shed
 	// Failed means that there was no response, or a server error.
 	Failed
-	// Cancelled means that the caller disconnected; it says nothing about the upstream.
+	// Cancelled means that the caller disconnected; it is no evidence about the upstream.
 	Cancelled
 )
 
--- a/internal/request/door/door.go
+++ b/internal/request/door/door.go
@@ -71,7 +71,7 @@
 	addresses        map[string]string
 	waiting          map[uint64]chan dispatch.Decision
 	lastID           uint64
-	// repeatable says that requests without a key may be retried whatever their method.
+	// repeatable is set if requests without a key may be retried whatever their method.
 	repeatable bool
 	priority   int
 	Counters   Counters
