--- a/internal/balancer/reducer/failures_test.go
+++ b/internal/balancer/reducer/failures_test.go
@@ -191,12 +191,10 @@
 	require.NotZero(t, n.reducer.Status(f.now).Refused)
 }
 
-// TestRandomChanges applies random changes in sequence, with at most one unplanned
-// failure at a time and loss, duplication and reordering on the network.
-//
-// Flows opened during a partition, or in the four seconds after it, are excluded: the
-// fabric may deliver a retransmitted SYN to both sides, and each opens the flow. All
-// other flows must survive.
+// TestRandomChanges applies random changes in sequence, with at most one unplanned failure at a
+// time and loss, duplication and reordering on the network. All flows must survive except those
+// opened during a partition or in the four seconds after it: the fabric may deliver a retransmitted
+// SYN to both sides, and each opens the flow.
 func TestRandomChanges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := suezFleet(rapid.Uint64().Draw(t, "seed"))
--- a/internal/flow/choice/plan.go
+++ b/internal/flow/choice/plan.go
@@ -10,13 +10,11 @@
 	"wasabideal/internal/flow/key"
 )
 
-// Plan distributes the new flows of one service at one balancer over zones and upstreams. It
-// is immutable.
-//
-// Flows arrive at zones in proportion to the slots that their balancers own, and leave in
-// proportion to the capacity there: a zone keeps flows up to its capacity and spills the
-// excess to zones with spare capacity. Plans use no load reports, which are seconds old: balancers
-// that all act on them overshoot (max over mean 1.09 to 1.20 at 3,000 openings a second).
+// Plan distributes the new flows of one service at one balancer over zones and upstreams. It is
+// immutable. Flows arrive at zones in proportion to the slots that their balancers own; a zone
+// keeps them up to its capacity and spills the excess to zones with spare capacity. Plans use no
+// load reports, which are seconds old: balancers that all act on them overshoot (max over mean 1.09
+// to 1.20 at 3,000 openings a second).
 type Plan struct {
 	pool []Candidate
 	// localShare is the share of flows that stay in the local zone.
--- a/internal/flow/router/router.go
+++ b/internal/flow/router/router.go
@@ -20,7 +20,7 @@
 
 const (
 	// LostCandidate sends it to the upstream that a new flow would get. If the flow is not
-	// there, the upstream's kernel resets the connection, so that the caller notices.
+	// there, the upstream's kernel resets the connection, so that the caller gets an error.
 	LostCandidate LostPolicy = "Candidate"
 	// LostDrop drops it, so that the caller times out.
 	LostDrop LostPolicy = "Drop"
@@ -43,7 +43,7 @@
 	Lost        LostPolicy
 }
 
-// Counters are the router's totals since its start. Asked counts lookups at other members,
+// Counters are the router's totals since its start. Asked counts the lookups at other members,
 // Foreign packets for an upstream whose address has been reassigned, Misdelivered selected
 // upstreams of another service, and CopiedByTrickle flows that background repair copied.
 type Counters struct {
@@ -149,11 +149,9 @@
 }
 
 // mayServe reports whether a packet of a stored flow may be routed here instead of by the owner.
-//
-// Openings are left to the owner: the entry of a former replica could revive a flow that the
-// owner has since opened at another upstream. An unconfirmed opening may have been
-// retransmitted to the other side of a partition, so the other members are queried after a
-// membership change.
+// Openings are left to the owner: the entry of a former replica could revive a flow that the owner
+// has since opened at another upstream. An unconfirmed opening may have been retransmitted to the
+// other side of a partition, so the other members are queried after a membership change.
 func (r *Router) mayServe(e *table.Entry, slot int, now time.Time) bool {
 	if r.unconfirmed(e, slot, now) {
 		return false
--- a/internal/member/swim/message.go
+++ b/internal/member/swim/message.go
@@ -112,7 +112,7 @@
 		if m.Digest != s.digest() {
 			a.News = s.nextMembers(updatesPerMessage / 2)
 		}
-		// Tells a suspected member that it is suspected, so that it can refute.
+		// Notifies a suspected member of the suspicion, so that it can refute it.
 		if p := s.peers[m.From.Name]; p != nil && p.State != Alive {
 			a.News = append(a.News, p.Member)
 		}
--- a/internal/member/swim/swim.go
+++ b/internal/member/swim/swim.go
@@ -245,7 +245,7 @@
 //
 // It is not enough to do so without any known member: two balancers that start together
 // and discover each other first would remain a separate group, and both groups would
-// claim the first rank for the same flows.
+// own the same flows.
 func (s *Swim) join(now time.Time, out *effect.List) {
 	if s.ticks%joinEvery != 0 {
 		return
--- a/internal/overload/admission/admission.go
+++ b/internal/overload/admission/admission.go
@@ -31,13 +31,13 @@
 	slowestShare = 0.45
 )
 
-// The predicted response times, as shares of the objective, from which some flows and all
-// flows are rejected. Ordinary flows leave headroom for the slowest requests, which take more
-// than twice the mean; urgent flows are rejected only when no other is admitted.
+// The predicted response times, as shares of the objective, from which some flows and all flows are
+// rejected. Ordinary flows leave headroom for the slowest requests, which take more than twice the
+// mean; urgent flows are rejected only when no other is admitted.
 //
-// The share of requests in time with 14 upstreams of two slots: 0.90 and 0.75 in bursts of
-// three and four times the ordinary load (0.66 and 0.50 if all flows are admitted; 0.89 and
-// 0.58 with ordinary shares of 0.5 and 0.6), 0.98 (0.98) in bursts of two and a half times.
+// The share of requests in time with 14 upstreams of two slots: 0.90 and 0.75 in bursts of three
+// and four times the ordinary load (0.66 and 0.50 if all flows are admitted; 0.89 and 0.58 with
+// ordinary shares of 0.5 and 0.6), 0.98 (0.98) in bursts of two and a half times.
 const (
 	ordinaryFirst, ordinaryAll = 0.42, 0.48
 	urgentFirst, urgentAll     = 0.6, 0.8
@@ -92,11 +92,9 @@
 }
 
 // ResponseTime predicts the duration of a request that is sent now with the given number of
-// requests in flight; 0 means too few responses to predict.
-//
-// Responses reflect the load at the time of their requests, so a burst would fill all queues
-// before its first response is late. Scaling by the growth of requests in flight since then
-// shows the burst at once.
+// requests in flight; 0 means too few responses to predict. Responses reflect the load at the time
+// of their requests, so a burst would fill all queues before its first response is late. Scaling by
+// the growth of requests in flight since then shows the burst at once.
 func (a *Admission) ResponseTime(now time.Time, inFlight int) time.Duration {
 	var buffer [maxResponses]response
 	n := a.recent(now, &buffer)
--- a/internal/overload/response/doc.go
+++ b/internal/overload/response/doc.go
@@ -1,8 +1,5 @@
-// Package response compares the response time of each upstream with that of the
-// other upstreams of its service.
-//
-// Some upstreams are several times slower than the rest, after a start or because
-// of a noisy neighbour. At low load the number of requests in flight does not show
-// it: an idle slow upstream looks like an idle fast one. The package does no I/O and
-// reads no clock; its types are not safe for concurrent use.
+// Package response compares the response time of each upstream with that of the other upstreams of
+// its service: some are several times slower, after a start or because of a noisy neighbour. At low
+// load the number of requests in flight does not show it: an idle slow upstream looks like an idle
+// fast one. The package does no I/O and reads no clock; its types are not safe for concurrent use.
 package response
