--- a/internal/cookie/router/reset.go
+++ b/internal/cookie/router/reset.go
@@ -15,8 +15,8 @@
 	Opened time.Time
 	// Handshake is set if this balancer saw the end of the handshake or a later packet.
 	Handshake bool
-	// Evidence is the time of the first unanswered packet, or when this balancer learned
-	// that the upstream has terminated.
+	// Evidence is the time of the first unanswered packet, or when this balancer
+	// first observed that the upstream has terminated.
 	Evidence time.Time
 	// Voter is the voter that confirmed the upstream as unresponsive, empty for other
 	// reasons.
--- a/internal/cookie/router/router_test.go
+++ b/internal/cookie/router/router_test.go
@@ -147,7 +147,7 @@
 }
 
 // Guards against openings to a dead upstream, 1.4 s each for their callers, until its
-// missing announcements are noticed seconds later. Openings to it are retransmitted.
+// missing announcements are detected seconds later. Openings to it are retransmitted.
 func TestUnansweredOpeningSuspectsTheUpstream(t *testing.T) {
 	r := newRouter(t, target(1, "orders", "a"), target(2, "orders", "a"))
 	first := r.Route(epoch, opening(1)).Incarnation
--- a/internal/cookie/router/target.go
+++ b/internal/cookie/router/target.go
@@ -44,7 +44,7 @@
 	// coldWindow limits the rate of flows that this balancer sends while the upstream is
 	// cold.
 	coldWindow slowstart.Window
-	// endObserved is when this balancer learned that the upstream has terminated.
+	// endObserved is when this balancer first observed that the upstream has terminated.
 	endObserved time.Time
 	// active is set while the service's active list has the upstream.
 	active bool
@@ -56,7 +56,7 @@
 
 // Cookie folds an incarnation and its start time into the cookie that both ends of a flow
 // echo; it is never 0, which stands for none. A restarted upstream has a different cookie,
-// so that flows of its earlier instance can be told apart.
+// so that flows of its earlier instance can be distinguished.
 func Cookie(incarnation, born uint64) uint32 {
 	c := uint32(incarnation) ^ uint32(incarnation>>32)*0x9e3779b1 ^ uint32(born)*0x85ebca6b ^ uint32(born>>32)*0xc2b2ae35
 	if c == 0 {
@@ -66,7 +66,7 @@
 }
 
 // formerInstance is an earlier instance of an upstream, with the time at which its end was
-// learned.
+// observed.
 type formerInstance struct {
 	target *target
 	since  time.Time
--- a/internal/cookie/router/upstreams.go
+++ b/internal/cookie/router/upstreams.go
@@ -50,7 +50,7 @@
 	}
 	if t == nil {
 		t = &target{cookie: Cookie(x.Incarnation, x.Born)}
-		// Two upstreams with the same cookie cannot be told apart: the later one gets no
+		// Two upstreams with the same cookie cannot be distinguished: the later one gets no
 		// flow, so that it receives no packet of the other's flows.
 		t.cookieCollision = r.cookies[t.cookie] != nil
 		t.service = r.service(x.Service)
--- a/internal/silence/evidence/evidence.go
+++ b/internal/silence/evidence/evidence.go
@@ -35,13 +35,14 @@
 	Events []Event
 }
 
-// Suspicion tells balancers that a subject leaves packets unanswered at some of them.
+// Suspicion is a voter's report to balancers that a subject leaves packets unanswered at some of
+// them.
 type Suspicion struct {
 	_ struct{} `cbor:",toarray"`
 	Subject
 	// Age is the time since the earliest of these packets was sent.
 	Age time.Duration
 	// Unresponsive reports whether the evidence suffices and, in what voters send to balancers,
-	// whether probes confirm it. Until then, balancers are asked to report responses of the subject.
+	// whether probes confirm it. Until then, responses of the subject are requested from balancers.
 	Unresponsive bool
 }
--- a/internal/silence/probe/probe.go
+++ b/internal/silence/probe/probe.go
@@ -64,7 +64,7 @@
 	return c.Close()
 }
 
-// Check probes a suspect, along with references that are believed to be up.
+// Check probes a suspect, along with references that are presumed to be up.
 func (p *Prober) Check(ctx context.Context, suspect netip.AddrPort, references []netip.AddrPort) Outcome {
 	// The dial timeout exceeds the wait, so that no handshake is cancelled while its answer
 	// is still unread.
