--- a/internal/capacity/measure/cookie.go
+++ b/internal/capacity/measure/cookie.go
@@ -121,7 +121,7 @@
 }
 
 func viewMicros(size float64) (float64, error) {
-	v := view.New(view.Settings{ContactLease: time.Hour, ProvisionalTTL: time.Hour, ForgetAfter: time.Hour})
+	v := view.New(view.Settings{ContactLease: time.Hour, UnconfirmedTTL: time.Hour, ForgetAfter: time.Hour})
 	v.ApplyNotices(cookieEpoch, "voter", 1, cookieDirectory(int(size)).Since(cookieEpoch, 0))
 	r, err := cookieRouter(1)
 	c, _ := v.Changes(cookieEpoch)
@@ -141,7 +141,7 @@
 func viewBytes(size float64) (float64, error) {
 	r, err := cookieRouter(1)
 	before := heap()
-	v := view.New(view.Settings{ContactLease: time.Hour, ProvisionalTTL: time.Hour, ForgetAfter: time.Hour})
+	v := view.New(view.Settings{ContactLease: time.Hour, UnconfirmedTTL: time.Hour, ForgetAfter: time.Hour})
 	v.ApplyNotices(cookieEpoch, "voter", 1, cookieDirectory(int(size)).Since(cookieEpoch, 0))
 	c, _ := v.Changes(cookieEpoch)
 	r.Update(cookieEpoch, c)
--- a/internal/capacity/measure/fanout.go
+++ b/internal/capacity/measure/fanout.go
@@ -38,11 +38,11 @@
 
 func voterName(n int) string { return fmt.Sprintf("10.%d.0.12:7720", n+1) }
 
-// knownOrigins returns the versions that a balancer knows of the state of a number of voters.
-func knownOrigins(voters int) *origins.Origins {
+// newOrigins returns the state that a balancer has received from a number of voters.
+func newOrigins(voters int) *origins.Origins {
 	o := origins.New()
 	for n := range voters {
-		o.Apply(cookieEpoch, origins.Update{Known: origins.Known{Voter: voterName(n), Life: 1 << 60, Version: 100_000, Doubts: 100}})
+		o.Apply(cookieEpoch, origins.Update{VoterVersion: origins.VoterVersion{Voter: voterName(n), Life: 1 << 60, Version: 100_000, Doubts: 100}})
 	}
 	return o
 }
@@ -66,7 +66,7 @@
 const fiveVoters = 5
 
 func followMicros(size float64) (float64, error) {
-	p := parentBalancer{origins: knownOrigins(fiveVoters), view: view.New(view.Settings{ContactLease: time.Hour, ForgetAfter: time.Hour})}
+	p := parentBalancer{origins: newOrigins(fiveVoters), view: view.New(view.Settings{ContactLease: time.Hour, ForgetAfter: time.Hour})}
 	for n := range fiveVoters {
 		var notices []directory.Notice
 		for u := range int(size) / fiveVoters {
@@ -75,7 +75,7 @@
 		p.view.Apply(cookieEpoch, view.Update{Voter: voterName(n), Life: 1 << 60, Version: 100_000, Contact: cookieEpoch, Notices: notices})
 	}
 	r := relay.New(p, func() time.Time { return cookieEpoch }, 1)
-	q := relay.Request{From: "10.1.0.10:7720", Known: p.origins.Known(cookieEpoch)}
+	q := relay.Request{From: "10.1.0.10:7720", Known: p.origins.VoterVersions(cookieEpoch)}
 	return callMicros(1, func(s *rpc.Server) { r.Serve(s, token) }, func(ctx context.Context, c *rpc.Client) error {
 		_, err := rpc.Call[relay.Request, relay.Response](ctx, c, relay.SinceMethod, q)
 		return err
@@ -83,8 +83,8 @@
 }
 
 func followBytes(size float64) (float64, error) {
-	o := knownOrigins(int(size))
-	known := o.Known(cookieEpoch)
+	o := newOrigins(int(size))
+	known := o.VoterVersions(cookieEpoch)
 	all, _ := o.UpdatesSince(cookieEpoch, known)
 	request, err := encodedBytes(relay.Request{From: "10.1.0.10:7720", Known: known})
 	if err != nil {
--- a/internal/control/feed/probe.go
+++ b/internal/control/feed/probe.go
@@ -53,7 +53,7 @@
 		return
 	}
 	references := f.directory.RecentAddresses(referenceCount, func(incarnation uint64) bool {
-		return f.detector.Refutes(evidence.Event{Incarnation: incarnation})
+		return f.detector.IsSuspected(evidence.Event{Incarnation: incarnation})
 	})
 	for _, u := range due {
 		address, known := f.address(now, u)
--- a/internal/control/feed/silence.go
+++ b/internal/control/feed/reports.go
@@ -56,7 +56,7 @@
 func (f *Feed) refuteSuspicion(now time.Time, a handover.Announcement) bool {
 	e := LivenessEvent(a.Upstream)
 	e.Age = a.Age
-	if !f.detector.Refutes(e) {
+	if !f.detector.IsSuspected(e) {
 		return false
 	}
 	f.detector.Record(now, "", e)
--- a/internal/cookie/follower/handover.go
+++ b/internal/cookie/follower/announcements.go
@@ -20,8 +20,8 @@
 	return "no voter can be reached from this balancer; announce the upstream elsewhere"
 }
 
-// HandOver forwards announcements to the parent, or each to the voter that owns its upstream.
-func (f *Follower) HandOver(ctx context.Context, all []handover.Announcement) error {
+// ForwardAnnouncements forwards announcements to the parent, or each to the owner of its upstream.
+func (f *Follower) ForwardAnnouncements(ctx context.Context, all []handover.Announcement) error {
 	f.mu.Lock()
 	parent := ""
 	if f.selection != nil {
--- a/internal/cookie/follower/handover_test.go
+++ b/internal/cookie/follower/announcements_test.go
@@ -22,7 +22,7 @@
 		f.voterSeen[voter] = now
 	}
 	recordState := func(voter string, age time.Duration) {
-		f.origins.Apply(now, origins.Update{Known: origins.Known{Voter: voter, Life: 1, Age: age}, Zone: "a"})
+		f.origins.Apply(now, origins.Update{VoterVersion: origins.VoterVersion{Voter: voter, Life: 1, Age: age}, Zone: "a"})
 	}
 	recordState("polled", 0)
 	recordState("failing", 0)
--- a/internal/cookie/follower/fetcher.go
+++ b/internal/cookie/follower/fetcher.go
@@ -27,8 +27,8 @@
 	fetchBackoff    = 50 * time.Millisecond
 	maxFetchBackoff = time.Second
 	// unavailableAfter is how long a balancer may fail to get an announced configuration before it
-	// tells its followers to fetch it elsewhere. Earlier, the followers would ask the voters for a
-	// configuration that this balancer is about to receive.
+	// reports it to its followers, which then fetch it elsewhere. If reported earlier, they would
+	// request from the voters a configuration that this balancer is about to receive.
 	unavailableAfter = time.Second
 )
 
--- a/internal/cookie/follower/follower.go
+++ b/internal/cookie/follower/follower.go
@@ -146,7 +146,7 @@
 		defer f.running.Done()
 		f.runReconciler()
 	}()
-	f.SetSources(voters)
+	f.SetSeeds(voters)
 }
 
 // Wait blocks until all goroutines have ended.
@@ -155,8 +155,8 @@
 	f.pool.Close()
 }
 
-// SetSources sets the voter addresses from the settings (the seeds).
-func (f *Follower) SetSources(voters []string) {
+// SetSeeds sets the voter addresses from the settings (the seeds).
+func (f *Follower) SetSeeds(voters []string) {
 	f.mu.Lock()
 	f.seeds = lo.SliceToMap(voters, func(a string) (string, bool) { return a, true })
 	f.mu.Unlock()
--- a/internal/cookie/follower/parent.go
+++ b/internal/cookie/follower/parent.go
@@ -100,6 +100,6 @@
 	return relay.Request{
 		Evacuations: evacuations,
 		From:        f.settings.Self.Address, Hold: parentHold, Revision: f.fetcher.revision(address),
-		Fleet: f.membership.List(address).Version, Known: f.origins.Known(f.settings.Clock()),
+		Fleet: f.membership.List(address).Version, Known: f.origins.VoterVersions(f.settings.Clock()),
 	}
 }
--- a/internal/cookie/follower/status.go
+++ b/internal/cookie/follower/status.go
@@ -34,7 +34,7 @@
 		Fresh: f.origins.CountFresh(now, f.settings.StaleAfter), Balancers: len(f.membership.Members()),
 		Followers: len(f.followers.Heartbeats(now)),
 	}
-	for i, k := range f.origins.Known(now) {
+	for i, k := range f.origins.VoterVersions(now) {
 		if i == 0 || k.Age < s.Age {
 			s.Age = k.Age
 		}
--- a/internal/cookie/follower/voters.go
+++ b/internal/cookie/follower/voters.go
@@ -155,8 +155,8 @@
 		f.applyInlineConfiguration(address, current, a.Configuration)
 	}
 	f.applyVoterState(f.settings.Clock(), origins.Update{
-		Known:   origins.Known{Voter: address, Life: a.Life, Version: a.Version, Doubts: a.DoubtsVersion},
-		Notices: a.Notices, Subjects: a.Doubts, Doubted: a.Life != q.Life || a.DoubtsVersion != q.Doubts, Zone: a.Zone,
+		VoterVersion: origins.VoterVersion{Voter: address, Life: a.Life, Version: a.Version, Doubts: a.DoubtsVersion},
+		Notices:      a.Notices, Subjects: a.Doubts, Doubted: a.Life != q.Life || a.DoubtsVersion != q.Doubts, Zone: a.Zone,
 	})
 	f.fetcher.noteRevision(address, a.Revision)
 	f.applyVoterFleet(address, q, a)
--- a/internal/daemon/cookie/cookie.go
+++ b/internal/daemon/cookie/cookie.go
@@ -39,10 +39,10 @@
 }
 
 const (
-	// restoredTTL is how long a restored upstream counts as live: three announcement
+	// unconfirmedTTL is how long an unconfirmed notice stays valid: three announcement
 	// intervals, within which a restarted voter receives an announcement from each live
 	// upstream.
-	restoredTTL = 4 * time.Second
+	unconfirmedTTL = 4 * time.Second
 	// forgetAfter is how long a silent upstream stays known, for flows that may still
 	// be open there.
 	forgetAfter = 90 * time.Second
@@ -148,7 +148,7 @@
 		settings: s, log: log, socket: socket, counts: newCounts(),
 		suspicions: suspicions.New(follower.ContactLease), unresponsive: map[evidence.Subject]bool{},
 		unplaced: pending.New[packetKey, bufferedPacket](), awaitingCapacity: pending.New[packetKey, bufferedPacket](),
-		view: view.New(view.Settings{ContactLease: follower.ContactLease, ProvisionalTTL: restoredTTL, ForgetAfter: forgetAfter}),
+		view: view.New(view.Settings{ContactLease: follower.ContactLease, UnconfirmedTTL: unconfirmedTTL, ForgetAfter: forgetAfter}),
 	}
 	if uplink.NeedsPacing(s.LinkBytesPerSecond) && !s.Off.Has(mechanism.Pacing) {
 		b.uploads = newUploads(s.LinkBytesPerSecond)
@@ -187,8 +187,8 @@
 	}()
 }
 
-// SetSources replaces the list of voters after a change of the settings.
-func (b *Balancer) SetSources(sources []string) { b.follower.SetSources(sources) }
+// SetSeeds sets the voter addresses after a change of the settings.
+func (b *Balancer) SetSeeds(voters []string) { b.follower.SetSeeds(voters) }
 
 // Ready reports whether the balancer can place flows and is not stopping.
 func (b *Balancer) Ready() bool { return b.ready.Load() && !b.leaving.Load() }
--- a/internal/daemon/cookie/fanout.go
+++ b/internal/daemon/cookie/fanout.go
@@ -81,7 +81,7 @@
 	x := &fanout{
 		listener: l, history: history.New(maxDeltas), sample: sample.New(), referral: referral.New(s.Shape),
 		relay:         relay.New(b, s.Clock, int(followerHeadroom*float64(s.Shape.Fanout))),
-		announcements: handover.New(s.Clock, b.follower.HandOver),
+		announcements: handover.New(s.Clock, b.follower.ForwardAnnouncements),
 		server:        rpc.NewServer(func(method string) { b.log.Warn("rejected call without valid token", "Method", method) }),
 	}
 	x.relay.Serve(x.server, s.Token)
@@ -152,7 +152,7 @@
 // Updates returns the response to a follower's long poll, and whether it holds anything new.
 func (b *Balancer) Updates(now time.Time, q relay.Request) (relay.Response, bool) {
 	a, changed := b.follower.Updates(now, q)
-	known := make(map[string]origins.Known, len(q.Known))
+	known := make(map[string]origins.VoterVersion, len(q.Known))
 	for _, k := range q.Known {
 		known[k.Voter] = k
 	}
--- a/internal/fanout/chunk/chunk_test.go
+++ b/internal/fanout/chunk/chunk_test.go
@@ -20,7 +20,7 @@
 	o := origins.New()
 	for v := range voters {
 		o.Apply(epoch, origins.Update{
-			Known: origins.Known{Voter: fmt.Sprintf("v%02d", v), Life: 1, Version: uint64(each)}, Zone: fmt.Sprintf("z%d", v%5),
+			VoterVersion: origins.VoterVersion{Voter: fmt.Sprintf("v%02d", v), Life: 1, Version: uint64(each)}, Zone: fmt.Sprintf("z%d", v%5),
 		})
 	}
 	return o, func(x origins.Update) []directory.Notice {
@@ -45,7 +45,7 @@
 		follower := origins.New()
 		responses, received, largest := 0, 0, 0
 		for {
-			all, updated := above.UpdatesSince(epoch, follower.Known(epoch))
+			all, updated := above.UpdatesSince(epoch, follower.VoterVersions(epoch))
 			if !updated {
 				break
 			}
@@ -66,7 +66,7 @@
 		require.Equal(t, c.responses, responses)
 		require.Equal(t, c.voters*c.each, received)
 		require.Equal(t, c.largest, largest)
-		require.Len(t, follower.Known(epoch), c.voters)
+		require.Len(t, follower.VoterVersions(epoch), c.voters)
 	}
 }
 
--- a/internal/fanout/origins/origins.go
+++ b/internal/fanout/origins/origins.go
@@ -10,8 +10,8 @@
 	"wasabideal/internal/upstream/directory"
 )
 
-// Known identifies the state of a voter that a balancer has received.
-type Known struct {
+// VoterVersion is the version of a voter's state that a balancer has received.
+type VoterVersion struct {
 	_     struct{} `cbor:",toarray"`
 	Voter string
 	// Life changes when the voter restarts. Until then Version, of its notices, and Doubts, of its
@@ -26,7 +26,7 @@
 // changes.
 type Update struct {
 	_ struct{} `cbor:",toarray"`
-	Known
+	VoterVersion
 	// Zone is the voter's availability zone.
 	Zone string
 	// Notices are the upstream changes after the version that was requested.
@@ -38,7 +38,9 @@
 }
 
 // ContactOnly returns a copy reduced to the voter's name and age.
-func (u Update) ContactOnly() Update { return Update{Known: Known{Voter: u.Voter, Age: u.Age}} }
+func (u Update) ContactOnly() Update {
+	return Update{VoterVersion: VoterVersion{Voter: u.Voter, Age: u.Age}}
+}
 
 type state struct {
 	life, version, suspicionsVersion uint64
@@ -55,21 +57,21 @@
 // New returns an empty Origins.
 func New() *Origins { return &Origins{byVoter: map[string]state{}} }
 
-// State returns the state received from a voter.
-func (o *Origins) State(now time.Time, voter string) Known {
+// State returns the version received of a voter's state.
+func (o *Origins) State(now time.Time, voter string) VoterVersion {
 	s := o.byVoter[voter]
-	return s.known(now, voter)
+	return s.voterVersion(now, voter)
 }
 
-func (s state) known(now time.Time, voter string) Known {
-	return Known{Voter: voter, Life: s.life, Version: s.version, Doubts: s.suspicionsVersion, Age: now.Sub(s.contact)}
+func (s state) voterVersion(now time.Time, voter string) VoterVersion {
+	return VoterVersion{Voter: voter, Life: s.life, Version: s.version, Doubts: s.suspicionsVersion, Age: now.Sub(s.contact)}
 }
 
-// Known returns the state received from each voter, in the order of their names.
-func (o *Origins) Known(now time.Time) []Known {
-	out := make([]Known, 0, len(o.byVoter))
+// VoterVersions returns the version received of each voter's state, in the order of their names.
+func (o *Origins) VoterVersions(now time.Time) []VoterVersion {
+	out := make([]VoterVersion, 0, len(o.byVoter))
 	for _, voter := range slices.Sorted(maps.Keys(o.byVoter)) {
-		out = append(out, o.byVoter[voter].known(now, voter))
+		out = append(out, o.byVoter[voter].voterVersion(now, voter))
 	}
 	return out
 }
@@ -133,11 +135,11 @@
 // Forget removes a process that is no longer a voter.
 func (o *Origins) Forget(voter string) { delete(o.byVoter, voter) }
 
-// UpdatesSince returns the updates, without notices, for a balancer that holds the given state, and
-// whether any of them is a change. State of a voter that is newer there than here is no change;
+// UpdatesSince returns the updates, without notices, for a balancer that holds the given versions,
+// and whether any of them is a change. State of a voter that is newer there than here is no change;
 // otherwise that balancer would poll again at once in an endless loop.
-func (o *Origins) UpdatesSince(now time.Time, known []Known) ([]Update, bool) {
-	held := make(map[string]Known, len(known))
+func (o *Origins) UpdatesSince(now time.Time, known []VoterVersion) ([]Update, bool) {
+	held := make(map[string]VoterVersion, len(known))
 	for _, k := range known {
 		held[k.Voter] = k
 	}
@@ -146,8 +148,8 @@
 	for _, voter := range slices.Sorted(maps.Keys(o.byVoter)) {
 		s := o.byVoter[voter]
 		k, found := held[voter]
-		x := Update{Known: s.known(now, voter), Zone: s.zone}
-		if s.ahead(x.Known, k, found) {
+		x := Update{VoterVersion: s.voterVersion(now, voter), Zone: s.zone}
+		if s.ahead(x.VoterVersion, k, found) {
 			changed = true
 		} else {
 			x = x.ContactOnly()
@@ -162,7 +164,7 @@
 }
 
 // ahead reports whether this balancer holds newer state of the voter than another one.
-func (s state) ahead(local, remote Known, found bool) bool {
+func (s state) ahead(local, remote VoterVersion, found bool) bool {
 	switch {
 	case !found:
 		return true
--- a/internal/fanout/origins/origins_test.go
+++ b/internal/fanout/origins/origins_test.go
@@ -14,7 +14,7 @@
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
 func update(life, version uint64, age time.Duration) origins.Update {
-	return origins.Update{Known: origins.Known{Voter: "v1", Life: life, Version: version, Age: age}}
+	return origins.Update{VoterVersion: origins.VoterVersion{Voter: "v1", Life: life, Version: version, Age: age}}
 }
 
 // Guards against new flows to a withdrawn upstream. A balancer changes to a parent with an older
@@ -55,7 +55,7 @@
 func TestNewerRemoteStateIsNoChange(t *testing.T) {
 	o := origins.New()
 	o.Apply(epoch, update(1, 7, 0))
-	known := []origins.Known{{Voter: "v1", Life: 1, Version: 8}}
+	known := []origins.VoterVersion{{Voter: "v1", Life: 1, Version: 8}}
 	relayed, changed := o.UpdatesSince(epoch, known)
 	require.False(t, changed)
 	require.Len(t, relayed, 1, "its age is sent nevertheless")
@@ -63,7 +63,7 @@
 	known[0].Version = 6
 	_, changed = o.UpdatesSince(epoch, known)
 	require.True(t, changed)
-	known[0] = origins.Known{Voter: "v1", Life: 2, Age: 0}
+	known[0] = origins.VoterVersion{Voter: "v1", Life: 2, Age: 0}
 	_, changed = o.UpdatesSince(epoch.Add(time.Second), known)
 	require.False(t, changed, "another life with a later contact")
 }
@@ -74,21 +74,21 @@
 	x.Doubts, x.Doubted = 3, true
 	x.Subjects = []evidence.Suspicion{{Subject: evidence.Subject{Incarnation: 5}, Age: 100 * time.Millisecond}}
 	o.Apply(epoch, x)
-	relayed, _ := o.UpdatesSince(epoch.Add(50*time.Millisecond), []origins.Known{{Voter: "v1", Life: 1, Version: 1, Doubts: 2}})
+	relayed, _ := o.UpdatesSince(epoch.Add(50*time.Millisecond), []origins.VoterVersion{{Voter: "v1", Life: 1, Version: 1, Doubts: 2}})
 	require.True(t, relayed[0].Doubted)
 	require.Equal(t, 150*time.Millisecond, relayed[0].Subjects[0].Age)
 	x.Doubts, x.Subjects = 4, nil
 	o.Apply(epoch, x)
-	relayed, changed := o.UpdatesSince(epoch, []origins.Known{{Voter: "v1", Life: 1, Version: 1, Doubts: 3}})
+	relayed, changed := o.UpdatesSince(epoch, []origins.VoterVersion{{Voter: "v1", Life: 1, Version: 1, Doubts: 3}})
 	require.True(t, changed)
 	require.True(t, relayed[0].Doubted, "the end of all suspicions is sent once")
 	x.Doubts, x.Subjects = 5, []evidence.Suspicion{{Subject: evidence.Subject{Incarnation: 6}}}
 	o.Apply(epoch, x)
-	relayed, _ = o.UpdatesSince(epoch, []origins.Known{{Voter: "v1", Life: 1, Version: 1, Doubts: 4}})
+	relayed, _ = o.UpdatesSince(epoch, []origins.VoterVersion{{Voter: "v1", Life: 1, Version: 1, Doubts: 4}})
 	require.Len(t, relayed[0].Subjects, 1)
-	relayed, _ = o.UpdatesSince(epoch, []origins.Known{{Voter: "v1", Life: 1, Version: 1, Doubts: 5}})
+	relayed, _ = o.UpdatesSince(epoch, []origins.VoterVersion{{Voter: "v1", Life: 1, Version: 1, Doubts: 5}})
 	require.False(t, relayed[0].Doubted, "unchanged suspicions are not sent again")
-	relayed, _ = o.UpdatesSince(epoch, []origins.Known{{Voter: "v1", Life: 1, Version: 1, Doubts: 5}})
+	relayed, _ = o.UpdatesSince(epoch, []origins.VoterVersion{{Voter: "v1", Life: 1, Version: 1, Doubts: 5}})
 	require.False(t, relayed[0].Doubted)
 }
 
@@ -117,9 +117,9 @@
 				lives[life] = len(lives)
 			case 2:
 				sentAt[[2]uint64{life, version}] = now
-				all[i].Apply(now, origins.Update{Known: origins.Known{Voter: "v1", Life: life, Version: version}})
+				all[i].Apply(now, origins.Update{VoterVersion: origins.VoterVersion{Voter: "v1", Life: life, Version: version}})
 			case 3:
-				relayed, _ := all[i].UpdatesSince(now, all[j].Known(now))
+				relayed, _ := all[i].UpdatesSince(now, all[j].VoterVersions(now))
 				for _, x := range relayed {
 					x.Age += time.Millisecond
 					all[j].Apply(now, x)
@@ -148,7 +148,7 @@
 	for s := range 5 {
 		now := epoch.Add(time.Duration(s) * time.Second)
 		parent.Apply(now, update(1, 7, 0))
-		relayed, changed := parent.UpdatesSince(now, child.Known(now))
+		relayed, changed := parent.UpdatesSince(now, child.VoterVersions(now))
 		require.Equal(t, s == 0, changed)
 		for _, x := range relayed {
 			require.Equal(t, s == 0, child.Apply(now, x))
@@ -156,6 +156,6 @@
 		require.Zero(t, child.State(now, "v1").Age)
 		require.Equal(t, uint64(7), child.State(now, "v1").Version)
 	}
-	relayed, _ := parent.UpdatesSince(epoch, child.Known(epoch))
+	relayed, _ := parent.UpdatesSince(epoch, child.VoterVersions(epoch))
 	require.False(t, origins.New().Apply(epoch, relayed[0]), "an update without a life is ignored if the voter is unknown")
 }
--- a/internal/fanout/relay/relay.go
+++ b/internal/fanout/relay/relay.go
@@ -42,15 +42,15 @@
 	// Fleet is the version of the last balancer list received from this parent.
 	Fleet uint64
 	// Known is the follower's version of each voter's state.
-	Known []origins.Known
+	Known []origins.VoterVersion
 	// Evacuations is the revision of the follower's evacuation orders.
 	Evacuations uint64
 }
 
 // Response contains what a follower lacks.
 type Response struct {
-	// Revision is the revision of the configuration in force here, or a newer one that this
-	// balancer knows of but has failed to get for some time.
+	// Revision is the revision of the configuration in force here, or a newer one that was
+	// announced to this balancer and that it has failed to fetch for some time.
 	Revision uint64
 	// Origins holds the updates from the voters.
 	Origins []origins.Update
--- a/internal/fanout/selection/fleet_test.go
+++ b/internal/fanout/selection/fleet_test.go
@@ -275,9 +275,9 @@
 		hold, grace = voterHold, voterGrace
 	}
 	answered := false
-	known, sent := p.origins.Known(m.Now), m.Now
+	known, sent := p.origins.VoterVersions(m.Now), m.Now
 	if w.target.voter {
-		known = []origins.Known{p.origins.State(m.Now, w.target.name)}
+		known = []origins.VoterVersion{p.origins.State(m.Now, w.target.name)}
 	}
 	fleet := p.membership.List(w.target.name).Version
 	m.AfterFunc(hold+grace, m.whileAlive(p, func() {
@@ -320,7 +320,7 @@
 }
 
 // reply answers a poll immediately if there are updates, else after the hold.
-func (m *model) reply(s, to *process, known []origins.Known, fleet uint64, hold time.Duration, deliver func([]origins.Update, membership.List, time.Duration)) {
+func (m *model) reply(s, to *process, known []origins.VoterVersion, fleet uint64, hold time.Duration, deliver func([]origins.Update, membership.List, time.Duration)) {
 	received := m.Now
 	s.lastPoll[to.name] = m.Now
 	m.mostFollowers = max(m.mostFollowers, len(s.lastPoll))
@@ -346,12 +346,12 @@
 }
 
 // updates returns the updates that a process has for a follower with the given state.
-func (m *model) updates(s *process, known []origins.Known) ([]origins.Update, bool) {
+func (m *model) updates(s *process, known []origins.VoterVersion) ([]origins.Update, bool) {
 	if !s.voter {
 		return s.origins.UpdatesSince(m.Now, known)
 	}
-	x := origins.Update{Known: origins.Known{Voter: s.name, Life: uint64(s.starts), Version: s.version}}
-	i := slices.IndexFunc(known, func(k origins.Known) bool { return k.Voter == s.name })
+	x := origins.Update{VoterVersion: origins.VoterVersion{Voter: s.name, Life: uint64(s.starts), Version: s.version}}
+	i := slices.IndexFunc(known, func(k origins.VoterVersion) bool { return k.Voter == s.name })
 	return []origins.Update{x}, i < 0 || known[i].Life != x.Life || known[i].Version < x.Version
 }
 
@@ -499,7 +499,7 @@
 			continue
 		}
 		best := uint64(0)
-		for _, k := range b.origins.Known(m.Now) {
+		for _, k := range b.origins.VoterVersions(m.Now) {
 			best = max(best, k.Version)
 		}
 		if best < version {
--- a/internal/silence/accrual/accrual.go
+++ b/internal/silence/accrual/accrual.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// suspectThreshold is the evidence at which an upstream is suspected and balancers are
-	// asked for responses from it: two packets at a loss rate of one in a hundred.
+	// suspectThreshold is the evidence at which an upstream is suspected and its responses
+	// are requested from balancers: two packets at a loss rate of one in a hundred.
 	suspectThreshold = 8
 	// unresponsiveThreshold is the evidence at which an upstream counts as unresponsive: a
 	// false positive rate of one in a million, three packets at a loss of one in a hundred.
@@ -112,9 +112,9 @@
 	}
 }
 
-// Refutes reports whether the upstream of an event or its zone is suspected, so that a response
+// IsSuspected reports whether the upstream of an event or its zone is suspected, so that a response
 // would refute the suspicion.
-func (d *Detector) Refutes(e evidence.Event) bool {
+func (d *Detector) IsSuspected(e evidence.Event) bool {
 	for _, s := range subjects(e) {
 		if r := d.records[s]; r != nil && !r.suspectedAt.IsZero() {
 			return true
--- a/internal/silence/accrual/doc.go
+++ b/internal/silence/accrual/doc.go
@@ -13,8 +13,8 @@
 // Evidence is additive: an unanswered packet weighs the negative logarithm of the
 // probability that it occurs while the upstream is alive, so lossy links need more
 // packets. A response seen by any balancer or voter discards all earlier evidence.
-// Balancers are asked for such a response before a subject counts as unresponsive, and more
-// than one of them must report unanswered packets: a single reporter may cause them itself.
+// Such a response is requested from balancers before a subject counts as unresponsive, and more
+// than one balancer must report unanswered packets: a single reporter may cause them itself.
 //
 // The package does no I/O and reads no clock; it is not safe for concurrent use.
 package accrual
--- a/internal/upstream/view/view.go
+++ b/internal/upstream/view/view.go
@@ -13,9 +13,9 @@
 type Settings struct {
 	// ContactLease is how long the notices of a voter stay valid without contact.
 	ContactLease time.Duration
-	// ProvisionalTTL is how long an unconfirmed notice stays valid: one from before the voter's
+	// UnconfirmedTTL is how long an unconfirmed notice stays valid: one from before the voter's
 	// restart, or a restored one.
-	ProvisionalTTL time.Duration
+	UnconfirmedTTL time.Duration
 	// ForgetAfter is how long an obsolete notice is kept.
 	ForgetAfter time.Duration
 }
@@ -64,7 +64,7 @@
 }
 
 // ApplyNotices applies notices that a voter sent just now. If the voter has restarted, its earlier
-// notices stay valid for Settings.ProvisionalTTL, since it has not yet received the announcements
+// notices stay valid for Settings.UnconfirmedTTL, since it has not yet received the announcements
 // of all its upstreams.
 func (v *View) ApplyNotices(now time.Time, voter string, life uint64, notices []directory.Notice) {
 	v.Apply(now, Update{Voter: voter, Life: life, Contact: now, Notices: notices})
@@ -78,7 +78,7 @@
 		v.sources[update.Voter] = s
 	}
 	if s.life != update.Life {
-		s.restart(update.Life, now.Add(v.settings.ProvisionalTTL))
+		s.restart(update.Life, now.Add(v.settings.UnconfirmedTTL))
 		v.markChanged(s)
 	}
 	if s.unconfirmedExpired(now) {
@@ -90,7 +90,7 @@
 	for _, n := range update.Notices {
 		t := voterNotice{Notice: n, receivedAt: now, life: update.Life, version: update.Version}
 		if n.Recalled {
-			t.expiresAt = s.addRestored(now, now.Add(v.settings.ProvisionalTTL))
+			t.expiresAt = s.addRestored(now, now.Add(v.settings.UnconfirmedTTL))
 		}
 		v.store(s, t)
 	}
--- a/internal/upstream/view/view_test.go
+++ b/internal/upstream/view/view_test.go
@@ -20,7 +20,7 @@
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
 func newView() *view.View {
-	return view.New(view.Settings{ContactLease: 3 * time.Second, ProvisionalTTL: 4 * time.Second, ForgetAfter: time.Minute})
+	return view.New(view.Settings{ContactLease: 3 * time.Second, UnconfirmedTTL: 4 * time.Second, ForgetAfter: time.Minute})
 }
 
 func notice(sequence uint64, s upstream.State) directory.Notice {
