--- a/internal/cookie/mechanism/mechanism.go
+++ b/internal/cookie/mechanism/mechanism.go
@@ -22,7 +22,8 @@
 	Suspicion
 	// ColdShare gives upstreams that have just started a smaller share of new flows.
 	ColdShare
-	// Settling suspends rejections for a period after a start.
+	// Settling suspends rejections for overload, and resets for a missing upstream, for a
+	// period after a start.
 	Settling
 	// SharedSilence reports unanswered packets to the voters, which combine the evidence of all
 	// balancers.
