--- a/internal/cookie/router/choose.go
+++ b/internal/cookie/router/choose.go
@@ -9,7 +9,7 @@
 
 const (
 	// coldCapacityFactor scales the slots of an upstream that has just started: its
-	// requests take over one and a half times as long.
+	// requests take more than one and a half times as long.
 	coldCapacityFactor = 0.5
 	// idleFlowLoad is the load of an open flow without a request in flight: callers pause
 	// for about a second between requests of some 25 ms.
@@ -50,7 +50,8 @@
 	return (float64(t.openings+t.requests) + idleFlowLoad*float64(t.flows)) / r.slots(now, t)
 }
 
-// slots returns the number of requests that the upstream processes concurrently.
+// slots returns the number of requests that the upstream processes concurrently, reduced
+// while it is cold.
 func (r *Router) slots(now time.Time, t *target) float64 {
 	s := max(float64(t.Slots), 1)
 	if now.Before(t.ColdUntil) && !r.settings.Off.Has(mechanism.ColdShare) {
@@ -59,8 +60,8 @@
 	return s
 }
 
-// cost estimates the response time of a new request, relative to that of an idle upstream
-// of the service.
+// cost estimates the response time of a new flow's requests, relative to that of an idle
+// upstream of the service.
 func (r *Router) cost(now time.Time, t *target) float64 {
 	slowness := t.response.Slowness()
 	if r.settings.Off.Has(mechanism.Slowness) {
@@ -79,7 +80,8 @@
 	fullScanMax = 16
 )
 
-// candidate is an upstream with its rank and the cost of a new flow there.
+// candidate is an upstream with its rank and its cost, including the penalty for another
+// zone.
 type candidate struct {
 	target *target
 	rank   rank
@@ -107,7 +109,7 @@
 	r.rotation++
 	best := r.cheapest(now, p.local(), scanCount(p.local()), 0)
 	if best.healthy() && best.cost <= 1+spill {
-		// The penalty makes every upstream of another zone more expensive.
+		// Upstreams of other zones cost at least 1+spill.
 		return best.target
 	}
 	if bestRemote := r.cheapest(now, p.remote(), scanCount(p.remote()), spill); bestRemote.betterThan(best) {
@@ -154,13 +156,13 @@
 // bufferedPendingMax is the number of pending requests and openings at an upstream, as seen
 // by this balancer, from which on buffered packets stay buffered. After a power loss of the
 // whole site, each balancer buffers an equal share of the packets, and an upstream has room
-// for ten. Placed all at once, 230 of 28,000 requests met a full queue and were rejected
-// three times in a row; paced, 25.
+// for ten. When they were all placed at once, 230 of 28,000 requests found full queues and
+// were rejected three times in a row; with this limit, 25 were.
 const bufferedPendingMax = 1
 
 // MayPlace reports whether a buffered packet may be placed now. Packets that have just
-// arrived are placed at once: they are new, or the caller's last retransmission. Buffered
-// packets were retransmitted recently and have most of their time left.
+// arrived are placed without this check: they are new, or the last retransmission. Buffered
+// packets were retransmitted recently, and their callers still wait for some time.
 func (r *Router) MayPlace(now time.Time, p Packet) bool {
 	if r.settings.Off.Has(mechanism.RoomAfterStart) {
 		return true
--- a/internal/cookie/router/cold.go
+++ b/internal/cookie/router/cold.go
@@ -13,8 +13,8 @@
 	// evacuation is revoked. They may have become cold shortly before, which only their next
 	// announcement reports; announcements are sent every 1.2 s, and one may be lost.
 	coldAfterEvacuation = 3 * time.Second
-	// warmWaitMax is the longest time until an upstream is warm for which a packet is worth
-	// buffering: buffered packets are dropped after a second.
+	// warmWaitMax is the longest time that an upstream may remain cold while openings are
+	// buffered for it: buffered packets are dropped after a second.
 	warmWaitMax = time.Second
 )
 
@@ -34,11 +34,11 @@
 	return until, true
 }
 
-// withinColdLimit reports whether the cold rate of an upstream, if it is cold, allows this
-// balancer another flow. Each cold upstream is assigned to one balancer of its own zone,
-// since no balancer knows what the others send: with 70 balancers one upstream got 17 flows
-// in a second at a limit of 6. If the rate were divided among all, each could send one flow
-// in twelve seconds, longer than upstreams stay cold.
+// withinColdLimit reports whether this balancer may send another flow to an upstream: always
+// if it is warm, otherwise within its cold rate. Each cold upstream is assigned to one
+// balancer of its own zone, since no balancer knows what the others send: with 70 balancers
+// one upstream got 17 flows in a second at a limit of 6. If the rate were divided among all,
+// each could send one flow in twelve seconds, longer than upstreams stay cold.
 func (r *Router) withinColdLimit(now time.Time, t *target) bool {
 	until, bounded := t.coldUntil()
 	if !bounded || !now.Before(until) || r.settings.Off.Has(mechanism.SlowStart) {
@@ -54,8 +54,8 @@
 	}
 }
 
-// anyColdLimited reports whether a service has upstreams that only their cold rate limit
-// excludes.
+// anyColdLimited reports whether a service has ready upstreams that are excluded because of
+// their cold rate.
 func (r *Router) anyColdLimited(now time.Time, service string) bool {
 	p := r.pools[service]
 	limited := func(t *target) bool { return !r.withinColdLimit(now, t) }
@@ -63,8 +63,9 @@
 }
 
 // rejectCold returns the verdict on a new flow if no upstream is available and some are cold.
-// The opening is dropped, and so buffered, if one of them is warm soon. Otherwise it is reset,
-// and the caller's retry may reach the balancer that a cold upstream is assigned to.
+// If one of these will be warm within warmWaitMax, the opening is dropped for a temporary
+// reason, so that the balancer buffers it. Otherwise it is reset, and the caller's retry may
+// reach the balancer that a cold upstream is assigned to.
 func (r *Router) rejectCold(now time.Time, service string) Verdict {
 	v := Verdict{Action: Reset, Reason: Cold, Revision: r.revision}
 	p := r.pools[service]
--- a/internal/cookie/router/cold_test.go
+++ b/internal/cookie/router/cold_test.go
@@ -91,10 +91,10 @@
 	return x
 }
 
-// Guards against cold upstreams that exceed their rate because each balancer sees only its
-// own flows and considers them idle: an upstream that had just started got 17 flows in a
-// second at a rate of 6. Eight upstreams start beside 24 warm ones; 22 balancers get 25
-// flows a second each.
+// Guards against cold upstreams that get more flows than their rate: each balancer sees only
+// its own flows, and considers these upstreams idle. An upstream that had just started got 17
+// flows in a second at a rate of 6. Eight upstreams start beside 24 warm ones; 22 balancers
+// get 25 flows a second each.
 func TestColdRateLimitsFlowsOfAllBalancers(t *testing.T) {
 	for _, rate := range []float64{2, 6, 12} {
 		f := newColdFleet(t, rate, epoch.Add(-time.Minute), coldBalancers)
@@ -121,9 +121,9 @@
 	}
 }
 
-// Guards against upstreams that become cold while their zone is evacuated, count as warm until
-// their next announcement, a second after the evacuation is revoked, and get many times their
-// rate.
+// Guards against upstreams that become cold while their zone is evacuated. Until their next
+// announcement, a second after the evacuation is revoked, balancers considered them warm and
+// sent them many times their rate.
 func TestZoneIsColdAfterItsEvacuation(t *testing.T) {
 	f := newColdFleet(t, 6, epoch.Add(-time.Minute), coldBalancers)
 	f.setTargets(epoch, target(1, "orders", "a"), target(2, "orders", "b"))
@@ -153,8 +153,8 @@
 	require.Zero(t, f.rejected)
 }
 
-// If only cold upstreams are left, openings are reset at once, or dropped if an upstream is
-// warm soon enough.
+// If only cold upstreams are left, openings are reset at once, or buffered if an upstream will
+// be warm soon enough.
 func TestOnlyColdUpstreams(t *testing.T) {
 	f := newColdFleet(t, 6, epoch.Add(-time.Minute), coldBalancers)
 	f.setTargets(epoch.Add(-time.Minute), coldTarget(1, "b", epoch.Add(coldFor)))
--- a/internal/cookie/router/detection.go
+++ b/internal/cookie/router/detection.go
@@ -15,28 +15,30 @@
 const (
 	// minLossRate and maxLossRate bound the estimated rate of packets lost in transit to a
 	// live upstream. At the minimum, three packets are enough evidence; at the maximum, no
-	// number of packets suffices.
+	// number of packets suffices. maxLossRate also bounds the probability that a missing
+	// answer is only late.
 	minLossRate, maxLossRate = 0.01, 0.9
-	// unmeasuredFactor times the median response time is assumed for an upstream without
-	// recent answers, and unmeasuredResponseTime if the service has no median.
-	// minResponseTime keeps a few fast answers from making later packets overly strong
-	// evidence.
+	// An upstream without recent answers is assumed to respond in unmeasuredFactor times the
+	// median response time of its service, or unmeasuredResponseTime if there is no median.
+	// minResponseTime is the least mean response time assumed: after a few fast answers,
+	// slower ones would otherwise be overly strong evidence.
 	unmeasuredFactor       = 2
 	unmeasuredResponseTime = 75 * time.Millisecond
 	minResponseTime        = 10 * time.Millisecond
 	// lossDecay is the factor applied to the loss counters at each tick, a window of about
 	// five seconds.
 	lossDecay = 0.98
-	// recentDecay is the same for the packets sent to each upstream, a window of about half
-	// a second. recentMin is a fifth of a packet: the count of one packet is that after 0.7 s.
+	// recentDecay is the same for the counters of each upstream and the abandoned openings
+	// of each zone, a window of about half a second. A count up to recentMin, a fifth of a
+	// packet, is no longer recent: one packet decays to it in 0.7 s.
 	recentDecay = 0.8
 	recentMin   = 0.2
 	// minSample is the number of upstreams or openings of a zone that a comparison
 	// needs.
 	minSample = 3
 	// reportBurst and reportsPerTick limit the reports of unanswered packets: 40 a second
-	// of 40 bytes are 1.6 kB/s to each voter. A part of all balancers' reports is enough
-	// for the voters.
+	// of 40 bytes are 1.6 kB/s to each voter. The voters need only a part of all balancers'
+	// reports.
 	reportBurst    = 64
 	reportsPerTick = 4
 )
@@ -62,8 +64,8 @@
 
 // losses estimates the rate of packets lost in transit to live upstreams.
 type losses struct {
-	// answered counts answered requests and openings, retransmitted those of them that were
-	// sent more than once.
+	// answered is the decaying number of answered requests and openings, retransmitted the
+	// number of these that were sent more than once.
 	answered, retransmitted float64
 	// zoneRate is the recent share of unanswered packets in the balancer's own zone if most
 	// of its upstreams have some, otherwise 0.
@@ -78,9 +80,9 @@
 // packetCounts are the decaying numbers of packets sent to an upstream and left unanswered.
 type packetCounts struct{ sent, unanswered float64 }
 
-// updateLossRates decays the counters and compares the upstreams of the balancer's own
-// zone. If most of them leave packets unanswered at the same time, the network is lossy
-// rather than each upstream down.
+// updateLossRates decays the counters, refills the report budget and compares the upstreams
+// of the balancer's own zone. If most of them leave packets unanswered at the same time, the
+// cause is probably packet loss and not that all these upstreams are down.
 func (r *Router) updateLossRates() {
 	r.reportBudget = min(r.reportBudget+reportsPerTick, reportBurst)
 	r.losses.answered *= lossDecay
@@ -115,7 +117,7 @@
 	lastAnswered *target
 	suspicion    *voterSuspicion
 	refusals     refusals
-	// restored is when the evacuation of the zone was revoked.
+	// evacuationRevoked is when the evacuation of the zone was revoked.
 	evacuationRevoked time.Time
 }
 
@@ -163,8 +165,9 @@
 }
 
 // evidenceWeight returns the weight of an unanswered packet: the negative logarithm of the
-// probability that it was lost, or that the upstream is still processing it, whichever is
-// larger. Response times of a queue fall off exponentially.
+// larger of two probabilities, that the packet was lost, and that the upstream is still
+// processing it. The latter falls exponentially with the time waited, as the response times
+// of a queue do. Neither exceeds maxLossRate.
 func (r *Router) evidenceWeight(now time.Time, t *target, waited time.Duration) float64 {
 	mean, known := t.response.Mean(now)
 	if !known {
@@ -174,8 +177,8 @@
 	return -math.Log(max(r.losses.rate(), min(answerPending, maxLossRate)))
 }
 
-// reportUnanswered reports a packet that was retransmitted without any answer in between,
-// once per request or opening.
+// reportUnanswered reports a retransmitted packet to the voters, once per request or opening,
+// unless the upstream has answered any packet since the first transmission.
 func (r *Router) reportUnanswered(now time.Time, address netip.AddrPort, f *flow) {
 	t := f.target
 	if f.reported || now.Sub(f.sent) < answerTimeout || !t.lastAlive.Before(f.sent) {
@@ -198,7 +201,8 @@
 	})
 }
 
-// noteAlive records an answer of an upstream and refutes suspicions of it.
+// noteAlive records an answer of an upstream, and refutes the voters' suspicions of it and
+// its zone.
 func (r *Router) noteAlive(now time.Time, t *target) {
 	t.noteAlive(now)
 	t.zone.lastAlive, t.zone.lastAnswered = now, t
@@ -206,8 +210,8 @@
 	r.refuteSuspicions(now, t)
 }
 
-// refuteSuspicions reports the latest answer of an upstream if it came after the packets
-// that a suspicion is based on.
+// refuteSuspicions reports the latest answer of an upstream to the voters, if it came after
+// the first unanswered packet of a suspicion and none was reported since the last update.
 func (r *Router) refuteSuspicions(now time.Time, t *target) {
 	refutes := false
 	for _, s := range [...]*voterSuspicion{t.suspicion, t.zone.suspicion} {
@@ -222,9 +226,10 @@
 	}
 }
 
-// SetSuspicions replaces all suspicions of the voters. It returns, for each flow to reset
-// because its upstream is unresponsive, a Packet with the fields that a reset needs. Without a
-// reset the caller waits until its timeout, and its next request on the flow is lost as well.
+// SetSuspicions replaces all suspicions received from the voters, and resets flows of
+// unresponsive upstreams. It returns a Packet for each of these flows, with the fields needed
+// to send the reset. Without a reset the caller waits until its timeout, and its next request
+// on the flow is lost as well.
 func (r *Router) SetSuspicions(now time.Time, all map[evidence.Subject]suspicions.Suspicion) []Packet {
 	for _, t := range r.suspects {
 		t.suspicion = nil
@@ -234,8 +239,8 @@
 		z.suspicion = nil
 	}
 	suspected := false
-	for s, reported := range all {
-		suspected = r.suspect(s, reported) || suspected
+	for subject, suspicion := range all {
+		suspected = r.suspect(subject, suspicion) || suspected
 	}
 	if !suspected {
 		return nil
@@ -251,17 +256,17 @@
 	return r.resetUnresponsive()
 }
 
-// suspect stores a suspicion and reports whether its subject is known. It is stored as not
-// yet refuted, so that an answer is reported again: a voter that restarted or was informed
-// late may have missed the last report.
-func (r *Router) suspect(s evidence.Subject, reported suspicions.Suspicion) bool {
-	stored := &voterSuspicion{Suspicion: reported}
-	if z := r.zones[s.Zone]; s.Zone != "" && z != nil {
+// suspect stores a suspicion and reports whether its subject is known. The suspicion is
+// stored as not refuted, so that the upstream's latest answer is reported even if that was
+// done before: a voter that restarted or received reports late may have missed it.
+func (r *Router) suspect(subject evidence.Subject, suspicion suspicions.Suspicion) bool {
+	stored := &voterSuspicion{Suspicion: suspicion}
+	if z := r.zones[subject.Zone]; subject.Zone != "" && z != nil {
 		z.suspicion = stored
 		return true
 	}
-	t := r.targets[s.Incarnation]
-	if s.Zone != "" || t == nil || t.Born != s.Born {
+	t := r.targets[subject.Incarnation]
+	if subject.Zone != "" || t == nil || t.Born != subject.Born {
 		return false
 	}
 	t.suspicion = stored
@@ -269,8 +274,8 @@
 	return true
 }
 
-// resetUnresponsive removes the flows of unresponsive upstreams that may be reset. It returns
-// a Packet for each, as described at SetSuspicions.
+// resetUnresponsive removes those flows of unresponsive upstreams for which mayReset returns
+// true. It returns a Packet for each of them, with the fields needed to send the reset.
 func (r *Router) resetUnresponsive() []Packet {
 	var out []Packet
 	for k, f := range r.flows {
--- a/internal/cookie/router/detection_test.go
+++ b/internal/cookie/router/detection_test.go
@@ -44,8 +44,8 @@
 	accrual *accrual.Detector
 	// confirmation is the voter's probing of the hosts of suspected upstreams.
 	confirmation *confirmation.Confirmer
-	// reported holds the suspicions that each balancer has received.
-	reported []*suspicions.Set
+	// received holds the suspicions that each balancer has received.
+	received []*suspicions.Set
 	// shared is set if balancers report to the voter.
 	shared bool
 	// dead are the upstreams without power; slow multiplies the processing time of others.
@@ -57,16 +57,17 @@
 	// with a delay of up to relayDelayMax.
 	relays        int
 	relayDelayMax time.Duration
-	// stalledUntil is when each balancer resumes, stalledQueue what it then processes.
+	// stalledUntil is when each balancer resumes, stalledQueue holds the calls that it then
+	// runs.
 	stalledUntil []time.Time
 	stalledQueue [poolBalancers][]func()
-	// starved is until when an upstream's process gets no CPU; its packets are queued.
-	// Index 0 is the host of all callers.
+	// starved is the time until which an upstream's process gets no CPU; its packets are
+	// queued. Index 0 is the host of all callers.
 	starved [poolUpstreams + 1]time.Time
 	clients []*client
 	ports   int
-	// requests counts all requests, unanswered those without an answer, and wronglyReset
-	// flows of live upstreams that were reset.
+	// requests counts all requests, unanswered those without an answer, and wronglyReset the
+	// flows that were reset although their upstreams were live.
 	requests, unanswered, wronglyReset int
 }
 
@@ -76,8 +77,8 @@
 	balancer int
 	target   uint64
 	class    configuration.Class
-	// request is the number of the latest request, started its start; pending is set until
-	// it is answered.
+	// request is the number of the latest request, started when it was first sent; pending
+	// is set until it is answered.
 	request int
 	started time.Time
 	pending bool
@@ -102,7 +103,7 @@
 		}}))
 		r.SetTargets(epoch.Add(-time.Minute), targets)
 		s.routers = append(s.routers, r)
-		s.reported = append(s.reported, suspicions.New(3*time.Second))
+		s.received = append(s.received, suspicions.New(3*time.Second))
 	}
 	for i := range poolCallers {
 		u := &client{balancer: i % poolBalancers, class: configuration.Idempotent}
@@ -132,7 +133,8 @@
 
 func (s *poolSimulation) packetLost() bool { return s.random.Float64() < s.loss }
 
-// sendToBalancer delivers a packet to a balancer, after its stall if it is stalled.
+// sendToBalancer delivers a packet to a balancer, or loses it. A stalled balancer receives it
+// after the stall.
 func (s *poolSimulation) sendToBalancer(u *client, p router.Packet, then func(router.Verdict)) {
 	if s.packetLost() {
 		return
@@ -140,7 +142,8 @@
 	s.whenRunning(u.balancer, func() { s.route(u, p, then) })
 }
 
-// whenRunning runs a function on a balancer, in the order of arrival after a stall.
+// whenRunning runs a function on a balancer. After a stall, the functions run in the order of
+// the calls.
 func (s *poolSimulation) whenRunning(balancer int, do func()) {
 	if !s.Now.Before(s.stalledUntil[balancer]) {
 		do()
@@ -220,8 +223,8 @@
 	})
 }
 
-// probe probes the hosts of suspected upstreams: a host whose process is starved of CPU
-// answers, a host without power does not.
+// probe probes the hosts of suspected upstreams. A host answers even if the upstream's process
+// is starved of CPU, but not without power.
 func (s *poolSimulation) probe() {
 	for _, u := range s.confirmation.NextProbes(s.Now, s.suspicions()) {
 		begun, o, took := s.Now, probe.Accepted, 2*transit
@@ -246,8 +249,8 @@
 }
 
 func (s *poolSimulation) applySuspicions(balancer int, all []evidence.Suspicion) {
-	s.reported[balancer].Update(s.Now, "voter", all)
-	for _, p := range s.routers[balancer].SetSuspicions(s.Now, s.reported[balancer].All()) {
+	s.received[balancer].Update(s.Now, "voter", all)
+	for _, p := range s.routers[balancer].SetSuspicions(s.Now, s.received[balancer].All()) {
 		for _, u := range s.clients {
 			if u.packet.Caller == p.Caller {
 				s.reset(u)
@@ -268,7 +271,7 @@
 	}
 }
 
-// startRequest starts a request.
+// startRequest starts a client's next request, and counts it if it misses its deadline.
 func (s *poolSimulation) startRequest(u *client) {
 	u.request++
 	u.started, u.pending = s.Now, true
@@ -353,11 +356,11 @@
 	}
 }
 
-// starve starves an upstream's process, or with 0 all callers, of CPU.
+// starve starves an upstream's process of CPU, or all callers if id is 0.
 func (s *poolSimulation) starve(id uint64, lasts time.Duration) { s.starved[id] = s.Now.Add(lasts) }
 
-// whenScheduled runs a function on an upstream's VM, or with 0 the callers', as soon as its
-// process gets CPU.
+// whenScheduled runs a function as soon as an upstream's process gets CPU, or the callers if id
+// is 0.
 func (s *poolSimulation) whenScheduled(id uint64, do func()) {
 	if !s.Now.Before(s.starved[id]) {
 		do()
@@ -404,10 +407,9 @@
 	return float64(s.unanswered-unanswered) / float64(requests)
 }
 
-// Guards against slow detection of dead upstreams: each balancer sees a seventh of the
-// unanswered packets, and one request in ten got no answer while flows were reset only once
-// announcements were overdue. A quarter of a pool loses power while callers have open flows
-// there.
+// Guards against slow detection of dead upstreams: each balancer sees only a seventh of the
+// unanswered packets. When flows were reset only once announcements were overdue, one request
+// in ten got no answer. A quarter of a pool loses power while callers have open flows there.
 func TestSharedSuspicionsSaveRequests(t *testing.T) {
 	alone, together := 0.0, 0.0
 	for seed := range uint64(4) {
@@ -420,7 +422,8 @@
 
 var seeds = flag.Int("seeds", 100, "number of random simulations of pools with live upstreams")
 
-// Simulates packet loss, slow upstreams and stalled balancers at random.
+// Guards against resets of flows of live upstreams under random packet loss, with slow
+// upstreams and stalled balancers.
 func TestLiveUpstreamsLoseNoFlow(t *testing.T) {
 	for seed := range uint64(*seeds) {
 		s := newPoolSimulation(t, seed, true)
@@ -459,10 +462,10 @@
 	}
 }
 
-// Guards against flows of live upstreams that are reset because refutations arrive late: 60
-// ms suffice for balancers that poll the voters directly, but not through other balancers
-// on narrow links, which batch what they relay. Upstreams are slow and 10 % of the packets
-// are lost.
+// Guards against flows of live upstreams that are reset because refutations arrive late. 60 ms
+// suffice for balancers that poll the voters directly, but not for those that poll through
+// relays on narrow links, which batch what they relay. Upstreams are slow and 10 % of the
+// packets are lost.
 func TestRelayedRefutationsArriveInTime(t *testing.T) {
 	// With a limit of 60 ms, seed 353 reset a flow of a live upstream.
 	for _, seed := range append([]uint64{353}, lo.RangeFrom(uint64(0), *seeds)...) {
--- a/internal/cookie/router/doc.go
+++ b/internal/cookie/router/doc.go
@@ -1,9 +1,12 @@
 // Package router selects the upstream of a packet by a cookie that both ends of a flow echo in each
 // packet, so that any balancer can forward any packet without per-flow state. It sees only callers'
-// packets, since upstreams answer directly: a caller's acknowledgments show that an upstream
-// answered.
+// packets, since upstreams answer callers directly: a caller's acknowledgment shows that its
+// upstream answered.
 //
-// Pending openings and requests serve placement and the detection of unresponsive upstreams and of
-// load; losing them breaks no flow. The router is a reducer without I/O or clock; one goroutine
-// owns it, and its state is mutable for speed.
+// An opening is the first packet of a flow (a SYN), and its handshake until that is complete. The
+// router stores pending openings and requests to place new flows, and to detect unresponsive and
+// overloaded upstreams; losing this state breaks no flow.
+//
+// The router is a reducer without I/O or clock; one goroutine owns it, and its state is mutable for
+// speed.
 package router
--- a/internal/cookie/router/evacuate_test.go
+++ b/internal/cookie/router/evacuate_test.go
@@ -36,7 +36,7 @@
 	require.Equal(t, uint64(1), r.Route(epoch, opening(1)).Incarnation, "a retransmission goes to the upstream of the first packet")
 	known := r.Route(epoch, router.Packet{Caller: caller(1), Address: orders, Cookie: router.Cookie(1, 0), Length: 10})
 	require.Equal(t, router.Forward, known.Action, "open flows stay")
-	// Neither a repeated announcement nor a new upstream of the zone changes the pool.
+	// Neither the known nor a new upstream of the evacuated zone is added to the pool.
 	r.SetTargets(epoch, []view.Target{target(1, "orders", "a"), target(2, "orders", "b"), target(4, "orders", "a")})
 	require.Equal(t, []uint64{2}, r.Pool("orders"))
 }
--- a/internal/cookie/router/flow.go
+++ b/internal/cookie/router/flow.go
@@ -37,7 +37,7 @@
 	// concurrency limit.
 	overdue bool
 	// retransmitted is set if the pending opening or request was sent again, reported if
-	// that was reported to the voters.
+	// it was reported to the voters as unanswered.
 	retransmitted, reported bool
 	// inFlightAtSend is the number of flows of the service in flight when the request was
 	// sent.
@@ -95,8 +95,8 @@
 	}
 }
 
-// noteEstablished updates a flow from a packet of its caller: acknowledged answers show
-// that the upstream is alive, a retransmitted request that it may not be.
+// noteEstablished updates a flow from a packet of its caller: an acknowledged answer shows
+// that the upstream is alive, a retransmitted request that it may be down.
 func (r *Router) noteEstablished(now time.Time, k Flow, t *target, p Packet) {
 	f := r.flows[k]
 	if f == nil || f.target != t {
--- a/internal/cookie/router/load_test.go
+++ b/internal/cookie/router/load_test.go
@@ -50,8 +50,8 @@
 	offered  int
 	inTime   int
 	rejected int
-	// queueFull counts requests that met a full queue, refused connections that a server
-	// reset.
+	// queueFull counts the requests that found a full queue, refused the connections that a
+	// server reset.
 	queueFull, refused int
 	// unserved holds the start times of the requests that callers gave up.
 	unserved []time.Time
@@ -62,8 +62,8 @@
 	urgentOffered, urgentInTime int
 }
 
-// newSimulation returns balancers that have known the upstreams since the given time, and
-// whose routes have the objective goal, or none if it is 0.
+// newSimulation returns a simulation whose balancers have known the upstreams since the given
+// time. The objective of their routes is goal; 0 means none.
 func newSimulation(t *testing.T, knownSince time.Time, goal time.Duration, slow map[uint64]float64) *simulation {
 	return newSimulationOf(t, knownSince, goal, slow, balancers, upstreamCount)
 }
@@ -104,7 +104,7 @@
 	tries   int
 }
 
-// offer starts requests at random intervals, perSecond of them in the mean.
+// offer starts requests at random intervals, perSecond of them on average.
 func (s *simulation) offer(perSecond float64) {
 	pause := time.Duration(s.random.ExpFloat64() / perSecond * float64(time.Second))
 	s.AfterFunc(pause, func() {
@@ -230,10 +230,10 @@
 	require.NotZero(t, s.rejected)
 }
 
-// Guards against rejections just after an outage: the initial queue was taken for overload,
-// callers that had already waited were rejected three times in a row, and one request in
-// six failed although the upstreams had capacity again within a second. All balancers lose
-// power, and all callers return at once.
+// Guards against rejections just after an outage: all balancers lost power, and all callers
+// return at once. The initial queue was taken for overload, and callers that had already waited
+// were rejected three times in a row: one request in six failed although the upstreams had
+// capacity again within a second.
 func TestNoRejectionsDuringSettlePeriod(t *testing.T) {
 	s := newSimulation(t, epoch, objective, nil)
 	s.tick()
@@ -295,7 +295,7 @@
 
 // simulateRecovery simulates the half second after an outage: balancers hold buffered
 // openings, and callers offer their usual load in addition. It returns how many requests
-// met a full queue.
+// found a full queue.
 func simulateRecovery(t *testing.T, paced bool) int {
 	s := newSimulation(t, epoch, objective, nil)
 	s.routers = s.routers[:recoveringBalancers]
@@ -327,9 +327,9 @@
 	return s.queueFull
 }
 
-// Guards against buffered packets that fill the queues when placed at once: full queues
-// refuse three times in a row within some ms, and delay all other requests. After a power
-// loss, balancers place 300 buffered packets; each upstream has room for ten.
+// Guards against buffered packets that fill the queues when placed at once: callers are then
+// refused three times in a row within some ms, and all other requests are delayed. After a
+// power loss, balancers place 300 buffered packets; each upstream has room for ten.
 func TestBufferedPacketsArePlacedGradually(t *testing.T) {
 	atOnce := simulateRecovery(t, false)
 	paced := simulateRecovery(t, true)
@@ -339,9 +339,8 @@
 }
 
 // Guards against rejections in a burst that the upstreams can absorb: 0.5 % of the requests
-// were not served, and none without rejections. Callers offer four fifths of the capacity,
-// and a request takes half of the objective in the mean, the response time from which flows
-// were rejected.
+// were not served, and without rejections all were. Callers offer four fifths of the capacity.
+// A request takes half of the objective on average; flows were rejected from there on.
 func TestBusyUpstreamsWithinObjectiveRejectFewFlows(t *testing.T) {
 	with, s := simulate(t, 0.8*capacity, objective, nil)
 	t.Logf("%.2f in time, rejected %d of %d", with, s.rejected, s.offered)
@@ -382,8 +381,8 @@
 	return s
 }
 
-// Guards against a fleet whose upstreams refuse requests before their balancers do: an
-// answer has 500 ms, but a queue is full after 200, so the response time never nears its
+// Guards against a fleet whose upstreams refuse requests before the balancers reject flows.
+// The objective is 500 ms, but a queue is full at 200, so response times never reach the
 // objective. Each refusal costs a whole request and up to two more: in a burst of six times
 // the load a third of all requests failed until six seconds after it, and upstreams refused
 // 8,000. Callers offer one and a half times the capacity.
@@ -416,8 +415,8 @@
 }
 
 // Guards against requests that hang and count as in flight until callers give up: while a
-// tenth of the upstreams (four of 40) hung, 8 % of the callers were rejected though all
-// others had capacity.
+// tenth of the upstreams (four of 40) hung, 8 % of the callers were rejected although the
+// other upstreams had capacity.
 func TestRequestsAtHangingUpstreamsUseNoConcurrency(t *testing.T) {
 	s := simulateFleet(t, 0.4, fleetBalancers, fleetUpstreams/10)
 	t.Logf("rejected %d of %d", s.rejected, s.offered)
@@ -450,8 +449,8 @@
 	}
 }
 
-// Guards against an overload without rejections: requests reset by their callers counted as
-// overdue for ever, and so allowed as many others.
+// Guards against an overload without rejections: a request that its caller had reset counted
+// as overdue for ever, and so allowed another one in flight.
 func TestResetRequestsFreeNoExtraConcurrency(t *testing.T) {
 	s := newSimulationOf(t, epoch.Add(-time.Minute), fleetObjective, nil, 1, 2)
 	r := s.routers[0]
@@ -506,11 +505,11 @@
 		}
 		r.Route(now, router.Packet{Caller: caller(i), Address: orders, Opening: true})
 	}
-	require.LessOrEqual(t, suspected, 2, "until three upstreams can be compared")
+	require.LessOrEqual(t, suspected, 2, "until the zone has three checked openings")
 }
 
 // Guards against callers that use up their tries in a zone whose upstreams have all ended,
-// because each balancer had to detect each of them.
+// because each balancer had to detect each ended upstream.
 func TestRefusingZoneIsAvoided(t *testing.T) {
 	const crash, restart = 2 * time.Second, 5 * time.Second
 	s := newSimulationOf(t, epoch.Add(-time.Minute), fleetObjective, nil, fleetBalancers, fleetUpstreams)
@@ -527,13 +526,13 @@
 		r.SetTargets(epoch.Add(-time.Minute), targets)
 		r.SetBalancers(2 * fleetBalancers)
 	}
-	refuse := func(is bool) {
+	setRefuses := func(refuses bool) {
 		for id := range uint64(fleetUpstreams) {
-			s.servers[id+1].refuses = is
+			s.servers[id+1].refuses = refuses
 		}
 	}
-	s.AfterFunc(crash, func() { refuse(true) })
-	s.AfterFunc(restart, func() { refuse(false) })
+	s.AfterFunc(crash, func() { setRefuses(true) })
+	s.AfterFunc(restart, func() { setRefuses(false) })
 	s.work, s.objective = work, fleetObjective
 	s.tick()
 	s.offer(0.3 * fleetUpstreams * slotsPerUpstream / work.Seconds())
--- a/internal/cookie/router/overdue.go
+++ b/internal/cookie/router/overdue.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// overdueAfter is the age from which a pending request no longer occupies its upstream,
-	// or overdueFactor times the median response time of the service if that is longer: its
+	// A pending request is overdue from the age overdueAfter, or overdueFactor times the
+	// median response time of its service if that is longer. It no longer counts as load: its
 	// packets were lost, or its upstream is down or hangs.
 	overdueAfter  = 300 * time.Millisecond
 	overdueFactor = 4
@@ -65,7 +65,7 @@
 	f.setOverdue(f.target.suspected(now) || f.target.suspectedByVoters())
 }
 
-// markOverdue marks the flows as overdue that have waited too long.
+// markOverdue marks the flows that have waited too long as overdue.
 func (s *service) markOverdue(now time.Time) {
 	overdue := func(p pendingAnswer) {
 		if p.stillPending() {
@@ -76,13 +76,14 @@
 	s.requests.expire(now, max(overdueAfter, overdueFactor*s.medianResponseTime), overdue)
 }
 
-// setOverdue sets whether the flow's pending answer is overdue.
-func (f *flow) setOverdue(is bool) {
-	if f.overdue == is {
+// setOverdue sets whether the flow's pending answer is overdue, and updates the service's
+// count.
+func (f *flow) setOverdue(overdue bool) {
+	if f.overdue == overdue {
 		return
 	}
-	f.overdue = is
-	if is {
+	f.overdue = overdue
+	if overdue {
 		f.target.service.overdue++
 	} else {
 		f.target.service.overdue--
--- a/internal/cookie/router/packet.go
+++ b/internal/cookie/router/packet.go
@@ -46,7 +46,8 @@
 type Action uint8
 
 const (
-	// Drop discards the packet; the caller retransmits it.
+	// Drop discards the packet, which the caller retransmits. For a temporary reason the
+	// balancer may buffer it.
 	Drop Action = iota
 	// Forward sends the packet to the verdict's upstream.
 	Forward
@@ -123,8 +124,8 @@
 	Incarnation uint64
 	Cookie      uint32
 	// Revision, Sequence and Live are the inputs of the decision: the revision of the
-	// configuration, the upstream's latest announcement, and whether a voter received one
-	// recently.
+	// configuration, the sequence of the upstream's latest announcement, and whether a voter
+	// received an announcement recently.
 	Revision uint64
 	Sequence uint64
 	Live     bool
--- a/internal/cookie/router/place.go
+++ b/internal/cookie/router/place.go
@@ -64,7 +64,7 @@
 		return Verdict{Action: Reset, Reason: NoUpstream, Revision: r.revision}
 	}
 	if t.unresponsive() {
-		// All others are unresponsive, too: without a reset the caller would wait for its
+		// No healthy upstream is available: without a reset the caller would wait for its
 		// timeout.
 		return r.resetVerdict(t, Unresponsive)
 	}
--- a/internal/cookie/router/pool.go
+++ b/internal/cookie/router/pool.go
@@ -2,17 +2,17 @@
 
 import "wasabideal/internal/cookie/mechanism"
 
-// poolList is one of the lists into which a pool divides the upstreams of a service.
+// poolList is the list of a pool in which an upstream is stored.
 type poolList int
 
 const (
-	// excluded upstreams get no new flows and are in no list.
+	// excluded is the zero value: the upstream gets no new flows and is stored in no list.
 	excluded poolList = iota
 	// localZone upstreams are in the balancer's own zone, remoteZone upstreams in another
-	// one.
+	// one. If mechanism.OwnZone is disabled, localZone has the upstreams of all zones.
 	localZone
 	remoteZone
-	// evacuated upstreams would be in one of these lists if their zone were not evacuated.
+	// evacuated upstreams are ready, but in an evacuated zone: they get no new flows.
 	evacuated
 	poolListCount
 )
@@ -21,12 +21,12 @@
 // position, so that an update takes constant time regardless of the pool's size.
 type pool struct {
 	lists [poolListCount][]*target
-	// slots is the number of requests that all upstreams with new flows process
+	// slots is the number of requests that the upstreams in localZone and remoteZone process
 	// concurrently.
 	slots int
 }
 
-// position is the location of an upstream in its pool, and the slots that it contributes.
+// position is the location of an upstream in its pool, and its part of the pool's slots.
 type position struct {
 	pool  *pool
 	list  poolList
@@ -34,7 +34,7 @@
 	slots int
 }
 
-// local and remote return the upstreams that get new flows.
+// local and remote return the upstreams that may get new flows.
 func (p *pool) local() []*target  { return p.lists[localZone] }
 func (p *pool) remote() []*target { return p.lists[remoteZone] }
 
--- a/internal/cookie/router/refused.go
+++ b/internal/cookie/router/refused.go
@@ -3,32 +3,36 @@
 import "time"
 
 const (
-	// abandonedAfter is the age from which an opening counts as refused if the caller has
+	// abandonedAfter is the age from which an opening counts as abandoned if the caller has
 	// neither completed nor retransmitted it: callers retransmit after 200 ms unless they
-	// are reset.
+	// receive a reset.
 	abandonedAfter = 250 * time.Millisecond
-	// zoneRefusalPeriod is how long a zone gets no new flows after all its upstreams
-	// refused. An answer, or the start of an upstream there, ends it early. zoneTrialPeriod
-	// is how long further flows then wait for the outcome of the first one.
+	// zoneRefusalPeriod is how long new flows avoid a zone after most openings there were
+	// abandoned. An answer from the zone, or the start of an upstream there, ends it early.
 	zoneRefusalPeriod = 2 * time.Second
-	zoneTrialPeriod   = abandonedAfter + 100*time.Millisecond
+	// zoneTrialPeriod is how long new flows still avoid the zone after the first one that
+	// is sent there as a trial: until the outcome of the trial is known.
+	zoneTrialPeriod = abandonedAfter + 100*time.Millisecond
 )
 
-// refusals counts recent abandoned openings of one zone. An upstream whose process has
-// ended resets callers directly, so the balancer sees only that the handshake is not
-// completed.
+// refusals counts the recent abandoned openings of one zone, from which the router infers
+// that upstreams refuse flows. The VM of an upstream whose process has ended resets callers
+// directly, so the balancer sees only that the handshake is not completed.
 type refusals struct {
-	// opened counts the openings that have reached the age abandonedAfter, abandoned those of
-	// them that were abandoned.
-	opened, abandoned float64
-	// until is when the zone may be tried again, zero if it is not suspected.
+	// checked is the decaying number of openings that have reached the age abandonedAfter,
+	// abandoned the number of these that were abandoned.
+	checked, abandoned float64
+	// until is when the next trial flow may be sent to the zone, zero if the zone is not
+	// suspected.
 	until time.Time
 }
 
-// suspected reports whether the zone refused all new flows and has not answered since.
+// suspected reports whether the zone is suspected to refuse new flows; an answer from the
+// zone clears the suspicion.
 func (x *refusals) suspected() bool { return !x.until.IsZero() }
 
-// startTrial lets one flow test whether the zone still refuses, once the period has passed.
+// startTrial is called for each new flow to the zone. If the zone is suspected and until has
+// passed, the flow is a trial, and further flows avoid the zone for zoneTrialPeriod.
 func (x *refusals) startTrial(now time.Time) {
 	if x.suspected() && !now.Before(x.until) {
 		x.until = now.Add(zoneTrialPeriod)
@@ -36,21 +40,21 @@
 }
 
 func (x *refusals) decay() {
-	x.opened *= recentDecay
+	x.checked *= recentDecay
 	x.abandoned *= recentDecay
 }
 
-// mostAbandoned reports whether at least half of the openings were abandoned.
-func (x *refusals) mostAbandoned() bool { return x.opened >= minSample && 2*x.abandoned >= x.opened }
+// mostAbandoned reports whether at least half of the checked openings were abandoned.
+func (x *refusals) mostAbandoned() bool { return x.checked >= minSample && 2*x.abandoned >= x.checked }
 
-// detectAbandoned checks the openings that have reached abandonedAfter, and suspects the
-// upstreams that refused some.
+// detectAbandoned checks the openings that have reached the age abandonedAfter, and calls
+// suspectRefused for each abandoned one.
 func (r *Router) detectAbandoned(now time.Time) {
 	abandoned := r.abandoned[:0]
 	for _, s := range r.services {
 		s.refusalChecks.expire(now, abandonedAfter, func(p pendingAnswer) {
 			x := &p.target.zone.refusals
-			x.opened++
+			x.checked++
 			if p.stillPending() && !p.flow.retransmitted {
 				x.abandoned++
 				abandoned = append(abandoned, p)
@@ -63,17 +67,16 @@
 	r.abandoned = abandoned
 }
 
-// suspectRefused suspects the upstream of a refused opening, or its whole zone if most
-// openings there are abandoned and none was answered since. Callers that lost connectivity,
-// or that never complete handshakes, look the same: if openings to another zone are
-// abandoned, too, no upstream is suspected.
+// suspectRefused suspects the upstream of an abandoned opening. If most openings to its zone
+// are abandoned, and no upstream there has answered since this opening was sent, it suspects
+// the whole zone instead, or nothing if the callers may be at fault.
 func (r *Router) suspectRefused(now time.Time, p pendingAnswer) {
 	z := p.target.zone
 	answering := z.lastAlive.After(p.sent)
 	switch x := &z.refusals; {
 	case answering || !x.mostAbandoned() && !x.suspected():
 		r.suspectLocally(now, p.flow)
-	case r.abandonedElsewhere(z):
+	case r.callersMayBeAtFault(z):
 		x.until = time.Time{}
 	default:
 		if !x.suspected() && r.settings.ZoneRefused != nil {
@@ -83,9 +86,11 @@
 	}
 }
 
-// abandonedElsewhere reports whether most openings to another zone are abandoned, or there
-// is no other zone.
-func (r *Router) abandonedElsewhere(z *zone) bool {
+// callersMayBeAtFault reports whether abandoned openings to a zone may be due to callers that
+// lost connectivity or never complete handshakes, such as SYN scans. Such callers abandon
+// openings to all zones, so the result is true if most openings to another zone are abandoned,
+// too. It is also true if there is no other zone to compare with.
+func (r *Router) callersMayBeAtFault(z *zone) bool {
 	others := false
 	for _, other := range r.zones {
 		if other != z && other.refusals.mostAbandoned() {
--- a/internal/cookie/router/router.go
+++ b/internal/cookie/router/router.go
@@ -16,8 +16,8 @@
 type Settings struct {
 	// Zone is the availability zone of this balancer.
 	Zone string
-	// Self is this balancer's address among those of its zone; see SetPeers. If empty, no
-	// flow goes to cold upstreams whose service sets a cold rate.
+	// Self is this balancer's address in the list given to SetPeers. If empty, no flow goes
+	// to cold upstreams whose service sets a cold rate.
 	Self string
 	// Started is when the balancer started.
 	Started time.Time
@@ -26,14 +26,16 @@
 	Seed uint64
 	// Off is the set of disabled mechanisms.
 	Off mechanism.Off
-	// Suspected, if set, is called with an upstream that left a packet unanswered.
+	// Suspected, if set, is called when this balancer begins to suspect an upstream that left
+	// a packet unanswered.
 	Suspected func(view.Target)
-	// ZoneRefused, if set, is called with a zone all of whose upstreams refuse new flows.
+	// ZoneRefused, if set, is called when this balancer begins to suspect a whole zone because
+	// most openings there are abandoned.
 	ZoneRefused func(zone string)
 	// Reset, if set, is called for each reset of a flow that may be open.
 	Reset func(FlowReset)
-	// Opened, if set, is called with the time that a new flow took to open as seen by this
-	// balancer; Answered with the response time of a request.
+	// Opened, if set, is called with the duration of each handshake as seen by this balancer,
+	// Answered with the response time of each request.
 	Opened, Answered func(time.Duration)
 }
 
@@ -59,7 +61,8 @@
 	losses         losses
 	// abandoned are the openings found abandoned by the last check; the slice is reused.
 	abandoned []pendingAnswer
-	// suspects are the upstreams that the voters suspect.
+	// suspects are the upstreams that the voters suspect; upstreams of a suspected zone are
+	// not included.
 	suspects []*target
 	// reports are the queued events for the voters, reportBudget the number of unanswered
 	// packets that may still be reported.
@@ -84,7 +87,7 @@
 // initialRotations bounds a balancer's first value of rotation.
 const initialRotations = 1 << 16
 
-// New returns a router that drops all packets until it is configured.
+// New returns a router that drops all openings until it is configured.
 func New(s Settings) *Router {
 	return &Router{
 		settings: s, assignment: assignment.New(s.Started, s.Self), reportBudget: reportBurst, rotation: int(s.Seed % initialRotations), routes: map[netip.AddrPort]route{}, targets: map[uint64]*target{},
@@ -121,11 +124,11 @@
 // Revision returns the revision in force, 0 before the first configuration.
 func (r *Router) Revision() uint64 { return r.revision }
 
-// settlePeriod is how long after the first upstreams became known others may still be
-// unknown: one and a half announcement intervals. Until then flows are neither reset for a
-// missing upstream nor rejected for overload. After an outage all callers return at once
-// and are served within a second: of 766 requests in the first two seconds, 136 failed with
-// rejections and 46 without.
+// settlePeriod begins when the first upstreams become known, and lasts one and a half
+// announcement intervals, since others may not be known yet. During it, flows are neither
+// reset for a missing upstream nor rejected for overload. After an outage all callers return
+// at once, and the upstreams serve them within a second: of 766 requests in the first two
+// seconds, 136 failed with rejections and 46 without.
 const settlePeriod = 1800 * time.Millisecond
 
 // Route decides on one packet from a caller.
--- a/internal/cookie/router/router_test.go
+++ b/internal/cookie/router/router_test.go
@@ -118,9 +118,9 @@
 	require.Equal(t, router.Reset, r.Route(epoch.Add(2*time.Second), opening(1)).Action)
 }
 
-// Guards against packets that reach an upstream of another service: the incarnations of two
-// upstreams fold into one cookie, which named the later one once it was announced, while a
-// flow was open at the earlier one.
+// Guards against packets that reach an upstream of another service. Two upstreams have the
+// same cookie, and a flow is open at the earlier one: once the later one was announced, the
+// flow's packets went there.
 func TestCookieCollisionExcludesTheLaterUpstream(t *testing.T) {
 	// The fold is linear: this incarnation has the same cookie as 1.
 	const colliding = uint64(1)<<32 | (1 ^ 0x9e3779b1)
@@ -146,8 +146,8 @@
 	require.NotZero(t, counts[3], "flows spill from a full local zone")
 }
 
-// Guards against openings to a dead upstream, 1.4 s each for their callers, until its
-// missing announcements are detected seconds later. Openings to it are retransmitted.
+// Guards against new flows to a dead upstream, whose announcements count as overdue only
+// seconds later: each such flow costs its caller 1.4 s. An opening to it is retransmitted.
 func TestUnansweredOpeningSuspectsTheUpstream(t *testing.T) {
 	r := newRouter(t, target(1, "orders", "a"), target(2, "orders", "a"))
 	first := r.Route(epoch, opening(1)).Incarnation
@@ -188,8 +188,8 @@
 	require.Equal(t, uint64(1), r.Route(epoch, opening(20)).Incarnation, "an unhealthy upstream is better than none")
 }
 
-// Guards against openings that are lost for as long as a zone is partitioned: each of its
-// upstreams was suspected separately, and tried again when its suspicion ended.
+// Guards against openings to a partitioned zone, which are lost: each of its upstreams was
+// suspected separately, and tried again whenever its suspicion ended.
 func TestPartitionedZoneIsSuspectedAsAWhole(t *testing.T) {
 	r := newRouter(t, target(1, "orders", "a"), target(2, "orders", "b"), target(3, "orders", "b"), target(4, "orders", "c"))
 	remote := router.Packet{Caller: caller(1), Address: orders, Cookie: router.Cookie(2, 0), Sequence: 100, Acknowledged: 50}
@@ -341,7 +341,7 @@
 }
 
 // Guards against new flows to dead upstreams because only a sample is compared: all
-// upstreams of a large pool but one are reported down by the voters.
+// upstreams of a large pool but one are silent.
 func TestLastHealthyUpstreamOfALargePoolIsFound(t *testing.T) {
 	targets := targetsInZones(500)
 	for i := range targets {
@@ -354,7 +354,7 @@
 }
 
 // Guards against flows of a crashed upstream that hang until their deadlines, or reach an
-// upstream that does not hold them: it restarts with the same incarnation, and both
+// upstream that does not hold them. The upstream restarts with the same incarnation; both
 // instances had the same cookie.
 func TestFlowsOfAFormerInstanceGoToTheCurrentOne(t *testing.T) {
 	before := target(1, "orders", "a")
--- a/internal/cookie/router/service.go
+++ b/internal/cookie/router/service.go
@@ -15,18 +15,18 @@
 // service is the state shared by the upstreams of one service.
 type service struct {
 	// requestAdmission and uploadAdmission track response times separately. An upload takes
-	// as long as the transit of its body; counted with the others, it would get short
-	// requests rejected while the upstreams are idle.
+	// as long as the transit of its body: counted together, uploads would cause the rejection
+	// of short requests while the upstreams are idle.
 	requestAdmission, uploadAdmission admission.Admission
 	// inFlight counts pending openings and requests.
 	inFlight int
 	// coldRate is the number of requests per second that a cold upstream may get, 0 for no
 	// limit.
 	coldRate float64
-	// overdue counts the flows in flight whose answer is late. The queues openings and
-	// requests hold all pending answers until they are overdue, refusalChecks those to
-	// openings until they count as abandoned.
-	overdue                           int
+	// overdue counts the flows in flight whose answer is late.
+	overdue int
+	// openings and requests hold the pending answers until they are overdue. refusalChecks
+	// holds the pending answers to openings until the age abandonedAfter.
 	openings, requests, refusalChecks pendingQueue
 	// concurrency tracks the recent number of flows in flight.
 	concurrency concurrency.InFlightAverage
@@ -46,6 +46,7 @@
 	t.activate()
 }
 
+// activate adds the upstream to the active ones of its service.
 func (t *target) activate() {
 	if !t.active {
 		t.active = true
@@ -144,8 +145,8 @@
 // SetBalancers sets how many balancers share the upstreams, 0 if unknown.
 func (r *Router) SetBalancers(n int) { r.balancers = n }
 
-// recordResponseTime records the response time of a request. It is scaled by the upstream's
-// slowness for admission, since a slow upstream does not indicate how much capacity the
+// recordResponseTime records the response time of a request. For admission it is divided by
+// the upstream's slowness, since a slow upstream does not indicate how much capacity the
 // others have.
 func (r *Router) recordResponseTime(now time.Time, f *flow, class configuration.Class) {
 	t, took := f.target, now.Sub(f.sent)
--- a/internal/cookie/router/target.go
+++ b/internal/cookie/router/target.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// suspicionPeriod is how long an upstream gets no new flow after it left a packet
-	// unanswered; it doubles with each further one, up to suspicionPeriodMax. Each trial of
-	// a dead upstream costs one caller its opening.
+	// suspicionPeriod is how long new flows avoid an upstream after it left a packet
+	// unanswered. The period doubles with each further suspicion, up to suspicionPeriodMax,
+	// until the upstream answers: each trial of a dead upstream costs one caller its opening.
 	suspicionPeriod    = time.Second
 	suspicionPeriodMax = 8 * time.Second
 	// answerTimeout is the age from which a missing answer counts as evidence: twice the
@@ -46,7 +46,7 @@
 	coldWindow slowstart.Window
 	// endObserved is when this balancer first observed that the upstream has terminated.
 	endObserved time.Time
-	// active is set while the service's active list has the upstream.
+	// active is set while the upstream is one of the active ones of its service.
 	active bool
 	// suspicion is the voters' suspicion of the upstream, nil if there is none;
 	// localSuspicion is that of this balancer.
@@ -77,7 +77,7 @@
 type localSuspicion struct {
 	// lastAlive is the time of the latest answer.
 	lastAlive time.Time
-	// until is when the suspicion ends, backoff how long the latest one lasts.
+	// until is when the suspicion ends, backoff the duration of the latest suspicion.
 	until   time.Time
 	backoff time.Duration
 }
--- a/internal/cookie/router/upstreams.go
+++ b/internal/cookie/router/upstreams.go
@@ -79,8 +79,9 @@
 }
 
 // successor returns the current instance of an upstream that has restarted, nil if there is
-// none in the same service. Only the upstream knows its open flows: some with the old
-// cookie were opened after the restart, before its announcement. It resets the others.
+// none in the same service. Only the current instance knows which flows it holds: some with
+// the old cookie were opened after the restart, before it was announced. The current instance
+// resets the others.
 func (r *Router) successor(t *target) *target {
 	if !t.Ended {
 		return nil
@@ -92,7 +93,8 @@
 	return next
 }
 
-// expireFormerInstances removes the earlier instances whose flows have all ended.
+// expireFormerInstances removes earlier instances after formerInstanceTTL, when their flows
+// have all ended.
 func (r *Router) expireFormerInstances(now time.Time) {
 	for len(r.formerInstances) > 0 && now.Sub(r.formerInstances[0].since) > formerInstanceTTL {
 		delete(r.cookies, r.formerInstances[0].target.cookie)
