--- a/internal/overload/admission/admission.go
+++ b/internal/overload/admission/admission.go
@@ -12,22 +12,23 @@
 	maxAge = 150 * time.Millisecond
 	// maxResponses is the number of recorded responses; more would only cost time.
 	maxResponses = 32
-	// minResponses is the number of responses that a prediction needs: a packet that is lost
-	// on the way delays a response by 200 ms.
+	// minResponses is the number of responses that a prediction needs, so that a single one
+	// has little weight: a lost packet delays the response by 200 ms.
 	minResponses = 8
-	// slowestDivisor sets the share of the slowest responses that are left out, one in four:
-	// they are due to lost packets, and to upstreams that are not yet known to be slow.
+	// slowestDivisor sets the share of the responses, the slowest ones, that predictions
+	// ignore: one in four. These are due to lost packets, and to upstreams that are not yet
+	// known to be slow.
 	slowestDivisor = 4
 	// growthOffset dampens the growth of small numbers: two requests in flight instead of
 	// one do not mean that a queue has doubled.
 	growthOffset = 4
-	// minGrowth and maxGrowth bound the extrapolation to a load that none of the recorded
-	// responses has seen.
+	// minGrowth and maxGrowth bound the extrapolation from the load at the recorded responses
+	// to the current load, which none of them may reflect.
 	minGrowth, maxGrowth = 0.5, 3
-	// slowestShare bounds the prediction from below, as a share of the slowest response
-	// counted. Upstreams with full queues may refuse requests at once, and the more they
-	// refuse, the shorter the mean: a service that was overloaded when a balancer started
-	// would stay so.
+	// slowestShare is the least prediction, as a share of the slowest response that is not
+	// ignored. Upstreams with full queues may refuse requests at once, and the more they
+	// refuse, the shorter the mean: without the bound, a service that was overloaded when a
+	// balancer started would stay so.
 	slowestShare = 0.45
 )
 
@@ -35,9 +36,10 @@
 // rejected. Ordinary flows leave headroom for the slowest requests, which take more than twice the
 // mean; urgent flows are rejected only when no other is admitted.
 //
-// The share of requests in time with 14 upstreams of two slots: 0.90 and 0.75 in bursts of three
-// and four times the ordinary load (0.66 and 0.50 if all flows are admitted; 0.89 and 0.58 with
-// ordinary shares of 0.5 and 0.6), 0.98 (0.98) in bursts of two and a half times.
+// The shares of requests in time, with 14 upstreams of two slots, in bursts of three and four times
+// the ordinary load: 0.90 and 0.75 with these values, 0.89 and 0.58 with ordinary shares of 0.5 and
+// 0.6, 0.66 and 0.50 if all flows are admitted. In bursts of two and a half times: 0.98 with these
+// values, and 0.98 if all flows are admitted.
 const (
 	ordinaryFirst, ordinaryAll = 0.42, 0.48
 	urgentFirst, urgentAll     = 0.6, 0.8
@@ -45,14 +47,13 @@
 
 const (
 	// overloadThreshold is the predicted response time, as a share of the objective, from
-	// which a service counts as overloaded. Upstreams that are busy nearly all the time
-	// respond in half of the objective, which is in time: rejecting from there on left 0.5 %
-	// of the requests unserved in a burst of four times the load, which were all served
-	// without rejections.
+	// which a service counts as overloaded. Upstreams that are busy nearly all the time still
+	// respond in half of the objective. Rejecting from there on left 0.5 % of the requests
+	// unserved in a burst of four times the load; without rejections all were served.
 	overloadThreshold = 0.8
-	// overloadHold is how long a service counts as overloaded after the response time is
-	// back below the first rejection: the queues, kept short by rejections, would fill at
-	// once.
+	// overloadHold is how long a service still counts as overloaded after its predicted
+	// response time, as a share of the objective, has fallen below ordinaryFirst. Only
+	// rejections keep the queues short: without them the queues would fill at once.
 	overloadHold = 3 * time.Second
 )
 
@@ -71,7 +72,8 @@
 type response struct {
 	at   time.Time
 	took time.Duration
-	// atSend is the number of the service's requests in flight when the request was sent.
+	// inFlightAtSend is the number of the service's requests in flight when the request was
+	// sent.
 	inFlightAtSend int
 }
 
@@ -86,15 +88,15 @@
 
 // Record records the duration of an answered request, and the number of requests in flight
 // when it was sent.
-func (a *Admission) Record(now time.Time, took time.Duration, atSend int) {
-	a.responses[a.next] = response{at: now, took: took, inFlightAtSend: atSend}
+func (a *Admission) Record(now time.Time, took time.Duration, inFlightAtSend int) {
+	a.responses[a.next] = response{at: now, took: took, inFlightAtSend: inFlightAtSend}
 	a.next = (a.next + 1) % maxResponses
 }
 
 // ResponseTime predicts the duration of a request that is sent now with the given number of
-// requests in flight; 0 means too few responses to predict. Responses reflect the load at the time
-// of their requests, so a burst would fill all queues before its first response is late. Scaling by
-// the growth of requests in flight since then shows the burst at once.
+// requests in flight; 0 means too few responses to predict. Responses reflect the load when their
+// requests were sent, so a burst would fill all queues before its first response is late. Scaling by
+// the growth of requests in flight since the requests were sent shows the burst at once.
 func (a *Admission) ResponseTime(now time.Time, inFlight int) time.Duration {
 	var buffer [maxResponses]response
 	n := a.recent(now, &buffer)
@@ -105,13 +107,13 @@
 	slices.SortFunc(fastest, func(x, y response) int { return cmp.Compare(x.took, y.took) })
 	fastest = fastest[:n-n/slowestDivisor]
 	var sum time.Duration
-	atSend := 0
+	inFlightSum := 0
 	for _, x := range fastest {
 		sum += x.took
-		atSend += x.inFlightAtSend
+		inFlightSum += x.inFlightAtSend
 	}
-	usual := float64(atSend) / float64(len(fastest))
-	growth := min(max((float64(inFlight)+growthOffset)/(usual+growthOffset), minGrowth), maxGrowth)
+	meanInFlight := float64(inFlightSum) / float64(len(fastest))
+	growth := min(max((float64(inFlight)+growthOffset)/(meanInFlight+growthOffset), minGrowth), maxGrowth)
 	mean := growth * float64(sum) / float64(len(fastest))
 	slowest := slowestShare * float64(fastest[len(fastest)-1].took)
 	return time.Duration(max(mean, slowest))
--- a/internal/overload/admission/admission_test.go
+++ b/internal/overload/admission/admission_test.go
@@ -44,7 +44,7 @@
 		ordinary, urgent float64
 	}{
 		{"idle", 25 * time.Millisecond, 0, 0},
-		{"below", 42 * time.Millisecond, 0, 0},
+		{"just below the first rejection", 42 * time.Millisecond, 0, 0},
 		{"halfway", 45 * time.Millisecond, 0.5, 0},
 		{"all ordinary", 55 * time.Millisecond, 1, 0},
 		{"half of the urgent", 70 * time.Millisecond, 1, 0.5},
@@ -106,8 +106,8 @@
 	}{
 		{"busy", 0, 50 * time.Millisecond, false},
 		{"late", 100 * time.Millisecond, 81 * time.Millisecond, true},
-		{"kept short by rejections", 2 * time.Second, 45 * time.Millisecond, true},
-		{"still kept short", 4 * time.Second, 45 * time.Millisecond, true},
+		{"queues kept short by rejections", 2 * time.Second, 45 * time.Millisecond, true},
+		{"queues still kept short", 4 * time.Second, 45 * time.Millisecond, true},
 		{"response time is short", 5 * time.Second, 20 * time.Millisecond, true},
 		{"hold has expired", 7100 * time.Millisecond, 20 * time.Millisecond, false},
 		{"busy again", 7200 * time.Millisecond, 50 * time.Millisecond, false},
--- a/internal/overload/backlog/backlog.go
+++ b/internal/overload/backlog/backlog.go
@@ -3,9 +3,9 @@
 import "time"
 
 const (
-	// maxWait is how long an opening is queued. Callers retransmit it after 200 ms, and
-	// waiting here takes time from a retry at another balancer; a rejection after maxWait
-	// still takes less than an eighth of the latency objective of uploads.
+	// maxWait is how long an opening is queued. Callers retransmit it after 200 ms, and the
+	// longer it waits here, the less time is left for a retry at another balancer. maxWait is
+	// less than an eighth of the latency objective of uploads.
 	maxWait = 150 * time.Millisecond
 	// maxLen bounds the queue: two uploads end within maxWait, so that further openings
 	// would only expire.
@@ -21,8 +21,8 @@
 // Backlog is a bounded queue of the openings at one balancer, the oldest first.
 type Backlog[K comparable, T any] struct{ items []item[K, T] }
 
-// Push queues an opening and reports whether it is queued. If its key is in the queue
-// already, the earlier item stays unchanged.
+// Push queues an opening and reports whether it is queued. An opening with the same key that is
+// queued already stays unchanged; the new one is then ignored, and the result is true.
 func (b *Backlog[K, T]) Push(now time.Time, key K, value T) bool {
 	for _, x := range b.items {
 		if x.key == key {
--- a/internal/overload/concurrency/concurrency.go
+++ b/internal/overload/concurrency/concurrency.go
@@ -5,10 +5,11 @@
 	"time"
 )
 
-// Limits of in-flight requests per slot of a service's upstreams, for all balancers together.
-// New flows beyond them are rejected. The share of requests served, weighted by value, with 150
-// upstreams and 70 balancers at four and six times the load: 0.913 and 0.718 with limits of three
-// and eight, 0.891 and 0.704 with two and five, 0.896 and 0.684 with three and four and a half.
+// ordinaryPerSlot and urgentPerSlot are the limits of in-flight requests per slot of a service's
+// upstreams, for all balancers together. New flows beyond them are rejected. The share of requests
+// served, weighted by value, with 150 upstreams and 70 balancers at four and six times the load:
+// 0.913 and 0.718 with limits of three and eight, 0.891 and 0.704 with two and five, 0.896 and 0.684
+// with three and four and a half.
 const (
 	// ordinaryPerSlot is one request in progress and two in the queue: half of a queue that
 	// holds four per slot. An upstream with a full queue refuses requests, and each refusal
@@ -20,8 +21,8 @@
 	// minLimit is the least limit of a balancer. Where many balancers share few slots, each has
 	// several requests in flight at times, and mostly none.
 	minLimit = 6
-	// averageTimeConstant is the time constant of the average of in-flight requests. A
-	// balancer has few of them, and at random twice as many for a few milliseconds: without
+	// averageTimeConstant is the time constant of the average of in-flight requests. Their
+	// number at one balancer is small, and at random doubles for a few milliseconds: without
 	// the average, one flow in ten was rejected at 0.85 of the capacity.
 	averageTimeConstant = 400 * time.Millisecond
 )
--- a/internal/overload/meter/meter.go
+++ b/internal/overload/meter/meter.go
@@ -28,9 +28,9 @@
 	return m.sum / m.timeConstant.Seconds()
 }
 
-// decayParts divides the time constant into the intervals between two decays. A rate is too
-// high by at most 2 % in between, and several hundred openings a second do not compute an
-// exponential each.
+// decayParts is the number of decays per time constant. Between two decays the rate is too high
+// by at most 2 %; in return, several hundred new flows a second do not compute an exponential
+// each.
 const decayParts = 50
 
 func (m *Meter) decay(now time.Time) {
--- a/internal/overload/slowstart/slowstart.go
+++ b/internal/overload/slowstart/slowstart.go
@@ -8,9 +8,9 @@
 const (
 	// window is the length of the sliding window to which the rate limit applies.
 	window = time.Second
-	// share is the part of the upstream's rate that one balancer uses. While lists of
-	// balancers differ, two balancers may both send flows to the same cold upstream, and
-	// both together stay within one and a half times its rate.
+	// share is the part of the upstream's rate that one balancer uses. While balancers have
+	// different lists of their peers, two of them may send flows to the same cold upstream;
+	// together they stay within one and a half times its rate.
 	share = 0.75
 )
 
--- a/internal/overload/uplink/uplink.go
+++ b/internal/overload/uplink/uplink.go
@@ -21,15 +21,15 @@
 	// minPacedDelay is the time that a window takes on the widest link that is paced. On
 	// a wider link a window delays other packets by less than the latency between zones,
 	// and pacing would only delay large uploads: on a link of 1,000 Mbit/s it raised the
-	// 99th percentile from 0.1 s to 3.4 s.
+	// 99th percentile of their duration from 0.1 s to 3.4 s.
 	minPacedDelay = 20 * time.Millisecond
 	// maxLinkShare is the part of the link that all packets may use together.
-	// minUploadShare is reserved for admitted uploads, so that they end, whatever the
-	// other traffic, and others can start.
+	// minUploadShare is reserved for admitted uploads, so that they end regardless of the
+	// other traffic, and further uploads can start.
 	maxLinkShare, minUploadShare = 0.95, 0.1
-	// maxOtherShare is the part of the link used by other packets from which no upload is
-	// admitted: a window would then be delayed beyond the callers' retransmission timeout,
-	// like the packets of requests ahead of it.
+	// If packets of no upload use maxOtherShare of the link, no further upload is admitted:
+	// its window, and the packets of requests ahead of it, would be delayed beyond the
+	// callers' retransmission timeout.
 	maxOtherShare = 0.7
 	// meterTimeConstant is the time constant of the rate of other traffic: long enough to
 	// count a few dozen packets on a link of 2 Mbit/s, and shorter than an upload.
@@ -87,9 +87,10 @@
 
 // RecordOther records the bytes of a packet that belongs to no upload.
 //
-// Uploads use only the bandwidth that such packets leave. With a burst of requests of six
-// times the usual load, 40 % of the link, uploads at 95 % of it kept a standing queue:
-// callers retransmitted packets that were only queued, and 34,000 of 97,000 requests failed.
+// Uploads use only the bandwidth that such packets leave. When uploads took 95 % of the link
+// during a burst of requests, six times the usual load and 40 % of the link, a standing queue
+// formed: callers retransmitted packets that were only queued, and 34,000 of 97,000 requests
+// failed.
 func (u *Pacer[K, T]) RecordOther(now time.Time, size int) { u.others.Add(now, float64(size)) }
 
 // OtherRate returns the rate of packets that belong to no upload, in bytes per second.
@@ -105,8 +106,8 @@
 	return bytesPerSecond > 0 && window/bytesPerSecond > minPacedDelay.Seconds()
 }
 
-// Limit returns the maximum number of active uploads: as many as send a window each
-// within maxQueueDelay.
+// Limit returns the maximum number of active uploads: so many that the link transmits one window
+// of each within maxQueueDelay.
 func (u *Pacer[K, T]) Limit(now time.Time) int {
 	left := u.bytesPerSecond - u.others.Rate(now)
 	if left <= (1-maxOtherShare)*u.bytesPerSecond {
@@ -179,7 +180,7 @@
 	return p, true
 }
 
-// NextDelay returns the time from a failed Dequeue until the next packet may be sent, and
+// NextDelay returns how long after a Dequeue without a packet the next packet may be sent, and
 // false if the queue is empty.
 func (u *Pacer[K, T]) NextDelay(now time.Time) (time.Duration, bool) {
 	if len(u.queue) == 0 {
--- a/internal/overload/uplink/uplink_test.go
+++ b/internal/overload/uplink/uplink_test.go
@@ -52,8 +52,8 @@
 
 // Guards against uploads that ignore other traffic. Short requests use 100 kB/s of a link
 // of 250 kB/s, and uploads follow one after the other. When uploads took 95 % of the link
-// regardless, its queue grew: at six times the usual load nearly all requests were late,
-// though they took less than half of the link, and callers retransmitted queued packets.
+// regardless, its queue grew, and callers retransmitted queued packets: at six times the usual
+// load nearly all requests were late, although requests took less than half of the link.
 func TestUploadsUseRemainingBandwidth(t *testing.T) {
 	for others, limit := range map[int]int{0: 2, 100_000: 1, 150_000: 1, 200_000: 0} {
 		u := uplink.New[int, int](narrow)
@@ -85,9 +85,9 @@
 	}
 }
 
-// replay simulates uploads with windows of 16 packets over the link, and returns the longest
+// simulateUploads simulates uploads with windows of 16 packets over the link, and returns the longest
 // queueing delay of a packet and the number of retransmissions.
-func replay(t *testing.T, flows int) (longest time.Duration, retransmitted int) {
+func simulateUploads(t *testing.T, flows int) (longest time.Duration, retransmitted int) {
 	u := uplink.New[int, int](narrow)
 	sent := map[[2]int]time.Time{}
 	next := make([]int, flows)
@@ -120,7 +120,7 @@
 
 func TestPacedUploadsAreNotRetransmitted(t *testing.T) {
 	for flows := 1; flows <= 2; flows++ {
-		longest, retransmitted := replay(t, flows)
+		longest, retransmitted := simulateUploads(t, flows)
 		require.Zero(t, retransmitted, "%d uploads, longest wait %s", flows, longest)
 	}
 }
--- a/internal/overload/urgency/urgency.go
+++ b/internal/overload/urgency/urgency.go
@@ -12,7 +12,7 @@
 	// flows at a balancer of a large fleet, and shorter than the load changes to react to.
 	demandTimeConstant = 2 * time.Second
 	// negligibleShare is the share of the demand up to which better priorities are ignored:
-	// operators configure routes that receive an occasional probe, or nothing.
+	// some configured routes receive only an occasional probe, or no flow at all.
 	negligibleShare = 0.1
 )
 
@@ -24,9 +24,9 @@
 
 // Urgency measures the demand for a service by priority. It is not safe for concurrent use.
 //
-// Urgency depends on the demand and not on the configured routes: when a service had 46 routes
-// of the best priority without any flow, its orders counted as ordinary and were rejected like
-// its feeds.
+// Urgency depends on the demand and not on the configured routes. When it depended on these, 46
+// routes of the best priority without any flow made all other flows of a service ordinary: orders
+// were rejected like the less urgent feeds.
 type Urgency struct{ demands []demand }
 
 // Record records a new flow of a priority; 0 is the best one.
