--- a/internal/fanout/selection/fleet_test.go
+++ b/internal/fanout/selection/fleet_test.go
@@ -69,13 +69,13 @@
 	membership *membership.Membership
 	followers  *members.Members
 	selection  *selection.Selection
-	sources    map[string]*modelSource
+	sources    map[string]*polledSource
 	lastPoll   map[string]time.Time
 	// messages and bytes count what this process sent.
 	messages, bytes int
 }
 
-type modelSource struct {
+type polledSource struct {
 	target     *process
 	responsive bool
 	stopped    bool
@@ -137,7 +137,7 @@
 		return
 	}
 	p.origins, p.membership, p.followers = origins.New(), membership.New(), members.New()
-	p.sources = map[string]*modelSource{}
+	p.sources = map[string]*polledSource{}
 	p.selection = selection.New(selection.Settings{
 		Self: p.name, Shape: m.shape, StaleAfter: knownWithin / 2, Jitter: m.random.Float64(),
 	}, m.Now)
@@ -261,7 +261,7 @@
 	}
 	for _, name := range wanted {
 		if p.sources[name] == nil {
-			w := &modelSource{target: m.processes[name]}
+			w := &polledSource{target: m.processes[name]}
 			p.sources[name] = w
 			m.poll(p, w)
 		}
@@ -269,7 +269,7 @@
 }
 
 // poll polls a source; the response triggers the next poll.
-func (m *model) poll(p *process, w *modelSource) {
+func (m *model) poll(p *process, w *polledSource) {
 	hold, grace := parentHold, parentGrace
 	if w.target.voter {
 		hold, grace = voterHold, voterGrace
@@ -371,7 +371,7 @@
 }
 
 // answered applies a response and polls again.
-func (m *model) answered(p *process, w *modelSource, all []origins.Update, l membership.List, roundTrip time.Duration) {
+func (m *model) answered(p *process, w *polledSource, all []origins.Update, l membership.List, roundTrip time.Duration) {
 	w.responsive = true
 	updated, fresh := false, 0
 	for _, x := range all {
@@ -406,7 +406,7 @@
 	}
 }
 
-func (m *model) failed(p *process, w *modelSource) {
+func (m *model) failed(p *process, w *polledSource) {
 	w.responsive = false
 	if w.target.voter {
 		m.AfterFunc(voterRetryPause, m.whileAlive(p, func() {
--- a/internal/fanout/selection/selection.go
+++ b/internal/fanout/selection/selection.go
@@ -10,8 +10,8 @@
 const (
 	// startupPeriod is how long after its start a balancer always follows the voters. They send it
 	// the complete state, and voters that started with it know most balancers by then. With 2 s,
-	// most of the voters' load came from balancers in a rolling restart, which received each change
-	// directly from them.
+	// most of the voters' load during a rolling restart came from the restarted balancers, which
+	// received each change directly from the voters.
 	startupPeriod = 500 * time.Millisecond
 	// voterSubsetPeriod is how long one voter is enough after a start, and a subset of the voters
 	// after a parent failed. It is below the four seconds for which a voter's restored notices,
@@ -24,8 +24,8 @@
 	// polled as well. A connection and a response take some ms.
 	candidateTimeout = 300 * time.Millisecond
 	// degradedFraction is the fraction of StaleAfter for which a parent may have too few fresh
-	// voters before other sources are polled. Its state is StaleAfter old by then, half of the
-	// bound on configurations and departures. With a fraction of 1, a balancer whose parent was
+	// voters before other sources are polled. The parent's state is StaleAfter old by then, half of
+	// the bound on configurations and departures. With a fraction of 1, a balancer whose parent was
 	// cut off placed a flow by a configuration replaced 6.2 s before, where 5 are allowed. A voter
 	// that restarts answers again within this time.
 	degradedFraction = 0.2
@@ -62,13 +62,14 @@
 // Reason is why a balancer changed its parent.
 type Reason string
 
-// Reasons as they appear in the log. FewerFreshVoters means that a candidate has more fresh voters
-// than the parent, or that more voters answer directly. Moved and Root mean that the balancer's
-// position in the tree changed, Root to level 0.
+// Reasons as they appear in the log; the values are fixed, since operators search for them.
+// FewerFreshVoters means that fewer voters are fresh at the parent than at a candidate, or than
+// answer this balancer directly; its value says "hears" for that. Moved and Root mean that the balancer's position in the tree changed, Root
+// to level 0.
 const (
 	Joined           Reason = "candidate answers"
 	Failed           Reason = "parent does not answer"
-	FewerFreshVoters Reason = "parent has fewer fresh voters"
+	FewerFreshVoters Reason = "parent hears fewer voters"
 	Moved            Reason = "place in the zone changed"
 	Root             Reason = "place at the top of the zone"
 )
@@ -93,8 +94,8 @@
 	// freshVoters is the number of fresh voters at each polled balancer; the key "" holds how many
 	// voters answer this balancer directly.
 	freshVoters map[string]int
-	// degradedSince is when the parent, or the direct answers without a parent, fell below a quorum
-	// of fresh voters; zero while there is one.
+	// degradedSince is when the parent fell below a quorum of fresh voters, zero while it has one.
+	// Without a parent, the voters that answer directly are counted instead.
 	degradedSince time.Time
 	// avoidedUntil holds when each avoided balancer may be polled again.
 	avoidedUntil map[string]time.Time
@@ -246,15 +247,16 @@
 	return out
 }
 
-// probeDue reports whether the voters are to be polled in parallel to a degraded parent, to see
-// whether more of them answer directly.
+// probeDue reports whether the voters are to be polled in parallel to a degraded parent. The probe
+// shows whether more voters answer directly than are fresh at the parent.
 func (s *Selection) probeDue(now time.Time) bool {
 	since := now.Sub(s.degradedSince) - s.fractionOfStaleAfter(degradedFraction) - s.fractionOfStaleAfter(firstProbeFraction*s.settings.Jitter)
 	interval := probeInterval + time.Duration(s.settings.Jitter*float64(probeInterval))
 	return since >= 0 && since%interval < probeDuration
 }
 
-// EvaluateProbe replaces a degraded parent by the voters if more of them answer directly.
+// EvaluateProbe replaces a degraded parent by the voters if more voters answer directly than are
+// fresh at the parent.
 func (s *Selection) EvaluateProbe(now time.Time) {
 	if s.parent != "" && s.isStale(now) && s.freshVoters[""] > s.freshVoters[s.parent] {
 		s.avoid(now, s.parent)
