--- a/internal/fanout/assignment/assignment.go
+++ b/internal/fanout/assignment/assignment.go
@@ -14,9 +14,9 @@
 	// four levels of the tree, each with a poll that is held for at most 0.8 s.
 	maxPropagation = 3200 * time.Millisecond
 	// overlap is how long a list stays valid after its successor arrived: a balancer owns a
-	// key only if all valid lists assign it. It is twice maxPropagation, since a balancer that
-	// leaves and rejoins may receive the list with its rejoining first and keep its keys, and
-	// the others may receive that list another maxPropagation later.
+	// key only if all valid lists assign it. It is twice maxPropagation: a balancer that leaves
+	// and rejoins may receive the later list first and keep its keys, while the others may
+	// receive that list another maxPropagation later.
 	overlap = 2 * maxPropagation
 	// startupGrace is how long a balancer owns no keys after its start. Restarted voters
 	// receive the members of the fleet in reports every 5 s; a list of only a few balancers
@@ -63,7 +63,7 @@
 		return
 	}
 	a.lists = append(a.lists, list{since: now, members: members})
-	// A list is valid until overlap after its successor arrived.
+	// A list stays valid for the overlap after its successor arrived.
 	for len(a.lists) > 1 && now.Sub(a.lists[1].since) >= overlap {
 		a.lists = a.lists[1:]
 	}
--- a/internal/fanout/assignment/assignment_test.go
+++ b/internal/fanout/assignment/assignment_test.go
@@ -120,10 +120,10 @@
 	})
 }
 
-// Guards against a key with two owners for a millisecond. A balancer leaves the list and rejoins
-// 2.2 s later; it receives the rejoining before the leaving and keeps its keys. Another balancer
-// receives the rejoining 1 s later; after one propagation time it relied on the list without the
-// first one alone, while the second change was still propagating.
+// Guards against a key with two owners for a millisecond. A balancer left the list and rejoined
+// 2.2 s later. It received the second change first and kept its keys; another balancer received
+// that change 1 s later. With an overlap of one propagation time, the list without the first
+// balancer was the only valid one there, while the second change was still propagating.
 func TestBalancerThatMissedItsOwnRemovalKeepsItsKeys(t *testing.T) {
 	all := names(8)
 	without := slices.Delete(slices.Clone(all), 6, 7)
--- a/internal/fanout/bootstrap/bootstrap.go
+++ b/internal/fanout/bootstrap/bootstrap.go
@@ -29,8 +29,8 @@
 	return true
 }
 
-// RecordResponse records that a voter answered, and whether its state was complete; the state of a
-// voter with an empty disk is not. It reports whether this ends the startup.
+// RecordResponse records that a voter answered, and whether its state was complete. A voter with an
+// empty disk has an incomplete state. The result reports whether this response ends the startup.
 func (t *Sequencer) RecordResponse(voter string, complete bool) bool {
 	if t.done {
 		return false
--- a/internal/fanout/chunk/doc.go
+++ b/internal/fanout/chunk/doc.go
@@ -1,5 +1,5 @@
 // Package chunk limits how much voter state goes into one response to a follower.
 //
 // A follower that has just started lacks all upstreams of the fleet. A response with all of them
-// would exceed its timeout, and the follower would request the same again.
+// would exceed the timeout of the poll, and the follower would request the same again.
 package chunk
--- a/internal/fanout/members/members.go
+++ b/internal/fanout/members/members.go
@@ -89,7 +89,7 @@
 	return out
 }
 
-// Heartbeats returns all members with the time since each last refresh.
+// Heartbeats returns all members with the time since each one's last refresh.
 func (m *Members) Heartbeats(now time.Time) []Heartbeat {
 	var out []Heartbeat
 	for _, e := range m.byAddress {
--- a/internal/fanout/origins/origins.go
+++ b/internal/fanout/origins/origins.go
@@ -14,8 +14,8 @@
 type VoterVersion struct {
 	_     struct{} `cbor:",toarray"`
 	Voter string
-	// Life changes when the voter restarts. Until then Version, of its notices, and Doubts, of its
-	// suspicions, rise.
+	// Life changes when the voter restarts. Within a life, Version rises with the voter's notices
+	// and Doubts with its suspicions.
 	Life, Version, Doubts uint64
 	// Age is the time since the last contact with the voter.
 	Age time.Duration
@@ -136,8 +136,8 @@
 func (o *Origins) Forget(voter string) { delete(o.byVoter, voter) }
 
 // UpdatesSince returns the updates, without notices, for a balancer that holds the given versions,
-// and whether any of them is a change. State of a voter that is newer there than here is no change;
-// otherwise that balancer would poll again at once in an endless loop.
+// and whether any of them is a change. State of a voter that is newer there than here does not count as
+// a change; otherwise that balancer would poll again at once in an endless loop.
 func (o *Origins) UpdatesSince(now time.Time, known []VoterVersion) ([]Update, bool) {
 	held := make(map[string]VoterVersion, len(known))
 	for _, k := range known {
@@ -163,7 +163,8 @@
 	return out, changed
 }
 
-// ahead reports whether this balancer holds newer state of the voter than another one.
+// ahead reports whether this balancer holds newer state of the voter (local) than another balancer
+// (remote). found is false if the other one holds none.
 func (s state) ahead(local, remote VoterVersion, found bool) bool {
 	switch {
 	case !found:
--- a/internal/fanout/origins/origins_test.go
+++ b/internal/fanout/origins/origins_test.go
@@ -142,7 +142,7 @@
 }
 
 // Guards against balancers that regard a healthy voter without changes as unreachable. A parent
-// has no changes of the voter for seconds and relayed nothing in that time.
+// without changes of the voter for seconds relayed nothing in that time.
 func TestContactIsRelayedWithoutChanges(t *testing.T) {
 	parent, child := origins.New(), origins.New()
 	for s := range 5 {
--- a/internal/fanout/pacing/pacing.go
+++ b/internal/fanout/pacing/pacing.go
@@ -6,8 +6,8 @@
 // use; it is not safe for concurrent use.
 type Pacer struct{ lastSent, due time.Time }
 
-// Schedule schedules an update, at the earliest a pause after the last send. It returns when to call
-// Sent, and false if that call is already scheduled.
+// Schedule schedules an update, at the earliest a pause after the last send. It returns when the
+// caller must send and call Sent, and false if that is already scheduled.
 func (p *Pacer) Schedule(now time.Time, pause time.Duration) (time.Time, bool) {
 	if !p.due.IsZero() {
 		return p.due, false
--- a/internal/fanout/relay/relay.go
+++ b/internal/fanout/relay/relay.go
@@ -18,9 +18,9 @@
 const (
 	// followerExpiry is how long a balancer counts as a follower after its last poll.
 	followerExpiry = 2 * time.Second
-	// noticeInterval is the minimum time between two responses with upstream notices, as at a voter.
-	// Without it, five voters would wake all followers up to fifty times a second. With three
-	// levels of balancers, a departure reaches all of them within a second.
+	// noticeInterval is the minimum time between two wake-ups for upstream notices; voters limit
+	// theirs similarly. Without it, five voters would wake all followers up to fifty times a second.
+	// With three levels of balancers, a departure reaches all of them within a second.
 	noticeInterval = 250 * time.Millisecond
 	// suspicionDelay is how long a response with suspicions waits for those of other voters, which
 	// receive the same reports within some milliseconds.
@@ -49,8 +49,8 @@
 
 // Response contains what a follower lacks.
 type Response struct {
-	// Revision is the revision of the configuration in force here, or a newer one that was
-	// announced to this balancer and that it has failed to fetch for some time.
+	// Revision is the revision of this balancer's configuration, or a newer announced revision that
+	// it has failed to fetch for some time.
 	Revision uint64
 	// Origins holds the updates from the voters.
 	Origins []origins.Update
@@ -96,10 +96,11 @@
 	mu           sync.Mutex
 	// changed is closed and replaced to wake the held polls.
 	changed chan struct{}
-	// lastWake is when held polls were last woken, nextWake when they are scheduled to be.
+	// lastWake is when held polls were last woken, nextWake when the next wake-up is scheduled, zero
+	// if none is.
 	lastWake, nextWake time.Time
-	// lastRequest is the time of each follower's last poll, lastUpdate that of its last response with
-	// updates.
+	// lastRequest is the time of each follower's last poll, lastUpdate the time of the last response
+	// with updates to each.
 	lastRequest, lastUpdate map[string]time.Time
 }
 
@@ -116,7 +117,7 @@
 	rpc.Handle(s, SinceMethod, token, r.Since)
 }
 
-// Since answers as soon as there are updates, or without any after the hold.
+// Since answers a poll as soon as there are updates, or without any at the end of its hold.
 func (r *Relay) Since(ctx context.Context, q Request) (Response, error) {
 	received := r.clock()
 	if err := r.admit(received, q.From); err != nil {
@@ -150,7 +151,8 @@
 	}
 }
 
-// responseDelay returns how long a response with updates must wait, 0 if it may be sent or has none.
+// responseDelay returns how long a response with updates must wait, 0 if it may be sent now or has no
+// updates. It records the time of a response with updates that may be sent.
 func (r *Relay) responseDelay(now time.Time, q Request, a Response, updated bool) time.Duration {
 	if !updated {
 		return 0
--- a/internal/fanout/relay/relay_test.go
+++ b/internal/fanout/relay/relay_test.go
@@ -12,7 +12,7 @@
 	"wasabideal/internal/fanout/relay"
 )
 
-// content has a configuration revision.
+// content is a source with a configuration revision as its only state.
 type content struct {
 	mu       sync.Mutex
 	revision uint64
@@ -37,7 +37,7 @@
 	c.revision, c.leaving = revision, leaving
 }
 
-func TestUpdatesAreAnsweredImmediately(t *testing.T) {
+func TestPollWithUpdatesIsAnsweredImmediately(t *testing.T) {
 	c := &content{revision: 7}
 	r := relay.New(c, time.Now, 4)
 	a, err := r.Since(t.Context(), relay.Request{From: "b1", Hold: time.Hour})
@@ -66,8 +66,8 @@
 			}()
 			require.Eventually(t, func() bool { return r.Followers() == 1 }, 20*time.Second, time.Millisecond)
 			x.set(7, false)
-			// Both calls signal updates: the first wakes at once, the second within a tenth of a
-			// second.
+			// A second signal before the first wake-up must be harmless. The wake-up comes within
+			// noticeInterval.
 			c.wake(r)
 			c.wake(r)
 			require.Equal(t, uint64(7), (<-responses).Revision)
@@ -82,8 +82,8 @@
 	require.GreaterOrEqual(t, a.Held, 10*time.Millisecond)
 }
 
-// Guards against a balancer whose narrow link is full, so that its followers receive changes late:
-// most balancers of its level failed, and all of the next level followed it without a limit.
+// Guards against a balancer whose narrow link is full, so that its followers receive changes late.
+// Most balancers of its level had failed, and all balancers of the next level followed it.
 func TestFollowersAreBounded(t *testing.T) {
 	r := relay.New(&content{revision: 1}, time.Now, 4)
 	for i := range 4 {
@@ -99,7 +99,7 @@
 }
 
 // Guards against followers that receive no updates for a second after a planned stop of their
-// parent. Their held polls ended only when its process did.
+// parent. Their polls ended only when the parent's process exited.
 func TestShutdownEndsHeldPolls(t *testing.T) {
 	c := &content{}
 	r := relay.New(c, time.Now, 4)
@@ -115,7 +115,7 @@
 	require.ErrorAs(t, <-failed, &leaving)
 }
 
-// updating has updates other than configurations.
+// updating is a source that always has updates, none of them a configuration.
 type updating struct{ content }
 
 func (*updating) Updates(time.Time, relay.Request) (relay.Response, bool) {
--- a/internal/fanout/rendezvous/rendezvous.go
+++ b/internal/fanout/rendezvous/rendezvous.go
@@ -44,7 +44,7 @@
 	return out
 }
 
-// Weight returns the weight of a key at a node with a hash, by the finalizer of SplitMix64.
+// Weight returns the weight of a key at the node with a hash, computed by the finalizer of SplitMix64.
 func Weight(node, key uint64) uint64 {
 	x := node ^ key
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
--- a/internal/fanout/tree/tree.go
+++ b/internal/fanout/tree/tree.go
@@ -17,8 +17,8 @@
 	Fanout int
 }
 
-// maxCandidates bounds the candidate parents of a balancer. Each one that fails takes some tenths of
-// a second; after that many, following the voters is faster.
+// maxCandidates bounds the candidate parents of a balancer. Each failed candidate takes some tenths
+// of a second; after maxCandidates failures, following the voters is faster.
 const maxCandidates = 8
 
 // Place is the position of a balancer in the tree.
--- a/internal/fanout/tree/tree_test.go
+++ b/internal/fanout/tree/tree_test.go
@@ -80,8 +80,8 @@
 }
 
 // Guards against a cycle whose balancers receive no changes although each of their parents answers.
-// While others joined and left, two balancers with different lists followed each other, each above
-// the other in its own list.
+// While other balancers joined and left, two balancers held different lists. Each list placed the
+// other balancer above its holder, so they followed each other.
 func TestNoCyclesWithDifferentLists(t *testing.T) {
 	all := zone(60)
 	rapid.Check(t, func(t *rapid.T) {
