--- a/internal/cookie/follower/announcements.go
+++ b/internal/cookie/follower/announcements.go
@@ -20,7 +20,8 @@
 	return "no voter can be reached from this balancer; announce the upstream elsewhere"
 }
 
-// ForwardAnnouncements forwards announcements to the parent, or each to the owner of its upstream.
+// ForwardAnnouncements forwards announcements to the parent or, without a parent, each to the owner
+// of its upstream.
 func (f *Follower) ForwardAnnouncements(ctx context.Context, all []handover.Announcement) error {
 	f.mu.Lock()
 	parent := ""
--- a/internal/cookie/follower/fetcher.go
+++ b/internal/cookie/follower/fetcher.go
@@ -27,8 +27,8 @@
 	fetchBackoff    = 50 * time.Millisecond
 	maxFetchBackoff = time.Second
 	// unavailableAfter is how long a balancer may fail to get an announced configuration before it
-	// reports it to its followers, which then fetch it elsewhere. If reported earlier, they would
-	// request from the voters a configuration that this balancer is about to receive.
+	// announces the revision to its followers, which then fetch it elsewhere. With an earlier
+	// announcement, they would request from the voters what this balancer is about to receive.
 	unavailableAfter = time.Second
 )
 
@@ -42,9 +42,9 @@
 	// announced.
 	voters func() []string
 	// available is the newest revision that each source announced; attempts counts the fetches from
-	// a source since the last successful fetch from any. A newer revision does not reset the count:
-	// during a series of quick changes a balancer kept retrying a parent that never delivered, and
-	// held a configuration replaced 5.5 s earlier.
+	// a source since the last successful fetch from any. A newer revision does not reset the count.
+	// When it did, a balancer kept retrying a parent that never delivered during a series of quick
+	// changes, and held a configuration replaced 5.5 s earlier.
 	available map[string]uint64
 	attempts  map[string]int
 	wake      chan struct{}
@@ -163,7 +163,8 @@
 			continue
 		}
 		if f.handler.Configuration().Revision == current {
-			// The source counts as tried; an immediate retry would loop and keep both sides busy.
+			// The response was not newer. The source counts as tried: an immediate retry would loop
+			// and keep both sides busy.
 			f.fallBackToVoters(address)
 			continue
 		}
--- a/internal/cookie/follower/fetcher_test.go
+++ b/internal/cookie/follower/fetcher_test.go
@@ -37,8 +37,8 @@
 	require.Less(t, f.timeout("dead"), f.timeout("voter")/2)
 }
 
-// Guards against a balancer that is cut off from the voters and does not announce to its followers
-// a configuration that it cannot fetch and they can.
+// Guards against followers with an outdated configuration although they can reach the voters. Their
+// parent is cut off from the voters and announces only the configuration that it holds.
 func TestUnavailableRevisionIsReported(t *testing.T) {
 	f := newFetcher("", nil, func() []string { return nil }, hclog.NewNullLogger())
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
--- a/internal/cookie/follower/follower.go
+++ b/internal/cookie/follower/follower.go
@@ -70,7 +70,7 @@
 	// From identifies the balancer to voters; it is empty if the follower runs in a voter.
 	From  string
 	Clock func() time.Time
-	// Self is this balancer as reported to its sources. Without an address, only voters are polled.
+	// Self is this balancer as reported to its sources. If it has no address, only voters are polled.
 	Self member.Member
 	// Shape is the shape of the zone's fan-out tree.
 	Shape tree.Shape
@@ -84,7 +84,7 @@
 	settings Settings
 	log      hclog.Logger
 	handler  Handler
-	// applying serializes the responses of several sources.
+	// applying serializes the application of voter states from several sources.
 	applying sync.Mutex
 	mu       sync.Mutex
 	ctx      context.Context
@@ -261,9 +261,9 @@
 	return out
 }
 
-// startupSeed returns the one seed to poll during startup, or "" until a voter has sent a complete
-// state. The choice is hashed per balancer; without it, every balancer of a restarting fleet would
-// hold connections to all voters.
+// startupSeed returns the one seed to poll during startup, or "" while no voter has sent a complete
+// state or no seed answers. The choice is hashed per balancer; without it, every balancer of a
+// restarting fleet would hold connections to all voters.
 func (f *Follower) startupSeed() string {
 	chosen := ""
 	if !f.bootstrap.Done() {
--- a/internal/cookie/follower/follower_test.go
+++ b/internal/cookie/follower/follower_test.go
@@ -192,9 +192,9 @@
 	require.Equal(t, uint64(1), h.Configuration().Revision)
 }
 
-// Guards against a slow start without a configuration: balancers became ready 90 ms after the first
-// voter of 81 balancers answered, because they polled for notices first and only then fetched the
-// configuration that these announced.
+// Guards against a slow start without a configuration: 81 balancers became ready 90 ms after the
+// first voter answered. They polled for notices first, and only then fetched the configuration that
+// the responses announced.
 func TestFirstConfigurationArrivesWithNotices(t *testing.T) {
 	a := startVoter(t, 1)
 	a.stuck = true
@@ -225,7 +225,8 @@
 // testShape is the shape of the balancer tree in these tests.
 var testShape = tree.Shape{Roots: 4, Fanout: 8}
 
-// nonRootBalancer returns the address of a balancer below the roots of its zone, and the zone.
+// nonRootBalancer returns the address of a balancer below the roots of its zone, and heartbeats of all
+// balancers of the zone.
 func nonRootBalancer() (string, []members.Heartbeat) {
 	var addresses []string
 	var zone []members.Heartbeat
@@ -274,7 +275,7 @@
 }
 
 // Guards against slow starts of a large fleet. After all VMs lost power, balancers became ready 265
-// ms after the first voter, the first of them after 97 ms, because each requested all upstreams
+// ms after the first voter, the first balancer after 97 ms, because each requested all upstreams
 // from every seed.
 func TestStartupPollsOneVoter(t *testing.T) {
 	self, zone := nonRootBalancer()
--- a/internal/cookie/follower/reporter.go
+++ b/internal/cookie/follower/reporter.go
@@ -51,8 +51,8 @@
 }
 
 // enqueue adds a balancer's events to the next report. Above the limit, the oldest unanswered
-// packets are dropped, as the least significant events. A lost liveness report could mark a live
-// upstream as unresponsive.
+// packets are dropped first, since the loss of a liveness report could make a live upstream
+// unresponsive.
 func (r *reporter) enqueue(from string, events []evidence.Event) {
 	now := r.clock()
 	r.mu.Lock()
--- a/internal/cookie/follower/serving.go
+++ b/internal/cookie/follower/serving.go
@@ -9,8 +9,8 @@
 	"wasabideal/internal/fanout/relay"
 )
 
-// Updates answers a follower's poll, except for the configuration revision and the notices. It
-// reports whether the response contains anything new.
+// Updates returns the response to a follower's poll without the configuration revision and the
+// notices, and reports whether it contains updates from voters.
 func (f *Follower) Updates(now time.Time, q relay.Request) (relay.Response, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -50,7 +50,7 @@
 	}
 	all := f.followers.Heartbeats(f.settings.Clock())
 	if src := f.polled[address]; src != nil && !src.voter {
-		// A voter knows this balancer by its polls.
+		// Only a parent needs this heartbeat: a voter knows this balancer by its polls.
 		all = append(all, members.Heartbeat{Member: f.settings.Self})
 	}
 	return all
--- a/internal/cookie/follower/voters.go
+++ b/internal/cookie/follower/voters.go
@@ -91,8 +91,8 @@
 	}
 }
 
-// dropIfExpired stops polling a voter that has failed and gone unlisted for voterExpiry, and
-// reports whether it did.
+// dropIfExpired stops polling a voter that has failed for voterExpiry and that no source has listed
+// for as long. It reports whether it did.
 func (f *Follower) dropIfExpired(address string, src *source, failing time.Duration) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -182,7 +182,7 @@
 	f.selection.UpdateZone(now, f.membership.Addresses())
 }
 
-// applyOrigin applies a voter's state, in the order of its versions, and reports whether it was
+// applyVoterState applies a voter's state, in the order of its versions, and reports whether it was
 // new.
 func (f *Follower) applyVoterState(now time.Time, x origins.Update) bool {
 	f.applying.Lock()
