--- a/internal/upstream/directory/directory.go
+++ b/internal/upstream/directory/directory.go
@@ -33,8 +33,8 @@
 	// Silent reports whether announcements are overdue here. A withdrawn upstream is marked
 	// silent when it is assumed to have ended.
 	Silent bool
-	// Replaced reports whether another incarnation has announced itself at the address since
-	// and, for a silent upstream, whether that incarnation is alive.
+	// Replaced reports whether another incarnation has announced itself at the address since. For
+	// a silent upstream, that incarnation must also be alive.
 	Replaced bool
 	// Age is the time since the last announcement.
 	Age time.Duration
@@ -122,7 +122,7 @@
 }
 
 // supersedes reports whether an announcement is later than the stored one. A withdrawn instance
-// stays withdrawn, or a delayed announcement would revive it. A later start with the same
+// stays withdrawn: otherwise a delayed announcement would revive it. A later start with the same
 // incarnation is a new instance and supersedes regardless of its sequence.
 func supersedes(u, stored upstream.Upstream) bool {
 	if u.Born != stored.Born {
@@ -140,7 +140,8 @@
 // maybeDelayed reports whether the announcement of a replaced upstream may have been sent
 // before its successor started: it is the first one since, and the successor still announces
 // itself. Accepting it would take the address from a live upstream and send new flows to a
-// dead one until the next announcement. A second announcement shows that it is alive.
+// dead one until the next announcement. A second announcement shows that the replaced upstream
+// is alive.
 func (d *Directory) maybeDelayed(now time.Time, u upstream.Upstream, old *entry) bool {
 	if old == nil || !old.replaced || old.returned || u.Born != old.Born {
 		return false
@@ -157,7 +158,8 @@
 	}
 }
 
-// takeAddress makes the upstream the holder of its address, and returns whether another one was.
+// takeAddress makes the upstream the holder of its address, and returns whether another incarnation
+// held it before.
 func (d *Directory) takeAddress(u upstream.Upstream) bool {
 	if u.State == upstream.Withdrawn || !u.Address.IsValid() {
 		return false
--- a/internal/upstream/handover/handover.go
+++ b/internal/upstream/handover/handover.go
@@ -10,7 +10,7 @@
 
 // The batch delays, as shares of the announcement interval, which is usually 1.2 s. An upstream
 // announces itself again only after the acknowledgement, or after waiting a second for it. Down
-// to the fourth level the delays add up to 0.7 of the interval. With an eighth at every level,
+// to the fourth level the delays add up to 0.7 of the interval. With one eighth at every level,
 // the roots of a zone of 60 received a hundred batches per second.
 const (
 	// rootShare applies at the roots of a zone, and to direct announcements one level below.
@@ -35,7 +35,8 @@
 	return time.Duration(share * float64(interval))
 }
 
-// sendTimeout bounds one call to the part of the second that the batch delays leave.
+// sendTimeout bounds one call. It is the part of the second for which an upstream waits that a batch
+// delay of rootShare leaves.
 const sendTimeout = 700 * time.Millisecond
 
 // Announcement is the announcement of one upstream, with the time since it was received.
--- a/internal/upstream/registry/gossip.go
+++ b/internal/upstream/registry/gossip.go
@@ -32,8 +32,8 @@
 	fixedSize = 34
 	// renewalSize is the encoded size of a renewal, rounded up.
 	renewalSize = 24
-	// rotationPerMessage is how many old announcements a message repeats, so that lost ones
-	// are eventually received.
+	// rotationPerMessage is how many old announcements a message repeats, so that announcements
+	// lost earlier are eventually received.
 	rotationPerMessage = 1
 )
 
--- a/internal/upstream/registry/registry.go
+++ b/internal/upstream/registry/registry.go
@@ -27,7 +27,7 @@
 	Quarantine time.Duration
 }
 
-// RefusedError reports why an announcement was rejected.
+// RefusedError reports why an announcement was refused.
 type RefusedError struct {
 	Address netip.AddrPort
 	Service string
@@ -95,8 +95,8 @@
 
 // SetReachableZones sets the zones with a reachable balancer, and returns whether they changed. A zone
 // whose balancers have all become unreachable gets no new flows, even while its leases are
-// valid: the opening packet would be lost, and its retransmission may open the flow a second
-// time on the other side of a partition.
+// valid: the first packet of a flow would be lost, and its retransmission may open the flow a
+// second time on the other side of a partition.
 func (r *Registry) SetReachableZones(zones map[string]bool) bool {
 	if maps.Equal(zones, r.reachableZones) {
 		return false
@@ -198,7 +198,8 @@
 	e.renewalGossiped = 0
 }
 
-// Tick updates Version for expired leases and deletes old tombstones; call it periodically.
+// Tick raises Version for expired leases, quarantines and slow starts, and deletes old tombstones.
+// It must be called periodically.
 func (r *Registry) Tick(now time.Time) {
 	for a, e := range r.entries {
 		age := now.Sub(e.renewedAt)
@@ -207,7 +208,7 @@
 			delete(r.entries, a)
 			r.version++
 		case age > r.settings.Lease && age-r.settings.Lease <= r.settings.Lease:
-			// The pool shrinks once during this interval.
+			// The lease expired less than another lease ago, so the pool may have shrunk.
 			r.version++
 		case e.usableAt.After(now) || r.warming(now, e):
 			r.version++
@@ -259,9 +260,9 @@
 	return us
 }
 
-// serving returns the entries with a valid lease. If the leases of all upstreams in the
-// balancer's own zone have expired, the fault is more likely on its own side and they are kept:
-// an empty pool would reject callers that can still be served.
+// serving returns the entries of a service that get new flows, which need a valid lease. If the
+// leases of all upstreams in this balancer's zone have expired, the fault is probably local, and
+// these entries are kept: an empty pool would reject callers that can still be served.
 func (r *Registry) serving(now time.Time, service string) []*entry {
 	var live, expired []*entry
 	localLive := false
--- a/internal/upstream/view/record.go
+++ b/internal/upstream/view/record.go
@@ -24,8 +24,9 @@
 	return t.Silent || t.Replaced || t.Upstream.State == upstream.Withdrawn || !t.expiresAt.IsZero()
 }
 
-// lastValid returns the last time at which the notice was known to be valid: on receipt, or at
-// its expiry if that is later, however old a notice from before the voter's restart is.
+// lastValid returns the last time at which the notice was known to be valid: on receipt, or at its
+// expiry if that is later. By its receipt alone, an old notice from before the voter's restart would
+// be forgotten at once.
 func (t *voterNotice) lastValid() time.Time {
 	if t.expiresAt.After(t.receivedAt) {
 		return t.expiresAt
@@ -39,8 +40,8 @@
 	notice *voterNotice
 }
 
-// record holds the notices on one incarnation. Usually one voter has sent one; all voters have
-// if it withdrew.
+// record holds the notices on one incarnation. Usually only one voter has sent any; after a
+// withdrawal all voters have.
 type record struct {
 	byVoter []sourcedNotice
 	// born is the latest start in any notice. A voter that missed that start may still send
@@ -94,13 +95,15 @@
 type merger struct {
 	latest voterNotice
 	live   bool
-	// announced reports whether some voter receives its announcements in time.
+	// announced reports whether some voter receives the upstream's announcements in time.
 	announced bool
 	replaced  bool
 	withdrawn bool
 	ended     bool
 }
 
+// add merges one notice. The latest announcement counts, but a withdrawal is final whatever the
+// sequences.
 func (m *merger) add(now time.Time, t *voterNotice, reachable bool) {
 	withdrawn := t.Upstream.State == upstream.Withdrawn
 	if !m.withdrawn && (m.latest.receivedAt.IsZero() || withdrawn || t.Upstream.Later(m.latest.Upstream)) {
--- a/internal/upstream/view/source.go
+++ b/internal/upstream/view/source.go
@@ -40,9 +40,9 @@
 	}
 }
 
-// addRestored records a restored notice and returns when it expires: the voter forgets a restored
-// upstream without a notice unless the upstream announces itself. All unconfirmed notices of a
-// voter expire together, since only one expiry time is tracked per voter.
+// addRestored records a restored notice and returns when it expires. The notice must expire here,
+// since the voter sends none when it forgets a restored upstream that has not announced itself. All
+// unconfirmed notices of a voter expire together, since only one expiry time is tracked per voter.
 func (s *source) addRestored(now, expiresAt time.Time) time.Time {
 	if !s.unconfirmedUntil.After(now) {
 		s.unconfirmedUntil = expiresAt
--- a/internal/upstream/view/view.go
+++ b/internal/upstream/view/view.go
@@ -24,7 +24,7 @@
 type Target struct {
 	upstream.Upstream
 	ColdUntil time.Time
-	// Live reports whether some reachable voter receives its announcements in time.
+	// Live reports whether some reachable voter receives the upstream's announcements in time.
 	Live bool
 	// Ended reports whether this incarnation no longer runs, so that its flows can be reset.
 	Ended bool
@@ -128,8 +128,8 @@
 	}
 }
 
-// Since returns the notices that a voter has sent since it started as life and after a version,
-// as the voter would send them now. Restored notices are left out, since their expiry depends on
+// Since returns the notices that a voter has sent in the given life and after a version, as the
+// voter would send them now. Restored notices are left out, since their expiry depends on
 // the receiver's clock.
 func (v *View) Since(now time.Time, voter string, life, version uint64) []directory.Notice {
 	s := v.sources[voter]
--- a/internal/upstream/view/view_test.go
+++ b/internal/upstream/view/view_test.go
@@ -42,9 +42,10 @@
 	require.Equal(t, uint64(7), v.Targets(epoch)[0].Sequence)
 }
 
-// Guards against new flows to a draining upstream after one voter has acknowledged the drain:
-// an older notice of another voter, with a lower sequence, reaches the balancer later.
-func TestOlderNoticeDoesNotUndoADrain(t *testing.T) {
+// Guards against new flows to a draining or withdrawn upstream after one voter has acknowledged the
+// departure: a notice of another voter reaches the balancer later. A drain is undone only by a notice
+// with a higher sequence; a withdrawal is final whatever the sequences.
+func TestLaterNoticeDoesNotUndoADeparture(t *testing.T) {
 	v := newView()
 	v.ApplyNotices(epoch, "v1", 1, []directory.Notice{notice(9, upstream.Draining)})
 	v.ApplyNotices(after(1), "v2", 1, []directory.Notice{notice(8, upstream.Ready)})
@@ -72,13 +73,13 @@
 	d.Announce(epoch, x.WithState(upstream.Withdrawn), 0)
 	for _, seconds := range []int{0, 2, 5, 9} {
 		require.False(t, next(after(seconds)).Live, "a withdrawn upstream gets no new flows")
-		require.False(t, next(after(seconds)).Ended, "it serves its flows for seconds if the acknowledgement is late or lost")
+		require.False(t, next(after(seconds)).Ended, "it serves its open flows until its deregistration is acknowledged, which may be late")
 	}
 	require.True(t, next(after(11)).Ended)
 }
 
 // Guards against a balancer without upstreams for seconds after the only reachable voter has
-// restarted: its first answer is empty and must not replace the earlier notices.
+// restarted: its first response is empty and must not replace the earlier notices.
 func TestRestartedVoterRemovesNoUpstreamAtOnce(t *testing.T) {
 	v := newView()
 	v.ApplyNotices(epoch, "v1", 1, []directory.Notice{notice(1, upstream.Ready)})
@@ -99,9 +100,9 @@
 	require.True(t, v.Targets(after(20))[0].Live, "while no voter is reachable, the last notices stay valid")
 }
 
-// Guards against resets of open flows to a live upstream: it has replaced a crashed one at the
-// same address, and a delayed announcement of that one reaches the only voter that knows the
-// new one. A replaced incarnation must not end while its own announcements are recent.
+// Guards against resets of open flows to a live upstream that has replaced a crashed one at the same
+// address. A delayed announcement of the crashed one reaches the only voter that knows the live one,
+// which then counts as replaced. It must not end while its own announcements are recent.
 func TestReplacedIncarnationEndsOnlyOnceItIsSilentAtAllVoters(t *testing.T) {
 	v := newView()
 	replaced := notice(1, upstream.Ready)
