--- a/internal/cookie/follower/retry.go
+++ b/internal/cookie/follower/retry.go
@@ -17,9 +17,8 @@
 	// first voter starts instead of 67 ms (mean of 20 starts).
 	isolatedRetryPause  = 10 * time.Millisecond
 	isolatedDialTimeout = 30 * time.Millisecond
-	// isolatedDialInterval is the minimum mean time between two connection attempts to any voters
-	// while none answers. It does not depend on the number of voters, and the first voter that
-	// recovers is found equally fast.
+	// isolatedDialInterval is the least mean time between connection attempts while no voter answers,
+	// however many voters there are. The first voter that recovers is found equally fast.
 	isolatedDialInterval = 8 * time.Millisecond
 )
 
--- a/internal/fanout/chunk/chunk.go
+++ b/internal/fanout/chunk/chunk.go
@@ -7,7 +7,7 @@
 	"wasabideal/internal/upstream/directory"
 )
 
-// maxNotices is the number of notices in a response from which on the notices of further voters are
+// maxNotices limits a response: once it has that many notices, those of further voters are
 // deferred. 500 notices are 20 kB compressed, which a link of 2 Mbit/s delivers to ten followers
 // within a second.
 const maxNotices = 500
--- a/internal/fanout/origins/origins.go
+++ b/internal/fanout/origins/origins.go
@@ -136,8 +136,8 @@
 func (o *Origins) Forget(voter string) { delete(o.byVoter, voter) }
 
 // UpdatesSince returns the updates, without notices, for a balancer that holds the given versions,
-// and whether any of them is a change. State of a voter that is newer there than here does not count as
-// a change; otherwise that balancer would poll again at once in an endless loop.
+// and whether any of them is a change. State of a voter that is newer there than here does not count
+// as a change; otherwise that balancer would poll again at once in an endless loop.
 func (o *Origins) UpdatesSince(now time.Time, known []VoterVersion) ([]Update, bool) {
 	held := make(map[string]VoterVersion, len(known))
 	for _, k := range known {
--- a/internal/fanout/selection/selection.go
+++ b/internal/fanout/selection/selection.go
@@ -14,8 +14,8 @@
 	// received each change directly from the voters.
 	startupPeriod = 500 * time.Millisecond
 	// voterSubsetPeriod is how long one voter is enough after a start, and a subset of the voters
-	// after a parent failed. It is below the four seconds for which a voter's restored notices,
-	// on upstreams that other voters own, remain valid. Polling all voters at once would make all
+	// after a parent failed. A voter's restored notices, on upstreams that other voters own, remain
+	// valid for four seconds; the period must be shorter. Polling all voters at once would make all
 	// followers of a stopping balancer connect to each of them.
 	voterSubsetPeriod = 2500 * time.Millisecond
 	// avoidPeriod is how long a failed balancer is not polled again.
@@ -63,9 +63,9 @@
 type Reason string
 
 // Reasons as they appear in the log; the values are fixed, since operators search for them.
-// FewerFreshVoters means that fewer voters are fresh at the parent than at a candidate, or than
-// answer this balancer directly; its value says "hears" for that. Moved and Root mean that the balancer's position in the tree changed, Root
-// to level 0.
+// FewerFreshVoters means that fewer voters are fresh at the parent ("hears fewer") than at a
+// candidate, or than answer this balancer directly. Moved and Root mean that the balancer's position
+// in the tree changed, Root to level 0.
 const (
 	Joined           Reason = "candidate answers"
 	Failed           Reason = "parent does not answer"
--- a/internal/silence/accrual/accrual.go
+++ b/internal/silence/accrual/accrual.go
@@ -22,7 +22,7 @@
 	// zoneSuspectThreshold is the evidence at which a zone is suspected.
 	zoneSuspectThreshold = 16
 	// refutedStep is the share by which each refuted suspicion raises the suspect thresholds, and
-	// maxRefutedFactor limits the factor. While uploads fill links of 2 Mbit/s, most suspicions are
+	// maxRefutedFactor limits their factor. While uploads fill links of 2 Mbit/s, most suspicions are
 	// false, and for each of them the liveness reports of all balancers compete with the uploads.
 	// With 71 balancers, 0.4 % of the requests were not served, against 0.06 % without suspicions.
 	refutedStep      = 0.5
--- a/internal/silence/evidence/evidence.go
+++ b/internal/silence/evidence/evidence.go
@@ -35,8 +35,8 @@
 	Events []Event
 }
 
-// Suspicion is a voter's report to balancers that a subject leaves packets unanswered at some of
-// them.
+// Suspicion is a voter's report to balancers that a subject has left packets of some of them
+// unanswered.
 type Suspicion struct {
 	_ struct{} `cbor:",toarray"`
 	Subject
--- a/internal/upstream/directory/directory.go
+++ b/internal/upstream/directory/directory.go
@@ -108,9 +108,9 @@
 }
 
 // Restore adds an upstream of another voter from this voter's saved state, unless the same or a
-// later instance of it is known. It is removed without a notice if it does not announce itself
-// here: otherwise, seconds after a power loss of all VMs, each voter would publish thousands of
-// silent upstreams to every balancer.
+// later instance of it is known. A restored upstream that does not announce itself here is removed
+// without a notice. Otherwise, seconds after a power loss of all VMs, each voter would publish
+// thousands of silent upstreams to every balancer.
 func (d *Directory) Restore(now time.Time, u upstream.Upstream, cold time.Duration) {
 	if old := d.entries[u.Incarnation]; old != nil && u.Born <= old.Born {
 		return
--- a/internal/upstream/handover/handover.go
+++ b/internal/upstream/handover/handover.go
@@ -35,8 +35,8 @@
 	return time.Duration(share * float64(interval))
 }
 
-// sendTimeout bounds one call. It is the part of the second for which an upstream waits that a batch
-// delay of rootShare leaves.
+// sendTimeout bounds one call. An upstream waits a second for the acknowledgement, and a batch delay
+// of rootShare leaves this part of it.
 const sendTimeout = 700 * time.Millisecond
 
 // Announcement is the announcement of one upstream, with the time since it was received.
--- a/internal/upstream/handover/handover_test.go
+++ b/internal/upstream/handover/handover_test.go
@@ -15,8 +15,8 @@
 
 const delay = 150 * time.Millisecond
 
-// Guards against upstreams that announce themselves again because the acknowledgement arrives
-// after the second for which they wait for it, or after the announcement interval.
+// Guards against upstreams that announce themselves again because the acknowledgement arrives too
+// late, that is, after a second or after the announcement interval.
 func TestBatchDelaysAddUpToLessThanASecond(t *testing.T) {
 	const interval = 1200 * time.Millisecond
 	for level := range 5 {
--- a/internal/upstream/registry/registry.go
+++ b/internal/upstream/registry/registry.go
@@ -260,9 +260,9 @@
 	return us
 }
 
-// serving returns the entries of a service that get new flows, which need a valid lease. If the
-// leases of all upstreams in this balancer's zone have expired, the fault is probably local, and
-// these entries are kept: an empty pool would reject callers that can still be served.
+// serving returns the entries of a service that get new flows, which need a valid lease. If this
+// balancer's zone has several of them and all their leases have expired, the fault is probably local,
+// and they are kept: an empty pool would reject callers that can still be served.
 func (r *Registry) serving(now time.Time, service string) []*entry {
 	var live, expired []*entry
 	localLive := false
