--- a/cmd/apply.go
+++ b/cmd/apply.go
@@ -64,14 +64,14 @@
 }
 
 func (f *operatorFlags) send(ctx context.Context, request ledger.Change) error {
-	answer, err := f.client().Change(ctx, request)
+	response, err := f.client().Change(ctx, request)
 	if err != nil {
 		return err
 	}
 	if f.JSON {
-		return printJSON(answer)
+		return printJSON(response)
 	}
-	_, err = fmt.Printf("accepted as revision %d\n", answer.Revision)
+	_, err = fmt.Printf("accepted as revision %d\n", response.Revision)
 	return err
 }
 
@@ -90,13 +90,13 @@
 	}
 	fmt.Printf("from revision %d to %d\n", delta.From, delta.To)
 	for _, s := range delta.Services {
-		fmt.Printf("service %s: set\n", s.Name)
+		fmt.Printf("service %s: added or changed\n", s.Name)
 	}
 	for _, n := range delta.RemovedServices {
 		fmt.Printf("service %s: removed\n", n)
 	}
 	for _, p := range delta.Presets {
-		fmt.Printf("preset %s: set\n", p.Name)
+		fmt.Printf("preset %s: added or changed\n", p.Name)
 	}
 	for _, n := range delta.RemovedPresets {
 		fmt.Printf("preset %s: removed\n", n)
--- a/cmd/remove.go
+++ b/cmd/remove.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// removeCommand removes a control voter from the membership.
+// removeCommand permanently removes a control voter from the voter list.
 type removeCommand struct {
 	operatorFlags
 	Name string `arg:"" help:"Name of the voter."`
