--- a/internal/log/followers/doc.go
+++ b/internal/log/followers/doc.go
@@ -1,3 +1,3 @@
-// Package followers prints from the logs of balancers which parent each one follows, when
-// and why it changed it last, and how many voters had sent it recent data by then.
+// Package followers prints the parent of each balancer from the balancers' logs: when and why the
+// balancer last changed its parent, and how many voters had sent it recent data by then.
 package followers
--- a/internal/log/followers/followers.go
+++ b/internal/log/followers/followers.go
@@ -51,7 +51,7 @@
 // Followers collects the balancers and their parents from logs.
 type Followers struct {
 	balancers map[string]balancer
-	// names maps rpc addresses to process names.
+	// names maps RPC addresses to process names.
 	names map[string]string
 }
 
--- a/internal/log/story/story.go
+++ b/internal/log/story/story.go
@@ -11,8 +11,9 @@
 )
 
 const (
-	// contextWindow is how long before and after the matching lines other lines are included:
-	// callers retry for a few seconds, and the state of a process changes within one or two.
+	// contextWindow is the time before the first and after the last matching line from which lines
+	// about the state of processes are included. Callers retry for a few seconds, and the state
+	// of a process changes within one or two seconds.
 	contextWindow = 5 * time.Second
 	// maxLines is the maximum number of printed lines.
 	maxLines = 200
@@ -24,7 +25,7 @@
 	Caller string
 	// Incarnation is the incarnation of an upstream, as in the log lines of flows.
 	Incarnation string
-	// Revision is the revision of a configuration.
+	// Revision is a configuration revision, as in the log lines of balancers and voters.
 	Revision uint64
 }
 
@@ -32,8 +33,8 @@
 type EmptyError struct{ Query Query }
 
 func (e *EmptyError) Error() string {
-	return fmt.Sprintf("no line matches %+v; the lines may be in the log of another process, "+
-		"or among those that the lines 'decisions' only count", e.Query)
+	return fmt.Sprintf("no line matches %+v; the event may be in the log of another process, "+
+		"or only counted in a line 'decisions'", e.Query)
 }
 
 // Timeline holds the log lines of some processes, ordered by time.
@@ -120,13 +121,14 @@
 
 // contextMessages are the messages about the state of a process.
 var contextMessages = map[string]bool{
-	messageStart: true, messageLeaving: true, messageStopped: true, messageReadiness: true, messageLost: true,
-	messageAnswersAgain: true, messageReadOnly: true, messageDiskWorks: true, messageDropped: true,
-	messageNotAccepted: true, messageRefused: true, messageStanding: true,
+	messageStart: true, messageLeaving: true, messageStopped: true, messageReadiness: true, messageVoterNoResponse: true,
+	messageVoterRespondsAgain: true, messageReadOnly: true, messageDiskWorks: true, messageDropped: true,
+	messageNotAccepted: true, messageRefused: true, messageVoterStatus: true,
 	messageFollows: true, messageEvacuated: true,
 }
 
-// configurationsBefore returns for each process the line about the configuration in force at a time.
+// configurationsBefore returns the texts of the lines that report, for each process, the last
+// configuration that came into force before a time.
 func (t Timeline) configurationsBefore(at time.Time, processes map[string]bool) map[string]bool {
 	latest := map[string]string{}
 	for _, l := range t.lines {
