--- a/internal/setting/settings/settings.go
+++ b/internal/setting/settings/settings.go
@@ -60,7 +60,7 @@
 	Group string
 	// Seeds are the peer addresses of some balancers of the group, used to join it.
 	Seeds []string
-	// Sources are the rpc addresses of control voters or relays, in order of preference.
+	// Sources are the RPC addresses of control voters or relays, in order of preference.
 	Sources  []string
 	MaxFlows int
 	// MaxKeys is the maximum number of stored request keys; further ones are rejected.
@@ -74,11 +74,11 @@
 	Quarantine Duration
 	// Tombstone is how long a withdrawn upstream stays recorded.
 	Tombstone Duration
-	// Settle is how long after a change of members the balancer looks up unknown flows at
-	// other members and does not guess their upstream.
+	// Settle is the time after a change of members during which the balancer queries other
+	// members for unknown flows and does not guess their upstream.
 	Settle Duration
-	// OpeningTimeout, IdleTimeout and ClosingTimeout are the times after which flows
-	// are removed that are unconfirmed, idle or closed.
+	// OpeningTimeout, IdleTimeout and ClosingTimeout are the times after which
+	// unconfirmed, idle and closed flows are removed.
 	OpeningTimeout Duration
 	IdleTimeout    Duration
 	ClosingTimeout Duration
--- a/internal/setting/wiring/wiring.go
+++ b/internal/setting/wiring/wiring.go
@@ -24,6 +24,7 @@
 	// repairShare is the share of ControlBytes for replicating flows; the rest is for
 	// membership probes and the updates that they carry.
 	repairShare = 0.25
+	// sourceHold, sourceGrace and sourceRetry are Hold, Grace and RetryAfter of the puller.
 	sourceHold  = 5 * time.Second
 	sourceGrace = 2 * time.Second
 	sourceRetry = 500 * time.Millisecond
@@ -32,7 +33,7 @@
 	// keyWindow is how long a request key is stored; it must be equal in all processes.
 	keyWindow            = 10 * time.Minute
 	rosterChangeInterval = time.Second
-	rosterSilent         = 5 * time.Second
+	rosterReportTimeout  = 5 * time.Second
 	nanosecondsPerSecond = float64(time.Second)
 )
 
@@ -100,6 +101,6 @@
 		Heartbeat: c.Heartbeat.Value(), Election: c.Election.Value(), Tick: c.Tick.Value(),
 		AcceptTimeout: c.AcceptTimeout.Value(), CompactAfter: c.CompactAfter,
 		GroupToken: s.GroupToken, OperatorToken: s.OperatorToken, Clock: w.Clock,
-		RosterManager: rostermanager.Settings{ChangeInterval: rosterChangeInterval, Silent: rosterSilent, KeyRetention: keyWindow},
+		RosterManager: rostermanager.Settings{ChangeInterval: rosterChangeInterval, Silent: rosterReportTimeout, KeyRetention: keyWindow},
 	}
 }
--- a/internal/start/applydefaults/applydefaults.go
+++ b/internal/start/applydefaults/applydefaults.go
@@ -15,7 +15,7 @@
 // String names the stage.
 func (Stage) String() string { return "fill in defaults" }
 
-// Run replaces the provided settings by those with defaults.
+// Run replaces the provided settings by a copy with defaults.
 func (Stage) Run(_ context.Context, i do.Injector) error {
 	s, err := do.Invoke[settings.Settings](i)
 	if err != nil {
--- a/internal/start/serve/serve.go
+++ b/internal/start/serve/serve.go
@@ -14,7 +14,7 @@
 )
 
 // Stage blocks until SIGTERM, SIGINT or a request of an operator starts the planned
-// stop; a second signal aborts that of the balancer.
+// stop; a second signal aborts the planned stop of the balancer.
 type Stage struct{}
 
 // String names the stage.
--- a/internal/start/startbalancer/startbalancer.go
+++ b/internal/start/startbalancer/startbalancer.go
@@ -70,7 +70,7 @@
 	if path == "" {
 		return nil
 	}
-	// A voter in the same process locks the data folder itself.
+	// A voter in the same process locks the data folder, so the balancer uses a subfolder.
 	f, err := local.Open(filepath.Join(path, subfolder))
 	if err != nil {
 		return err
