--- a/internal/standin/caller/caller.go
+++ b/internal/standin/caller/caller.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	initialRetry = 200 * time.Millisecond
-	maxRetry     = time.Second
+	initialRetransmitTimeout = 200 * time.Millisecond
+	maxRetransmitTimeout     = time.Second
 	// timerInterval is the interval of checks for flows that are due to send.
 	timerInterval  = 20 * time.Millisecond
 	maxMessageSize = 512
@@ -43,21 +43,23 @@
 	closed
 )
 
-// flow is one TCP connection with at most one unacknowledged message.
+// flow is one TCP connection with at most one unacknowledged message, and with random pauses
+// between its messages.
 type flow struct {
-	source, service netip.AddrPort
-	state           state
-	seq, ack        uint32
-	message         []byte
-	number          uint64
-	since, next     time.Time
-	retry           time.Duration
-	interval        time.Duration
-	reason          string
+	source, service       netip.AddrPort
+	state                 state
+	seq, ack              uint32
+	message               []byte
+	messageCount          uint64
+	firstSentAt, nextSend time.Time
+	retransmitTimeout     time.Duration
+	meanPause             time.Duration
+	reason                string
 }
 
 // Counts holds the results of all flows.
 type Counts struct {
+	// WrongBytes counts replies that differ from the expected one.
 	Flows, Established, BrokenFlows, Messages, WrongBytes int
 	// Reasons counts broken flows by reason.
 	Reasons map[string]int
@@ -80,7 +82,7 @@
 	done      chan struct{}
 }
 
-// New returns a caller whose flows break if a message has no reply within timeout.
+// New returns a caller that counts a flow as broken if a message gets no reply within timeout.
 func New(f *fabric.Fabric, seed uint64, timeout time.Duration) (*Caller, error) {
 	conn, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -108,14 +110,14 @@
 	c.wg.Wait()
 }
 
-// Open starts a flow to a service that sends messages at the given mean interval.
-func (c *Caller) Open(service netip.AddrPort, interval time.Duration) {
+// Open starts a flow to a service, with the given mean pause between a reply and the next message.
+func (c *Caller) Open(service netip.AddrPort, meanPause time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	n := len(c.order)
 	source := netip.AddrPortFrom(netip.AddrFrom4([4]byte{100, 64, byte(n >> 8), byte(n)}), uint16(20000+n%40000))
 	now := time.Now()
-	f := &flow{source: source, service: service, seq: c.random.Uint32(), interval: interval, since: now, retry: initialRetry}
+	f := &flow{source: source, service: service, seq: c.random.Uint32(), meanPause: meanPause, firstSentAt: now, retransmitTimeout: initialRetransmitTimeout}
 	c.flows[source] = f
 	c.order = append(c.order, f)
 	c.counts.Flows++
@@ -150,8 +152,8 @@
 }
 
 func (f *flow) backOff(now time.Time) {
-	f.next = now.Add(f.retry)
-	f.retry = min(2*f.retry, maxRetry)
+	f.nextSend = now.Add(f.retransmitTimeout)
+	f.retransmitTimeout = min(2*f.retransmitTimeout, maxRetransmitTimeout)
 }
 
 func (c *Caller) runTimers() {
@@ -172,7 +174,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, f := range c.order {
-		if now.Before(f.next) {
+		if now.Before(f.nextSend) {
 			continue
 		}
 		switch f.state {
@@ -181,7 +183,7 @@
 		case idle:
 			c.startMessage(f, now)
 		case awaitingReply:
-			if now.Sub(f.since) > c.timeout {
+			if now.Sub(f.firstSentAt) > c.timeout {
 				c.markBroken(f, "timeout")
 				continue
 			}
@@ -197,8 +199,8 @@
 	for i := 0; i+8 <= len(f.message); i += 8 {
 		binary.BigEndian.PutUint64(f.message[i:], c.random.Uint64())
 	}
-	f.number++
-	f.state, f.since, f.retry = awaitingReply, now, initialRetry
+	f.messageCount++
+	f.state, f.firstSentAt, f.retransmitTimeout = awaitingReply, now, initialRetransmitTimeout
 	c.sendMessage(f, now)
 }
 
@@ -264,12 +266,12 @@
 		c.markBroken(f, "wrong bytes")
 		return
 	}
-	latency := now.Sub(f.since)
+	latency := now.Sub(f.firstSentAt)
 	c.counts.MaxLatency = max(c.counts.MaxLatency, latency)
 	c.latencies = append(c.latencies, latency)
 	c.counts.Messages++
 	f.seq += uint32(len(f.message))
 	f.ack += uint32(len(s.Payload))
 	f.state = idle
-	f.next = now.Add(f.interval/2 + time.Duration(c.random.Int64N(int64(f.interval))))
+	f.nextSend = now.Add(f.meanPause/2 + time.Duration(c.random.Int64N(int64(f.meanPause))))
 }
--- a/internal/standin/requester/requester.go
+++ b/internal/standin/requester/requester.go
@@ -39,12 +39,14 @@
 
 // Counts holds the reported outcomes and the violations that were found.
 type Counts struct {
+	// Answered, NotRun and Unknown count attempts by reported outcome, Lost those without a response.
 	Requests, Answered, NotRun, Unknown, Lost int
-	// Unanswered counts requests without an answer after the last attempt, except
-	// LeftUnknown: those whose last outcome is Unknown, which is correct if, for
-	// example, the balancer crashes after it forwards the request.
+	// LeftUnknown counts requests whose last attempt had the outcome Unknown, which is correct if,
+	// for example, the balancer crashed after forwarding. Unanswered counts the other
+	// requests that got no answer.
 	Unanswered, LeftUnknown int
-	// WrongBody counts answers with an unexpected body, such as that of another request.
+	// WrongBody counts answers with an unexpected body, FalseNotRun attempts reported as NotRun
+	// although the request had run, and DoubleRun requests that ran more than once.
 	WrongBody, FalseNotRun, DoubleRun int
 	P50, P99, P999                    time.Duration
 }
--- a/internal/standin/upstream/upstream.go
+++ b/internal/standin/upstream/upstream.go
@@ -26,7 +26,7 @@
 	Slots     uint16
 	// MeanServiceTime is the mean processing time of a request.
 	MeanServiceTime time.Duration
-	// Callers is the address for replies to flows.
+	// Callers is the address to which replies are sent.
 	Callers netip.AddrPort
 	// Balancers returns the admin addresses for announcements, in order of preference.
 	Balancers        func() []string
