--- a/internal/demo/run/cluster.go
+++ b/internal/demo/run/cluster.go
@@ -139,8 +139,7 @@
 	return seeds
 }
 
-// detach removes a balancer from the cluster, but neither stops it nor removes it from
-// the fabric.
+// detach removes a balancer from the cluster. The balancer keeps running and stays in the fabric.
 func (s *cluster) detach(name string) *balancer.Balancer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -177,7 +176,7 @@
 	return addresses
 }
 
-// runCount returns how often the upstreams have run a request key.
+// runCount returns how often the upstreams have run the request with a key.
 func (s *cluster) runCount(key string) int {
 	n := 0
 	for _, u := range s.upstreams {
--- a/internal/demo/run/run.go
+++ b/internal/demo/run/run.go
@@ -32,6 +32,7 @@
 
 // Result is the last line of output, as counted by callers and upstreams.
 type Result struct {
+	// WrongBytes counts messages and requests with a wrong reply.
 	Flows, BrokenFlows, Misdelivered, WrongBytes int
 	Imbalance                                    float64
 	Requests, DoubleRun, FalseNotRun             int
@@ -300,7 +301,8 @@
 	return nil
 }
 
-// maxControlRate returns the highest rate of control traffic of all live balancers, in bytes per second.
+// maxControlRate returns the control traffic of the live balancer that sent the most, in bytes per
+// second since the start of the demonstration.
 func (d *Demo) maxControlRate() float64 {
 	highest := 0.0
 	for _, b := range d.cluster.live() {
@@ -317,7 +319,7 @@
 		holds bool
 	}{
 		{"established flows survive", r.BrokenFlows == 0 && r.Flows > 0},
-		{"no packet reaches another service", r.Misdelivered == 0},
+		{"no packet reaches the wrong service", r.Misdelivered == 0},
 		{"replies are intact", r.WrongBytes == 0},
 		{"requests are answered", r.Requests > 0 && r.Unanswered == 0 && r.LeftUnknown <= maxLeftUnknown},
 		{"a non-idempotent request runs at most once", r.DoubleRun == 0},
--- a/internal/load/run/run.go
+++ b/internal/load/run/run.go
@@ -55,6 +55,7 @@
 
 // Result holds the counts and latencies of a load run.
 type Result struct {
+	// WrongBytes counts messages and requests with a wrong reply.
 	Flows, Messages, BrokenFlows, WrongBytes, Misdelivered int
 	MessageMillis                                          Quantiles
 	Requests, Answered, NotRun, Unknown                    int
