--- a/internal/soak/proxy/proxy.go
+++ b/internal/soak/proxy/proxy.go
@@ -23,7 +23,7 @@
 	Refuse Fault = "Refuse"
 )
 
-// delay is the delay of each chunk under Delay: a few round trips between regions.
+// delay is the delay of each chunk if the fault is Delay: a few round trips between regions.
 const delay = 60 * time.Millisecond
 
 // bufferSize is the maximum size of a chunk in bytes.
--- a/internal/soak/run/callers.go
+++ b/internal/soak/run/callers.go
@@ -60,7 +60,7 @@
 		if err != nil {
 			return
 		}
-		c.run.callersProcessor.wait()
+		c.run.callersCPU.wait()
 		p, _, err := c.run.settings.Platform.Decode(append([]byte(nil), buffer[:n]...), false)
 		if err != nil {
 			c.run.reportViolation(InvariantResponse, err.Error())
@@ -75,7 +75,7 @@
 
 // send sends a packet to the balancer that the fabric's hash selects for its flow.
 func (c *caller) send(s Segment) {
-	c.run.callersProcessor.wait()
+	c.run.callersCPU.wait()
 	ready := c.run.rotation()
 	if len(ready) == 0 {
 		return
@@ -158,7 +158,7 @@
 }
 
 // request sends one request on an open flow and checks its response.
-func (c *caller) request(next *Segment) (answer, bool) {
+func (c *caller) request(next *Segment) (responseBody, bool) {
 	c.requests++
 	next.Data = fmt.Appendf(nil, "%s/%d/%d", c.ip, c.port, c.requests)
 	next.Length = len(next.Data)
@@ -169,13 +169,13 @@
 		if !c.run.hasEnded() {
 			c.run.count(&c.run.unanswered)
 		}
-		return answer{}, false
+		return responseBody{}, false
 	}
 	if p.Reset {
 		c.run.checkReset(*next, p)
-		return answer{}, false
+		return responseBody{}, false
 	}
-	var a answer
+	var a responseBody
 	if err := json.Unmarshal(p.Data, &a); err != nil || a.Request != string(next.Data) {
 		c.run.reportViolation(InvariantResponse, fmt.Sprintf("request %q received response %q", next.Data, p.Data))
 	}
--- a/internal/soak/run/evacuate.go
+++ b/internal/soak/run/evacuate.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// An evacuation lasts longer than drainGrace, so that the check on new flows applies. The pause between
+// An evacuation lasts longer than drainGrace, so that new flows are checked. The pause between
 // evacuations is short, so that faults occur in every phase.
 const (
 	evacuationDuration = 2 * drainGrace
--- a/internal/soak/run/faults.go
+++ b/internal/soak/run/faults.go
@@ -172,8 +172,8 @@
 	return true
 }
 
-// withdrawnServeTime is how long a withdrawn upstream still serves its flows, as an upstream does
-// whose withdrawal is not acknowledged.
+// withdrawnServeTime is how long a withdrawn upstream still serves its flows, as if its withdrawal
+// were not acknowledged.
 const withdrawnServeTime = 4 * time.Second
 
 // replaceUpstream drains an upstream and starts another one at a new address.
--- a/internal/soak/run/platform.go
+++ b/internal/soak/run/platform.go
@@ -47,7 +47,7 @@
 	Publish(ctx context.Context, address string, c configuration.Configuration) error
 	Read(ctx context.Context, address string) (uint64, error)
 	Ready(ctx context.Context, address string) bool
-	// Evacuate starts or ends the evacuation of a zone and returns nil once that is
+	// Evacuate starts or ends the evacuation of a zone and returns nil once the request is
 	// acknowledged.
 	Evacuate(ctx context.Context, address, zone string, on bool) error
 	// Announce returns the address for later announcements, empty if it does not change.
@@ -61,7 +61,7 @@
 	Seed uint64
 	// For is how long faults are injected.
 	For time.Duration
-	// Program is the path of the project's program.
+	// Program is the path of the executable that is tested.
 	Program string
 	// Folder is the directory for settings files, data folders and logs.
 	Folder                               string
--- a/internal/soak/run/run.go
+++ b/internal/soak/run/run.go
@@ -26,7 +26,7 @@
 	startTimeout = 20 * time.Second
 	// recoveryTimeout is the time after the last fault within which all voters must answer reads.
 	recoveryTimeout = 12 * time.Second
-	// faultSettleTime is the time after a fault from which on time bounds are checked again.
+	// faultSettleTime is how long time bounds are not checked after a fault.
 	faultSettleTime = 5 * time.Second
 	// readinessInterval is the interval of the fabric's readiness checks; a balancer is removed
 	// from rotation after two consecutive failures.
@@ -68,8 +68,8 @@
 	lastFault               time.Time
 	replacingDisk           atomic.Bool
 	network                 network
-	// callersProcessor and upstreamsProcessor stall all callers and all upstreams.
-	callersProcessor, upstreamsProcessor   processor
+	// callersCPU and upstreamsCPU are the CPUs that all callers and all upstreams share.
+	callersCPU, upstreamsCPU               simulatedCPU
 	ended                                  bool
 	opened, unopened, answered, unanswered int
 }
@@ -319,8 +319,8 @@
 	return r.stopped[incarnation]
 }
 
-// checkReset reports a violation if a flow is reset whose upstream was neither stopped nor restarted.
-// It names the sender of the reset.
+// checkReset reports a violation if the upstream of a reset flow was neither stopped nor restarted.
+// The report names the sender of the reset.
 func (r *Run) checkReset(flow Segment, reset received) {
 	r.mu.Lock()
 	upstreams := slices.Clone(r.upstreams)
@@ -360,8 +360,8 @@
 	r.result.Broken = append(r.result.Broken, (&BrokenError{Invariant: invariant, Detail: detail}).Error())
 }
 
-// timeBoundsReference returns the time against which time bounds are checked: now, or the zero time,
-// which violates no bound, if a fault was active within faultSettleTime.
+// timeBoundsReference returns the time against which time bounds are checked, usually now. If a fault
+// was active within faultSettleTime, it returns the zero time, which violates no bound.
 func (r *Run) timeBoundsReference() time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/soak/run/stalls.go
+++ b/internal/soak/run/stalls.go
@@ -15,17 +15,17 @@
 	stallKinds     = 5
 )
 
-// processor simulates a CPU that goroutines of a run share and that can be withheld from them.
-type processor struct{ mu sync.RWMutex }
+// simulatedCPU is shared by goroutines of a run and can be withheld from them.
+type simulatedCPU struct{ mu sync.RWMutex }
 
-// wait blocks while the processor is withheld.
-func (p *processor) wait() {
+// wait blocks while the CPU is withheld.
+func (p *simulatedCPU) wait() {
 	p.mu.RLock()
 	defer p.mu.RUnlock()
 }
 
 // withhold blocks all callers of wait for a duration.
-func (p *processor) withhold(duration time.Duration) {
+func (p *simulatedCPU) withhold(duration time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	time.Sleep(duration)
@@ -47,14 +47,14 @@
 			r.pauseFor(name, duration)
 		}
 	case 2:
-		r.startGoroutine(func() { r.upstreamsProcessor.withhold(duration) })
+		r.startGoroutine(func() { r.upstreamsCPU.withhold(duration) })
 	case 3:
-		r.startGoroutine(func() { r.callersProcessor.withhold(duration) })
+		r.startGoroutine(func() { r.callersCPU.withhold(duration) })
 	case 4:
 		r.mu.Lock()
 		u := r.upstreams[pick%len(r.upstreams)]
 		r.mu.Unlock()
-		r.startGoroutine(func() { u.processor.withhold(duration) })
+		r.startGoroutine(func() { u.cpu.withhold(duration) })
 	}
 }
 
--- a/internal/soak/run/upstreams.go
+++ b/internal/soak/run/upstreams.go
@@ -21,8 +21,8 @@
 // provided that no fault was active meanwhile.
 const drainGrace = 3 * time.Second
 
-// answer is an upstream's response to a request that it executed.
-type answer struct {
+// responseBody is the payload of an upstream's response to a request that it executed.
+type responseBody struct {
 	Service     string
 	Incarnation uint64
 	Request     string
@@ -35,9 +35,10 @@
 	conn *net.UDPConn
 	// probeListener completes the TCP handshakes of probes, as the kernel of a running VM does.
 	probeListener net.Listener
-	// processor stalls this upstream alone; Run.upstreamsProcessor stalls all of them.
-	processor processor
-	mu        sync.Mutex
+	// cpu is the CPU of this upstream alone, Run.upstreamsCPU that of all upstreams; withholding
+	// either stalls the upstream.
+	cpu simulatedCPU
+	mu  sync.Mutex
 	// flows are the open flows by caller.
 	flows               map[netip.AddrPort]*upstreamFlow
 	drainAcknowledgedAt time.Time
@@ -45,8 +46,8 @@
 }
 
 type upstreamFlow struct {
-	next     uint32
-	response Segment
+	nextSequence uint32
+	response     Segment
 }
 
 func (r *Run) startUpstream(address string, service, zone string) (*simulatedUpstream, error) {
@@ -78,12 +79,12 @@
 
 // wait blocks while the upstream is stalled.
 func (u *simulatedUpstream) wait() {
-	u.run.upstreamsProcessor.wait()
-	u.processor.wait()
+	u.run.upstreamsCPU.wait()
+	u.cpu.wait()
 }
 
-// announce sends announcements at AnnounceInterval to the address it was last referred to, or else to
-// any voter.
+// announce sends announcements at AnnounceInterval to the address in the last referral, or else to any
+// voter.
 func (u *simulatedUpstream) announce() {
 	next := ""
 	for n := 0; ; n++ {
@@ -178,10 +179,10 @@
 		}
 		u.run.checkEvacuated(u.self.Zone)
 		if f == nil {
-			f = &upstreamFlow{next: p.Sequence + 1}
+			f = &upstreamFlow{nextSequence: p.Sequence + 1}
 			u.flows[p.Caller] = f
 		}
-		u.reply(p, Segment{Open: true, Acknowledge: true}, f.next)
+		u.reply(p, Segment{Open: true, Acknowledge: true}, f.nextSequence)
 		return
 	}
 	if f == nil {
@@ -193,17 +194,17 @@
 	if len(p.Data) == 0 {
 		return
 	}
-	if p.Sequence == f.next {
+	if p.Sequence == f.nextSequence {
 		u.run.recordExecution(string(p.Data))
-		f.next += uint32(len(p.Data))
-		data, err := json.Marshal(answer{Service: u.self.Service, Incarnation: u.self.Incarnation, Request: string(p.Data)})
+		f.nextSequence += uint32(len(p.Data))
+		data, err := json.Marshal(responseBody{Service: u.self.Service, Incarnation: u.self.Incarnation, Request: string(p.Data)})
 		if err != nil {
 			u.run.reportViolation(InvariantResponse, err.Error())
 			return
 		}
 		f.response = Segment{Acknowledge: true, Data: data}
 	}
-	u.reply(p, f.response, f.next)
+	u.reply(p, f.response, f.nextSequence)
 }
 
 // reply sends a packet directly to the caller, bypassing the balancers, with the cookie of the
