--- a/internal/capacity/measure/configuration.go
+++ b/internal/capacity/measure/configuration.go
@@ -83,13 +83,14 @@
 
 func deltaMicros(size float64) (float64, error) {
 	c := configurationOf(int(size))
-	a := history.Response{Deltas: []history.Delta{history.Diff(c, withOneServiceChanged(c))}}
-	var followErr error
-	t := nanos(1, func() { _, followErr = history.Apply(c, a) })
-	return t / float64(time.Microsecond), followErr
+	response := history.Response{Deltas: []history.Delta{history.Diff(c, withOneServiceChanged(c))}}
+	var applyErr error
+	t := nanos(1, func() { _, applyErr = history.Apply(c, response) })
+	return t / float64(time.Microsecond), applyErr
 }
 
-// fanoutMicros measures the time until all followers that wait at one source over TCP have a change.
+// fanoutMicros measures the time until all followers that poll one source over TCP have received a
+// change.
 func fanoutMicros(size float64) (float64, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
--- a/internal/capacity/measure/cookie.go
+++ b/internal/capacity/measure/cookie.go
@@ -15,7 +15,7 @@
 	"wasabideal/internal/wire/rpc"
 )
 
-// cookiePackets is the number of packets in one timing; openings are timed in a tenth of it.
+// cookiePackets is the number of packets in one timing; openings are timed with a tenth of it.
 const cookiePackets = 20_000
 
 func cookieMeasurements() []Measurement {
--- a/internal/capacity/measure/flows.go
+++ b/internal/capacity/measure/flows.go
@@ -110,7 +110,7 @@
 	}
 }
 
-// hitNanos measures packets of flows in the table, over all of the table.
+// hitNanos measures packets of known flows that are spread over the whole table.
 func hitNanos(size float64) (float64, error) {
 	r := newRouter(1, currentUpstreams, int(size))
 	for _, syn := range []bool{true, false, false} {
--- a/internal/capacity/measure/group.go
+++ b/internal/capacity/measure/group.go
@@ -112,7 +112,7 @@
 	}
 }
 
-// runGossip returns a group of n members after countedTicks of gossip; the counts cover these only.
+// runGossip returns a group of n members after countedTicks of gossip; its counts cover only these ticks.
 func runGossip(n, upstreams int) (*group, error) {
 	g := newGroup(n, 10_000)
 	c := oneServiceConfiguration()
--- a/internal/capacity/page/cookie.go
+++ b/internal/capacity/page/cookie.go
@@ -31,16 +31,18 @@
 	// smallZone is the maximum size of a zone in which all balancers follow the voters.
 	smallZone = 8.0
 	// reportSeconds is the interval of the reports of followers, entryBytes the size of a follower
-	// in a report in addition to its entry in the list.
+	// in a report in addition to FleetBytes.
 	reportSeconds = 5.0
 	entryBytes    = 6.0
 	// voterDescriptors is the limit of open file descriptors of a voter.
 	voterDescriptors = 4096.0
 	// seeds is the number of voters that the settings name; a starting balancer loads its whole
-	// state from one of them. startConnections are its poll there and its reports.
+	// state from one of them. startConnections is the number of its connections to that voter: one for
+	// polls, one for reports.
 	seeds            = 3.0
 	startConnections = 2.0
-	// voterConnections are a follower's connections: poll, reports and announcements.
+	// voterConnections is the number of connections of a follower to a voter: one each for polls,
+	// reports and announcements.
 	voterConnections = 3.0
 	// batchesPerSecond is the number of RPCs per second in which a root balancer forwards announcements.
 	batchesPerSecond = 1 / (announceSeconds / 4)
@@ -121,7 +123,7 @@
 		{role, "followers", "4 per zone, 8 in a small one", "the tree; after a partition regions keep the voters on their side", followers, 0},
 		{role, "connections", "followers x 3", "polls, reports, announcements", followers * voterConnections, voterDescriptors / 2},
 		{role, "connections while all balancers and upstreams start", "balancers / 3 x 2 + followers x 3 + upstreams / voters", "a starting balancer loads all state from one voter of the settings; upstreams call voters until they are referred to a balancer", s.balancers/seeds*startConnections + followers*voterConnections + s.upstreams/s.voters, voterDescriptors},
-		{role, "core share", "followers / 0.8 s x QuestionMicros / 2 + upstreams / voters / 1.2 s x HandoverMicros / 2 + upstream changes x followers x QuestionMicros / 2", "announcements are batched twice on their way (internal/upstream/handover)", core, 0.24},
+		{role, "core share", "followers / 0.8 s x QuestionMicros / 2 + upstreams / voters / 1.2 s x HandoverMicros / 2 + upstream changes x followers x QuestionMicros / 2", "each balancer on the way batches announcements (internal/upstream/handover)", core, 0.24},
 		{role, "bytes per second", "polls x 420 + announcements x 70 + forwarded batches x 250 + reports of all balancers / 5 s + notices", "as above", bytes, 0},
 		{role, "announcements per second without balancers in between", "upstreams / voters / 1.2 s", "if each announcement were a separate RPC", announcementRate, 0},
 	}
--- a/internal/capacity/page/fleet.go
+++ b/internal/capacity/page/fleet.go
@@ -16,7 +16,7 @@
 | busiest balancer, core share | 0.0131 | 0.0969 | 0.0302 | 0.0127 | notices of 25 voters arrive separately, and each cost grew with the upstreams; a follower's start cost 0.42 s of a core; the page does not include starts |
 | mean balancer, core share | - | 0.0101 | 0.0069 | - | the page includes root balancers only |
 | mean voter, core share | 0.0098 | 0.0280 | 0.0316 | 0.0051 | voters poll each other, 24 polls in 0.8 s each, which the page omits |
-| busiest voter, core share | 0.0098 | 0.0589 | 0.0670 | 0.0051 | one of three voters that 328 starting balancers each load state from |
+| busiest voter, core share | 0.0098 | 0.0589 | 0.0670 | 0.0051 | one of three voters, from each of which 328 starting balancers load state |
 | balancer, peak memory, MB | 8.2 | 48.7 | 51.5 | 8.3 | the page includes live data only; the runtime, garbage from the start and buffers are five times that |
 | voter, peak memory, MB | - | 72.1 | 77.7 | - | |
 | voter, maximum connections | 60 | 1047 | 1044 | 1117 | starts, and upstreams that call voters until they are referred to a balancer |
--- a/internal/capacity/page/lines.go
+++ b/internal/capacity/page/lines.go
@@ -91,7 +91,7 @@
 // changeRate is the changes per second in the busiest hour, which has a fifth of the day's changes.
 func (s size) changeRate() float64 { return s.changesPerDay / 5 / 3600 }
 
-// memberChanges is the joins and departures per second in one group: three for each restart.
+// memberChanges is the number of member changes per second in one group: three for each restart.
 func (s size) memberChanges() float64 {
 	return (3*s.restartsPerDay + s.deathsPerDay) / secondsPerDay / s.groups()
 }
--- a/internal/capacity/page/sweeps.go
+++ b/internal/capacity/page/sweeps.go
@@ -4,10 +4,11 @@
 const sweepsText = `
 ## Test days at 30, 100 and 300 VMs
 
-The busiest process or the longest time at 300, in parentheses the extrapolation from the last three
-sizes to 3,163 VMs, which was not tested; a site without a stated size has none. Voters have 0.24
-cores, balancers 0.192 or 0.4. No invariant was violated on any of these days. The next acknowledgement after a kill of
-the voters is probably bounded by the next change, which is sent 3 s later: not verified.
+The busiest process or the longest time at 300 VMs. In parentheses is the extrapolation from the last
+three sizes to 3,163 VMs, which was not tested; a site without a stated size has none (-). Voters have
+0.24 cores, balancers 0.192 or 0.4. No invariant was violated on any of these days. The next
+acknowledgement after a kill of the voters probably waits for the next change, which is sent 3 s
+later: not verified.
 
 | | 14 and 4 upstreams per site | the grown site | the shifted workload | the large fleet | zones 4.5 ms apart |
 |---|---|---|---|---|---|
--- a/internal/capacity/slope/slope.go
+++ b/internal/capacity/slope/slope.go
@@ -16,8 +16,8 @@
 	Points    []Point
 	// Intercept and Gradient are the least-squares line; Fit is its R squared.
 	Intercept, Gradient, Fit float64
-	// Bend is the smallest measured size at which the line deviates from the measurement by more than a
-	// fifth; 0 if there is none.
+	// Bend is the smallest measured size at which the line deviates from the measured cost by more than
+	// a fifth of that cost; 0 if there is none.
 	Bend float64
 }
 
