--- a/internal/control/agreement/agreement.go
+++ b/internal/control/agreement/agreement.go
@@ -25,13 +25,13 @@
 	Tolerate int
 	// JoinTargets are further voters that receive join requests.
 	JoinTargets []Voter
-	// JoinOnly prevents bootstrapping a new cluster: the cluster already exists, so
-	// an empty disk means a replaced or additional voter.
+	// JoinOnly prevents bootstrapping a new cluster. It is set once the cluster exists:
+	// from then on, an empty disk means a replaced or additional voter.
 	JoinOnly bool
-	// InitialElectionTimeout is the maximum election timeout after a start, or 0 to use
-	// Election. After a power loss of all voters there is no leader, and waiting
-	// longer prolongs the outage. If there is a leader, the other voters reject
-	// the early pre-vote.
+	// InitialElectionTimeout is the maximum election timeout after a start; 0 means that
+	// Election applies from the start. After a power loss of all voters there is no leader,
+	// and a longer timeout prolongs the outage. If there is a leader, the other voters
+	// reject the early pre-vote.
 	InitialElectionTimeout time.Duration
 }
 
@@ -49,8 +49,8 @@
 	ReadOnly Role = "ReadOnly"
 )
 
-// NotLeaderError rejects a change at a voter that is not the leader; Leader is
-// empty if none is known.
+// NotLeaderError rejects a call that only the leader can serve; Leader is empty if no
+// leader is known.
 type NotLeaderError struct{ Leader Voter }
 
 func (e *NotLeaderError) Error() string {
@@ -77,10 +77,10 @@
 	snapshotSentAt time.Time
 }
 
-// joinRequest is the last join request of one voter; bootstrapped is set if that voter
-// has a list of voters.
+// joinRequest is the last join request of one voter.
 type joinRequest struct {
-	voter        Voter
+	voter Voter
+	// bootstrapped is set if the voter has a list of voters.
 	bootstrapped bool
 	receivedAt   time.Time
 }
@@ -103,16 +103,16 @@
 	progress         map[string]*progress
 	joinRequests     map[string]joinRequest
 	electionDeadline time.Time
-	// lastLeaderContact is the time of the last leader message, or of the start.
+	// lastLeaderContact is the time of the last message from a leader, initially the start time.
 	lastLeaderContact time.Time
-	// lastSent is when this voter last sent heartbeats as the leader, or join requests.
+	// lastSent is when this voter last sent join requests or, as the leader, heartbeats.
 	lastSent time.Time
 	rng      *rand.Rand
-	// termStartIndex is the index of this leader's first entry in its term,
-	// leaderSince the time of its election.
+	// termStartIndex is the index of the first entry that this leader wrote in its term.
 	termStartIndex uint64
-	leaderSince    time.Time
-	effects        []Effect
+	// leaderSince is when this leader was elected.
+	leaderSince time.Time
+	effects     []Effect
 }
 
 // New returns a voter with the state read from its disk.
@@ -155,7 +155,7 @@
 	// Current reports whether this voter holds the leader's lease, and so has every
 	// committed entry.
 	Current bool
-	// Silence is the time since the last leader message, 0 on the leader itself.
+	// Silence is the time since the last message from a leader, 0 on the leader itself.
 	Silence time.Duration
 	// Kept is the number of entries since the snapshot.
 	Kept int
@@ -205,8 +205,8 @@
 	return a.effects
 }
 
-// Propose appends a command to the log and returns its entry. The change is
-// committed if the entry applied at that index has the same term.
+// Propose appends a command to the log and returns its entry. The command is committed
+// once an entry with the same index and term is applied.
 func (a *Node) Propose(now time.Time, data []byte) (Entry, []Effect, error) {
 	if a.role != Leader {
 		return Entry{}, nil, &NotLeaderError{Leader: a.voter(a.leader)}
@@ -237,12 +237,12 @@
 	return t
 }
 
-// bytesPerMessage limits the size of an AppendEntries message. A message with
-// many large configurations would exceed the call timeout on a slow link, and so
-// would every retry.
+// bytesPerMessage limits the size of an AppendEntries message. Without it, a message with
+// many large configurations exceeds the call timeout on a slow link, and so does each retry.
 const bytesPerMessage = 1 << 20
 
-// entriesFrom returns entries from an index on, up to a count and a total size.
+// entriesFrom returns the entries from an index on: at most limit entries and, unless the
+// first entry alone is larger, at most bytesPerMessage bytes.
 func (a *Node) entriesFrom(i uint64, limit int) []Entry {
 	es := a.entries[i-a.snapshot.Index-1:]
 	n, size := 0, 0
@@ -266,7 +266,7 @@
 	a.effects = append(a.effects, Effect{Send: &m})
 }
 
-// persist emits an effect that syncs data to disk and then sends p.SendAfterSync.
+// persist emits an effect that syncs p to disk and then sends p.SendAfterSync.
 func (a *Node) persist(p Persist) {
 	for i := range p.SendAfterSync {
 		p.SendAfterSync[i].From, p.SendAfterSync[i].Address = a.settings.Self.Id, a.settings.Self.Address
--- a/internal/control/agreement/agreement_test.go
+++ b/internal/control/agreement/agreement_test.go
@@ -24,8 +24,8 @@
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// cluster connects voters by a network that drops, duplicates and delays messages
-// and partitions.
+// cluster connects voters by a simulated network that drops, duplicates and delays
+// messages and can partition voters.
 type cluster struct {
 	t           require.TestingT
 	now         time.Time
@@ -36,9 +36,9 @@
 	loss        float64
 	partitioned map[string]bool
 	leaders     map[uint64]string
-	// committed holds the entry that any voter applied at an index.
+	// committed holds the first entry that any voter applied, by index.
 	committed map[uint64]agreement.Entry
-	// results are the answers given to proposers, by change key.
+	// results holds the answers to proposed changes, by change key.
 	results map[string]ledger.Answer
 	starts  int
 }
@@ -167,10 +167,10 @@
 // apply checks that all voters apply the same entries in the same order.
 func (n *node) apply(e agreement.Entry) {
 	c := n.cluster
-	require.Equal(c.t, n.applied+1, e.Index, "%s applies in order", n.name)
+	require.Equal(c.t, n.applied+1, e.Index, "%s applied an entry out of order", n.name)
 	n.applied = e.Index
 	if previous, ok := c.committed[e.Index]; ok {
-		require.Equal(c.t, previous, e, "%s applies a different entry at %d", n.name, e.Index)
+		require.Equal(c.t, previous, e, "%s applied a different entry at %d", n.name, e.Index)
 	}
 	c.committed[e.Index] = e
 	if e.Kind != agreement.Command {
@@ -240,31 +240,31 @@
 
 func (c *cluster) deliver() {
 	for {
-		i := slices.IndexFunc(c.network, func(l envelope) bool { return !l.due.After(c.now) })
+		i := slices.IndexFunc(c.network, func(e envelope) bool { return !e.due.After(c.now) })
 		if i < 0 {
 			return
 		}
-		l := c.network[i]
+		e := c.network[i]
 		c.network = slices.Delete(c.network, i, i+1)
-		n := c.nodeFor(l.to)
-		from := c.nameOf(l.message.From)
+		n := c.nodeFor(e.to)
+		from := c.nameOf(e.message.From)
 		if n == nil || n.name != from && (c.partitioned[n.name] || c.partitioned[from]) {
 			continue
 		}
-		m := l.message
+		m := e.message
 		n.reduce(agreement.Event{Message: &m})
 	}
 }
 
-// checkLease checks that at most one voter holds a lease at any time.
+// checkLease checks that at most one voter holds a lease.
 func (c *cluster) checkLease() {
-	current := 0
+	holders := 0
 	for _, name := range c.names {
 		if n := c.nodes[name]; n.up && n.state.HoldsLease(c.now) {
-			current++
+			holders++
 		}
 	}
-	require.LessOrEqual(c.t, current, 1, "two voters hold a lease")
+	require.LessOrEqual(c.t, holders, 1, "two voters hold a lease")
 }
 
 func (c *cluster) leader() *node {
@@ -276,7 +276,7 @@
 	return nil
 }
 
-// propose sends a change to a voter, which may not be the leader.
+// propose proposes a change at a voter, which returns an error if it is not the leader.
 func (c *cluster) propose(n *node, key string, expect uint64, preset string) error {
 	if !n.up {
 		return nil
--- a/internal/control/agreement/durable.go
+++ b/internal/control/agreement/durable.go
@@ -60,14 +60,14 @@
 	Commit uint64
 }
 
-// OrderError reports a gap in the log before an entry.
+// OrderError reports an entry that would leave a gap in the log.
 type OrderError struct{ Index, Expected uint64 }
 
 func (e *OrderError) Error() string {
 	return fmt.Sprintf("log entry %d leaves a gap: expected index %d or lower", e.Index, e.Expected)
 }
 
-// Put replaces all entries from e's index on by e.
+// Put truncates the log before e.Index and appends e.
 func (p *PersistentState) Put(e Entry) error {
 	next := p.Snapshot.Index + uint64(len(p.Entries)) + 1
 	if e.Index > next {
@@ -81,10 +81,10 @@
 type Persist struct {
 	Vote    *Vote
 	Entries []Entry
-	// Snapshot replaces the start of the log; Entries is then all of the rest.
+	// Snapshot, if set, replaces the stored log: Entries then holds all entries after it.
 	Snapshot *Snapshot
-	// Commit is stored so that a voter that restarts in a partition still knows
-	// which configuration was in force.
+	// Commit is stored so that a voter that restarts in a partition can determine which
+	// configuration was in force.
 	Commit        uint64
 	SendAfterSync []Message
 }
--- a/internal/control/agreement/election.go
+++ b/internal/control/agreement/election.go
@@ -8,7 +8,7 @@
 	"github.com/samber/lo"
 )
 
-// sendJoinRequests sends requests to bootstrap the cluster or to be added to its voters.
+// sendJoinRequests requests that the cluster be bootstrapped, or that this voter be added to it.
 func (a *Node) sendJoinRequests(now time.Time) {
 	if now.Sub(a.lastSent) < a.settings.Heartbeat {
 		return
@@ -26,7 +26,7 @@
 
 // bootstrap writes the initial list of voters once all founders have reported an
 // empty disk: a founder that does not respond may already hold a log. Only the
-// founder whose name sorts first does so.
+// founder whose name sorts first writes the list.
 func (a *Node) bootstrap(now time.Time) {
 	if a.role != Unfounded || a.settings.JoinOnly {
 		return
@@ -66,8 +66,8 @@
 func (a *Node) receive(now time.Time, m Message) {
 	if m.To != a.settings.Self.Id && m.To != a.settings.Self.Name {
 		// A voter whose disk was replaced remains in the list under its former id
-		// and the same address. Without this check, a leader would receive its own
-		// message to the former id as another leader's.
+		// and the same address. Without this check, such a voter that leads would
+		// treat its own messages to the former id as those of another leader.
 		return
 	}
 	switch m.Kind {
@@ -85,8 +85,8 @@
 		return
 	}
 	if m.Kind == RequestVote && a.hasActiveLeader(now) && !m.Granted {
-		// Voters with an active leader ignore vote requests; the leader's
-		// lease depends on this.
+		// The leader's lease relies on voters that ignore vote requests while
+		// they have an active leader.
 		return
 	}
 	if m.Term > a.vote.Term {
@@ -126,12 +126,12 @@
 	case a.role == Leader:
 		a.addLearner(now, m.Voter)
 	case a.leader != "" && m.Index == 0 && a.hasActiveLeader(now):
-		// A new voter may not know the leader. Index marks a forwarded request, so
-		// that two voters do not forward it to each other in a loop.
+		// The new voter may not know the leader, so the request is forwarded. Index 1
+		// marks it as forwarded, so that two voters do not forward it in a loop.
 		a.send(Message{Kind: JoinRequest, To: a.leader, Voter: m.Voter, Granted: m.Granted, Index: 1})
 	}
 	if !m.Granted && a.lastIndex() == 1 && a.voter(m.Voter.Id).Id != "" {
-		// The Bootstrap message to this voter was lost; without a retry the voter
+		// The Bootstrap message to the sender was lost. Without a retry the sender
 		// would never join.
 		a.send(Message{Kind: Bootstrap, To: m.Voter.Id, Voters: a.voters})
 	}
@@ -143,8 +143,8 @@
 	}
 	for _, v := range m.Voters {
 		j, ok := a.joinRequests[v.Name]
-		// A list with a former id of any founder is stale: that founder's disk was
-		// replaced since, and a newer list may be in flight.
+		// A list that contains a founder's former id is stale: the founder's disk has
+		// been replaced since, and a newer list may be in flight.
 		if v.Name != a.settings.Self.Name && (!ok || j.voter.Id != v.Id) {
 			return
 		}
@@ -155,8 +155,8 @@
 	a.bootstrapWith(now, m.Voters)
 }
 
-// hasActiveLeader reports whether a leader message arrived within the election timeout;
-// for the leader itself, whether its lease holds.
+// hasActiveLeader reports whether a message from the leader arrived within the minimum
+// election timeout. On the leader itself, it reports whether the lease holds.
 func (a *Node) hasActiveLeader(now time.Time) bool {
 	if a.role == Leader {
 		return now.Before(a.leaseEnd(now))
@@ -193,7 +193,7 @@
 	a.checkPreVotes(now)
 }
 
-// isUpToDate reports whether the sender's log is at least as complete as this one.
+// isUpToDate reports whether the sender's log is at least as up-to-date as this voter's.
 func (a *Node) isUpToDate(m Message) bool {
 	if m.LogTerm != a.lastTerm() {
 		return m.LogTerm > a.lastTerm()
@@ -204,7 +204,7 @@
 func (a *Node) receivePreVote(now time.Time, m Message) {
 	if a.voter(m.From).Id == "" && m.Voter.Id != "" && a.role != Unfounded {
 		// A voter that was removed during a partition still has the old list and
-		// requests votes forever; treat the request as a join request.
+		// requests votes indefinitely. Treat the request as a join request.
 		a.receiveJoinRequest(now, Message{Kind: JoinRequest, From: m.From, Voter: m.Voter, Granted: true})
 	}
 	granted := !a.hasActiveLeader(now) && m.Term > a.vote.Term && a.isUpToDate(m)
@@ -217,8 +217,8 @@
 
 func (a *Node) receivePreVoteResponse(now time.Time, m Message) {
 	if !m.Granted && m.Term > a.vote.Term {
-		// Otherwise a voter with a newer term and a shorter log would reject the
-		// voter with the most complete log forever.
+		// Adopt the newer term. Otherwise a voter with a newer term and a shorter log
+		// would always reject the voter with the most complete log.
 		a.stepDown(now, m.Term)
 		return
 	}
@@ -265,8 +265,8 @@
 	}
 }
 
-// campaign requests votes in a new term. In a leadership transfer, voters grant
-// them even though the leader was active recently.
+// campaign requests votes in a new term. In a leadership transfer, voters grant their
+// votes even though the leader was active recently.
 func (a *Node) campaign(now time.Time, transfer bool) {
 	a.preVoting = false
 	a.leader = ""
@@ -276,15 +276,16 @@
 	requests := lo.Map(a.peers(), func(v Voter, _ int) Message {
 		return Message{Kind: RequestVote, To: v.Id, Index: a.lastIndex(), LogTerm: a.lastTerm(), Granted: transfer}
 	})
-	// The candidate's own vote is sent as a message too, so that it counts only once synced.
+	// The candidate's own vote is also sent as a message, so that it counts only after it is
+	// synced to disk.
 	requests = append(requests, Message{Kind: VoteResponse, To: a.settings.Self.Id, Granted: true})
 	a.setVote(term, a.settings.Self.Id, requests...)
 }
 
-// receiveRequestVote grants votes even if this voter does not vote according to the
-// list in its own log: the candidate's list decides. Otherwise a voter that was just
-// promoted and has not received that list could be missing from the majority forever.
-// A replaced disk cannot vote for its predecessor, since it has a different id.
+// receiveRequestVote grants votes even if this voter's own log lists it as a learner or not
+// at all: the candidate's list of voters decides. Otherwise an election could never succeed
+// that needs the vote of a voter just promoted, which has not received the new list yet.
+// A voter with a replaced disk has a new id, so its vote never counts as the former one's.
 func (a *Node) receiveRequestVote(now time.Time, m Message) {
 	canGrant := a.vote.For == "" || a.vote.For == m.From
 	if !canGrant || !a.isUpToDate(m) || a.role == Leader {
--- a/internal/control/agreement/failures_test.go
+++ b/internal/control/agreement/failures_test.go
@@ -62,9 +62,9 @@
 	}
 }
 
-// Guards against a lost change that a partitioned leader acknowledged while the
-// others elected a new leader: a commit without a majority, or a lease longer than
-// the election timeout of the others.
+// Guards against the loss of an acknowledged change. A partitioned leader may acknowledge
+// a change while the others elect a new leader, if it commits without a majority or if its
+// lease is longer than their election timeout.
 func TestPartitionedLeaderLosesLease(t *testing.T) {
 	c := bootstrappedCluster(t)
 	former := c.leader()
@@ -81,10 +81,10 @@
 	require.Equal(t, uint64(1), former.ledger.Current().Revision)
 }
 
-// Guards against the loss of a committed change. A change is on voters 1 and 2
-// while 3 is partitioned; 1 stops, the disk of 2 is replaced and 3 returns. Voters
-// 2 and 3 are a majority by name, but 2 has lost the change. A voter with an empty
-// disk therefore has a new id and no vote until the list of voters gives it one.
+// Guards against the loss of a committed change. Voters 1 and 2 store a change while 3 is
+// partitioned; then 1 crashes, the disk of 2 is replaced and 3 returns. Voters 2 and 3 are
+// a majority by name, but 2 has lost the change. A voter with an empty disk therefore has
+// a new id, and no vote until it is promoted in the list of voters.
 func TestReplacedDiskHasNoVote(t *testing.T) {
 	c := bootstrappedCluster(t)
 	one := c.leader()
@@ -115,19 +115,19 @@
 		c.run(15 * time.Second)
 		require.NotNil(t, c.leader())
 		for _, v := range c.leader().state.Status(c.now).Voters {
-			require.False(t, v.Learner, "%s has its vote again", v.Name)
+			require.False(t, v.Learner, "%s has no vote", v.Name)
 		}
 	}
 	c.nodes["v1"].crash()
 	c.run(6 * time.Second)
-	require.NotNil(t, c.leader(), "the two replaced voters are a majority")
+	require.NotNil(t, c.leader(), "the two replaced voters must elect a leader")
 	require.Equal(t, uint64(1), c.leader().ledger.Current().Revision)
 }
 
-// Guards against two operators that both get revision 2, and against different
-// answers to one change key. Two changes for revision 1 race, and both are resent
-// after a compaction, a restart of all voters and a change of leader. An answer
-// outside the replicated state would be lost.
+// Guards against two changes that both become revision 2, and against different answers
+// to one change key. Two changes based on revision 1 race, and both are resent after a
+// compaction, a restart of all voters and a change of leader. An answer that is stored
+// outside the replicated state is lost by then.
 func TestConcurrentAndRetriedChangesGetOneAnswerEach(t *testing.T) {
 	c := bootstrappedCluster(t)
 	leader := c.leader()
@@ -172,8 +172,8 @@
 	}
 }
 
-// Guards against changes that wait longer than five seconds after a leader crash
-// because of long election timeouts.
+// Guards against election timeouts so long that changes wait for more than five seconds
+// after a crash of the leader.
 func TestNewLeaderWithinFiveSeconds(t *testing.T) {
 	c := bootstrappedCluster(t)
 	c.leader().crash()
--- a/internal/control/agreement/lease.go
+++ b/internal/control/agreement/lease.go
@@ -7,8 +7,8 @@
 	"github.com/samber/lo"
 )
 
-// HoldsLease reports whether this voter is the leader and holds a lease, and so has
-// every committed change: a majority elects no other leader until the lease ends.
+// HoldsLease reports whether this voter is the leader and its lease holds. It then has every
+// committed change, since no majority elects another leader until the lease ends.
 func (a *Node) HoldsLease(now time.Time) bool {
 	return a.role == Leader && a.commit >= a.termStartIndex && now.Before(a.leaseEnd(now))
 }
@@ -22,14 +22,15 @@
 	return a.quorumAckTime(now).Add(time.Duration(float64(a.settings.Election) * leaseFraction))
 }
 
-// ConfirmedSince reports whether this voter was still the leader after a given
-// time: a majority acknowledged a message sent later. A lease alone does not make
-// reads safe, since a suspended VM does not notice that its lease expired.
+// ConfirmedSince reports whether this voter was still the leader at the time since: a majority
+// has acknowledged a message that it sent then or later. A lease alone does not make reads
+// safe, since a voter on a suspended VM does not notice that its lease expired.
 func (a *Node) ConfirmedSince(now, since time.Time) bool {
 	return a.role == Leader && a.commit >= a.termStartIndex && !a.quorumAckTime(now).Before(since)
 }
 
-// SendHeartbeats contacts the followers without waiting for the next heartbeat.
+// SendHeartbeats sends a message at once to each follower without a message in flight, if
+// this voter is the leader.
 func (a *Node) SendHeartbeats(now time.Time) []Effect {
 	a.effects = nil
 	if a.role == Leader {
@@ -41,7 +42,8 @@
 // Commit returns the highest index known to be committed.
 func (a *Node) Commit() uint64 { return a.commit }
 
-// quorumAckTime returns the latest send time that a majority has acknowledged.
+// quorumAckTime returns the latest time such that a majority has acknowledged messages sent
+// then or later.
 func (a *Node) quorumAckTime(now time.Time) time.Time {
 	times := lo.FilterMap(a.voters, func(v Voter, _ int) (time.Time, bool) {
 		switch p := a.progress[v.Id]; {
--- a/internal/control/agreement/members.go
+++ b/internal/control/agreement/members.go
@@ -12,7 +12,7 @@
 
 // canVote reports whether this voter is in the list and not a learner. A voter with
 // a replaced disk is not in the list: it has lost its votes and entries, and its vote
-// could help to elect a leader without committed entries.
+// could help to elect a leader that lacks committed entries.
 func (a *Node) canVote() bool {
 	v := a.self()
 	return v.Id != "" && !v.Learner
@@ -26,7 +26,8 @@
 
 func (a *Node) quorumOf(voters int) int { return voters/2 + 1 }
 
-// adoptVoters puts a list of voters in force as soon as it is in the log.
+// adoptVoters applies the list of voters of an entry. It is called as soon as the entry is
+// appended to the log, before the entry is committed.
 func (a *Node) adoptVoters(e Entry) {
 	if e.Kind != Voters {
 		return
@@ -37,7 +38,7 @@
 	}
 }
 
-// recomputeVoters finds the list in force after entries were truncated.
+// recomputeVoters determines the list of voters in force after the log was truncated.
 func (a *Node) recomputeVoters() {
 	a.voters, a.votersAt = a.snapshot.Voters, a.snapshot.Index
 	for _, e := range a.entries {
@@ -56,16 +57,16 @@
 	return vs
 }
 
-// addLearner adds a voter that is not in the list as a learner; it is promoted
-// once it has the log.
+// addLearner adds a voter to the list as a learner, unless the list contains it already.
+// updateVoters promotes the learner once it has the log.
 func (a *Node) addLearner(now time.Time, v Voter) {
 	if a.voterChangePending() || a.commit < a.termStartIndex || a.voter(v.Id).Id != "" {
 		return
 	}
 	sameName, known := lo.Find(a.voters, func(o Voter) bool { return o.Name == v.Name })
 	if known && a.timeSinceAck(now, sameName) < 2*a.settings.Election {
-		// The existing voter of that name is alive: two processes with one name
-		// are a configuration mistake, not a replaced disk.
+		// The existing voter of that name is reachable: two processes share a name by a
+		// configuration mistake, and no disk was replaced.
 		return
 	}
 	v.Learner = true
@@ -90,10 +91,10 @@
 const removeAfterElections = 5
 
 // removeUnreachable removes the voter that has been unreachable the longest, so
-// that a VM that is gone for good does not count towards the majority
-// forever. The voter is added again if it returns. The list keeps enough voters to
-// retain a majority after Tolerate losses: while two of six voters are partitioned
-// for some seconds, the loss of two disks among the other four must not be fatal.
+// that a deleted VM does not count towards the majority forever. The voter is added
+// again if it returns. The list keeps enough voters to retain a majority after
+// Tolerate losses: while two of six voters are partitioned for some seconds, the
+// loss of two disks among the other four must not be fatal.
 func (a *Node) removeUnreachable(now time.Time) {
 	if a.quorumOf(len(a.voting())-1)+a.settings.Tolerate > len(a.voting())-1 {
 		return
@@ -107,9 +108,9 @@
 	a.removeVoter(now, lo.MaxBy(unreachable, func(x, y Voter) bool { return a.timeSinceAck(now, x) > a.timeSinceAck(now, y) }))
 }
 
-// removalTimeout returns how long a voter may be unreachable before it is
-// removed. It is shorter for a voter that has a successor of the same name: its
-// disk was replaced, so it never responds again.
+// removalTimeout returns how long a voter may be unreachable before it is removed. The
+// timeout is shorter if another voter has the same name: the disk was then replaced, and
+// the former id never responds again.
 func (a *Node) removalTimeout(v Voter) time.Duration {
 	if lo.ContainsBy(a.voting(), func(o Voter) bool { return o.Name == v.Name && o.Id != v.Id }) {
 		return a.settings.Election
@@ -125,9 +126,9 @@
 // voterChangePending reports whether a change of voters is not yet committed.
 func (a *Node) voterChangePending() bool { return a.votersAt > a.commit }
 
-// updateVoters proposes the next change of voters, if any. A learner that has
-// caught up is promoted before an unreachable voter is removed, so that the list
-// is not shorter than necessary.
+// updateVoters proposes the next change of the list of voters, if any. A learner that has
+// caught up is promoted before an unreachable voter is removed, so that the number of
+// voters stays as high as possible.
 func (a *Node) updateVoters(now time.Time) {
 	if a.voterChangePending() || a.commit < a.termStartIndex {
 		return
@@ -180,21 +181,21 @@
 	return slices.Compact(known)
 }
 
-// VotingAddresses returns the addresses of the voters that are not learners. It is empty
-// while there is no list of voters: with an empty disk or before the bootstrap.
+// VotingAddresses returns the addresses of the voters that are not learners. The result is
+// empty until the first list of voters arrives, as after a start with an empty disk.
 func (a *Node) VotingAddresses() []string {
 	return lo.Map(a.voting(), func(v Voter, _ int) string { return v.Address })
 }
 
-// AddJoinTarget adds a voter to which join requests are sent.
+// AddJoinTarget adds a voter to those that receive join requests.
 func (a *Node) AddJoinTarget(v Voter) {
 	if !lo.ContainsBy(a.settings.JoinTargets, func(o Voter) bool { return o.Name == v.Name }) {
 		a.settings.JoinTargets = append(slices.Clone(a.settings.JoinTargets), v)
 	}
 }
 
-// AddressOf returns the address of a voter that sent a join request, by id, or of
-// one that join requests are sent to, by name.
+// AddressOf returns the address of the voter that sent a join request with this id, or
+// of the join target with this name. It returns "" if there is neither.
 func (a *Node) AddressOf(id string) string {
 	for _, j := range a.joinRequests {
 		if j.voter.Id == id {
--- a/internal/control/agreement/members_test.go
+++ b/internal/control/agreement/members_test.go
@@ -28,9 +28,9 @@
 	return names
 }
 
-// Guards against a cluster that accepts no changes although two of three VMs
-// run. Each VM in turn is replaced by an empty one at another address. If
-// the old voters stay in the list, the majority counts them: two of five in the end.
+// Guards against a cluster that accepts no changes although two of three VMs run.
+// Each VM in turn is replaced by an empty one at another address. If the old voters stayed
+// in the list, they would count towards the majority: in the end two of five would respond.
 func TestUnreachableVotersAreRemoved(t *testing.T) {
 	c := bootstrappedCluster(t)
 	for _, step := range []struct{ removed, replacement string }{{"v1", "v4"}, {"v2", "v5"}, {"v3", "v6"}} {
@@ -45,9 +45,9 @@
 	require.Equal(t, uint64(1), c.leader().ledger.Current().Revision)
 }
 
-// Guards against voters that never vote again after a partition. A voter that
-// was removed meanwhile still has the old list and requests votes that no other
-// voter grants.
+// Guards against voters that never vote again after a partition. A voter that was
+// removed during the partition still has the old list, and requests votes that no
+// other voter grants.
 func TestPartitionedVotersRejoinAfterRemoval(t *testing.T) {
 	c := bootstrappedCluster(t)
 	c.add("v4")
@@ -66,8 +66,8 @@
 }
 
 // Guards against a stale read. The leader's VM is suspended, the others elect a
-// new leader and commit a change, and the first leader resumes. Its clock did not
-// advance, so that its lease seems to hold.
+// new leader, and the first leader resumes. Its clock did not advance, so its lease
+// seems to hold.
 func TestSuspendedLeaderDoesNotConfirmReads(t *testing.T) {
 	c := bootstrappedCluster(t)
 	former := c.leader()
@@ -116,13 +116,13 @@
 	require.NotSame(t, former, c.leader())
 	require.NoError(t, c.propose(c.leader(), "next", 1, "b"))
 	c.run(time.Second)
-	require.Equal(t, uint64(2), former.ledger.Current().Revision, "the former leader follows until it stops")
+	require.Equal(t, uint64(2), former.ledger.Current().Revision, "the former leader stays a follower until it stops")
 }
 
 // Guards against a cluster that elects no leader after a lost disk (soak, seed 227).
-// A voter with a replaced disk is promoted, and the leader fails before that
-// voter receives the new list. The others need its vote, although it is not a voting
-// member by the list in its own log.
+// A voter with a replaced disk is promoted, and the leader fails before that voter
+// receives the new list. The others need its vote, although the list in its own log
+// has it as a learner.
 func TestPromotedVoterVotesBeforeReceivingNewList(t *testing.T) {
 	c := bootstrappedCluster(t)
 	leader := c.leader()
--- a/internal/control/agreement/message.go
+++ b/internal/control/agreement/message.go
@@ -5,7 +5,7 @@
 
 // The kinds of messages.
 const (
-	// JoinRequest announces a voter that has no list of voters or is not in it.
+	// JoinRequest is sent by a voter that has no list of voters, or no vote in its list.
 	JoinRequest MessageKind = iota
 	// Bootstrap carries the initial list of voters.
 	Bootstrap
@@ -19,8 +19,8 @@
 	AppendEntriesResponse
 	// InstallSnapshot carries a snapshot.
 	InstallSnapshot
-	// TimeoutNow requests that a follower start an election at once because the leader
-	// stops. The follower's RequestVote messages have Granted set.
+	// TimeoutNow asks a follower to start an election at once, because the leader is stopping.
+	// The follower's RequestVote messages have Granted set.
 	TimeoutNow
 )
 
@@ -34,15 +34,15 @@
 	Index   uint64
 	LogTerm uint64
 	Commit  uint64
-	// Granted is the result in a response. In a JoinRequest, it is set if the sender has a
-	// list of voters; in a RequestVote, if the leader requested the election.
+	// Granted is the result in a response. In a JoinRequest, it means that the sender has a
+	// list of voters; in a RequestVote, that the leader asked for the election by TimeoutNow.
 	Granted  bool
 	Entries  []Entry
 	Snapshot *Snapshot
 	Voter    Voter
 	Voters   []Voter
-	// Address is where the sender receives responses: a receiver with an empty
-	// disk has no list of voters that contains it.
+	// Address is the sender's address for responses. A receiver with an empty disk has no
+	// list of voters in which to look it up.
 	Address string
 	// Sent is the leader's send time in nanoseconds, echoed in responses.
 	Sent int64
@@ -66,8 +66,8 @@
 	Message *Message
 	// Persisted is the highest index that was synced to disk.
 	Persisted uint64
-	// DiskFailed means that the disk failed and no further Persist is synced.
+	// DiskFailed means that the disk failed and that no further Persist will be synced.
 	DiskFailed bool
-	// Compact is the state machine's state at the applied index.
+	// Compact holds the state machine's state at the applied index, for a new snapshot.
 	Compact []byte
 }
--- a/internal/control/agreement/replication.go
+++ b/internal/control/agreement/replication.go
@@ -17,7 +17,7 @@
 	return e
 }
 
-// replicateIdle sends entries to each follower without a message in flight.
+// replicateIdle sends missing entries to each follower without a message in flight.
 func (a *Node) replicateIdle(now time.Time) {
 	for _, v := range a.peers() {
 		if p := a.progressOf(v.Id); !p.pending {
@@ -55,8 +55,9 @@
 // snapshotInterval is the minimum time between two snapshots sent to a follower.
 const snapshotInterval = 2 * time.Second
 
-// replicate sends a follower its missing entries, with one message in flight. A
-// lost message is retried with the next heartbeat.
+// replicate sends a follower its missing entries or, if the log no longer holds them, the
+// snapshot. Further entries wait until the message is acknowledged; a lost message is sent
+// again with the next heartbeat.
 func (a *Node) replicate(now time.Time, id string, p *progress) {
 	previous := p.next - 1
 	term, kept := a.termAt(previous)
@@ -82,7 +83,7 @@
 	a.send(Message{Kind: InstallSnapshot, To: id, Snapshot: &s, Commit: a.commit, Sent: now.UnixNano()})
 }
 
-// followLeader records a message of the current leader and resets the timeout.
+// followLeader records a message from the current leader and resets the election timeout.
 func (a *Node) followLeader(now time.Time, m Message) {
 	a.leader = m.From
 	a.lastLeaderContact = now
@@ -111,7 +112,7 @@
 	a.persist(Persist{Entries: added, SendAfterSync: []Message{response}})
 }
 
-// mergeEntries adds entries to the log and returns the new ones.
+// mergeEntries adds entries to the log, truncating it at a conflict, and returns the new ones.
 func (a *Node) mergeEntries(entries []Entry) []Entry {
 	for i, e := range entries {
 		if e.Index <= a.snapshot.Index {
@@ -167,9 +168,9 @@
 	a.replicateCommit(now)
 }
 
-// replicateCommit sends followers missing entries and the new commit index at
-// once. If they received the commit index only with the next heartbeat, the
-// balancers that poll them would get changes up to a quarter of a second late.
+// replicateCommit sends missing entries and the new commit index to followers at once.
+// If they received the commit index only with the next heartbeat, the balancers that
+// poll them would get changes up to a quarter of a second late.
 func (a *Node) replicateCommit(now time.Time) {
 	for _, v := range a.peers() {
 		p := a.progressOf(v.Id)
@@ -179,8 +180,8 @@
 	}
 }
 
-// advanceCommit commits entries that a majority has synced, in the leader's own
-// term only: an older entry may still be replaced (Ongaro, 2014, 3.6.2).
+// advanceCommit commits the entries that a majority has synced, once the last of them is of
+// the leader's own term: an entry of an earlier term may still be replaced (Ongaro, 2014, 3.6.2).
 func (a *Node) advanceCommit(now time.Time) {
 	matches := lo.FilterMap(a.voters, func(v Voter, _ int) (uint64, bool) {
 		if v.Id == a.settings.Self.Id {
