--- a/internal/control/feed/doc.go
+++ b/internal/control/feed/doc.go
@@ -1,6 +1,7 @@
 // Package feed serves balancers the current configuration revision, the announced upstreams
 // and the addresses of the other voters by long polling.
 //
-// The configuration itself is a separate call: a balancer polls all voters, and copies of the
-// configuration from each would saturate a small VM's link.
+// A separate call fetches the configuration itself; only a starting balancer gets it with the
+// other updates, if it is small. A balancer polls several voters, and a copy of the configuration
+// from each would saturate a small VM's link.
 package feed
--- a/internal/control/feed/feed.go
+++ b/internal/control/feed/feed.go
@@ -41,14 +41,14 @@
 // 300 took a quarter of its CPU time while upstreams changed.
 const maxResponsesPerSecond = 100
 
-// maxInlineConfiguration is the encoded size in bytes, that of about 600 routes, up to which a
-// configuration is sent with other updates. By calculation, compression halves it and it takes
-// 50 ms on a link of 2 Mbit/s, as long as a separate call. A starting balancer polls one voter
-// at a time.
+// maxInlineConfiguration is the maximum size in bytes of an encoded configuration that is sent
+// together with other updates; a configuration of about 600 routes has that size. By calculation,
+// compression halves it, and a link of 2 Mbit/s transfers it in 50 ms, as long as a separate call
+// takes. A starting balancer in a tree polls one voter at a time.
 const maxInlineConfiguration = 24 << 10
 
-// maxDeltas is the number of missed changes up to which a balancer gets deltas; beyond it the
-// whole configuration is shorter.
+// maxDeltas is the number of missed changes up to which a balancer gets deltas. After more
+// changes it gets the whole configuration, which is then shorter.
 const maxDeltas = 64
 
 // Request is a long-poll request of a balancer.
@@ -59,15 +59,15 @@
 	// received last.
 	Life, Version uint64
 	// Recalled also requests restored upstreams: those that have not announced themselves to
-	// this voter since it restarted. A starting balancer needs them from one voter only; from
-	// each, they would saturate the links of a fleet of hundreds.
+	// this voter since it restarted. A starting balancer needs them from one voter only. If
+	// every voter sent them, the links of a fleet of hundreds would be saturated.
 	Recalled bool
 	// Hold is how long the response may wait for updates.
 	Hold time.Duration
 	// Encoded allows Response.Encoded in place of Response.Notices.
 	Encoded bool
 	// Unconfigured requests the configuration in the same response. A starting balancer cannot
-	// place flows without it, and a second call takes 40 ms where many start at once.
+	// place flows without it, and a second call takes 40 ms while many balancers start.
 	Unconfigured bool
 	// From is the name of the polling balancer, empty for voters.
 	From string
@@ -146,8 +146,9 @@
 	// lastPoll holds the last poll of each active balancer, by name.
 	lastPoll        map[string]lastPoll
 	remoteUpstreams remoteUpstreams
-	// zone is the voter's own; fleet holds the balancers that poll it and their followers.
-	zone  string
+	// zone is the voter's own availability zone.
+	zone string
+	// fleet holds the balancers that poll this voter, and their followers.
 	fleet *members.Members
 	// notices and configuration cache responses that many starting balancers request.
 	notices       responseCache[noticesKey]
@@ -249,8 +250,8 @@
 	f.directory.Restore(now, u, cold)
 }
 
-// wakeIfDue completes polls for pending changes of upstreams if the interval since the last time
-// has passed; otherwise a later Tick does.
+// wakeIfDue completes polls if changes of upstreams are pending and the minimum interval since
+// lastWake has passed. Otherwise a later Tick completes them.
 func (f *Feed) wakeIfDue(now time.Time) {
 	if f.pending && now.Sub(f.lastWake) >= max(minWakeInterval, time.Duration(len(f.lastPoll))*time.Second/maxResponsesPerSecond) {
 		f.lastWake, f.pending = now, false
--- a/internal/control/feed/feed_test.go
+++ b/internal/control/feed/feed_test.go
@@ -113,7 +113,7 @@
 	require.True(t, second.Doubts[0].Unresponsive)
 	go poll(second.DoubtsVersion)
 	_, refuted := f.Announce(epoch.Add(200*time.Millisecond), u, 0)
-	require.True(t, refuted, "the other voters need a liveness report, since they do not receive the announcement")
+	require.True(t, refuted, "a liveness report must go to the other voters, which do not receive the announcement")
 	require.Empty(t, (<-responses).Doubts)
 }
 
@@ -246,7 +246,7 @@
 	f.SetRemoteSource(remoteSource{upstreams: 10, calls: new(int)})
 	f.Announce(epoch, announced(1), 0)
 	require.Equal(t, 11, noticeCount(t, f, startingRequest("a")))
-	require.Equal(t, 1, noticeCount(t, f, feed.Request{Encoded: true, Self: self("b1", "a")}), "other balancers get them from those voters")
+	require.Equal(t, 1, noticeCount(t, f, feed.Request{Encoded: true, Self: self("b1", "a")}), "a balancer that is not starting gets them from those voters")
 }
 
 // Guards against a configuration that is acknowledged only after 7 s. While 300 balancers started
--- a/internal/control/feed/remote.go
+++ b/internal/control/feed/remote.go
@@ -14,11 +14,11 @@
 	// remoteCacheTTL is how long the encoded upstreams of other voters are reused. Encoding
 	// 3,000 upstreams for each of 300 starting balancers took half of the CPU time of all
 	// voters and delayed the acknowledgment of a configuration to 7 s. Stale entries do no
-	// harm: departures are sent to all voters, and this voter's own state overrides them.
+	// harm: departures are sent to all voters, and this voter's own state overrides the entries.
 	remoteCacheTTL = time.Second
 	// maxRemoteUpstreams is the number of upstreams of other voters up to which a starting
 	// balancer gets all of them. Above it, the balancer gets only those of its own zone and
-	// receives the rest from its parent: each takes 40 bytes on a possibly slow link.
+	// receives the rest from its parent: each upstream takes 40 bytes on a possibly slow link.
 	maxRemoteUpstreams = 500
 )
 
--- a/internal/control/feed/reports.go
+++ b/internal/control/feed/reports.go
@@ -69,8 +69,8 @@
 	return evidence.Event{Incarnation: u.Incarnation, Born: u.Born, Zone: u.Zone, Answered: true}
 }
 
-// evaluate updates the suspicions from the evidence and reports changes to balancers, at once unless
-// the rate limit applies. During each delay of 100 ms, further requests are sent on flows of an
+// evaluate updates the suspicions from the evidence and reports changes to balancers. It does not
+// wait for the next Tick, since during a delay of 100 ms further requests are sent on flows of an
 // unresponsive upstream.
 func (f *Feed) evaluate(now time.Time) {
 	before := f.suspicionsVersion()
@@ -91,8 +91,9 @@
 	})
 }
 
-// wakeForSuspicions completes polls because suspicions changed. Where balancers relay the suspicions, its
-// rate is limited, so that hundreds of upstreams that fail together are reported together.
+// wakeForSuspicions completes polls because suspicions changed. If balancers relay the suspicions,
+// the rate of these responses is limited, so that hundreds of upstreams that fail together are
+// reported together.
 func (f *Feed) wakeForSuspicions(now time.Time) {
 	pause := time.Duration(0)
 	if f.relayHops() > 0 {
--- a/internal/control/feed/response.go
+++ b/internal/control/feed/response.go
@@ -43,8 +43,8 @@
 }
 
 // inlineConfiguration returns the encoded configuration, or nil if there is none or it exceeds
-// maxInlineConfiguration. A starting balancer may poll several voters at once, and their copies
-// of a large configuration would saturate a slow link; the balancer fetches it separately.
+// maxInlineConfiguration. A starting balancer outside a tree polls several voters at once, and their
+// copies of a large configuration would saturate a slow link. The balancer then fetches it separately.
 func (f *Feed) inlineConfiguration() cbor.RawMessage {
 	if f.history.Current().Revision == 0 {
 		return nil
@@ -82,7 +82,8 @@
 }
 
 // attachEncodedNotices adds all notices to a response in encoded form, cached across balancers. It
-// reports false if the balancer requests changes only or does not accept that form.
+// reports false if it adds none: the balancer requests only changes or does not accept encoded
+// notices, or encoding failed.
 func (f *Feed) attachEncodedNotices(now time.Time, q Request, version uint64, a *Response) bool {
 	if version != 0 || !q.Encoded {
 		return false
@@ -100,8 +101,8 @@
 	return true
 }
 
-// Decoded returns the response with all notices decoded into Notices. Those that the voter received
-// itself come last, so that they override those of other voters.
+// Decoded returns the response with all notices decoded into Notices. The voter's own notices come
+// last, so that they override those of other voters.
 func (r Response) Decoded() (Response, error) {
 	var remote, own []directory.Notice
 	if len(r.Elsewhere) > 0 {
