--- a/internal/control/ledger/evacuate_test.go
+++ b/internal/control/ledger/evacuate_test.go
@@ -22,10 +22,10 @@
 	return answer
 }
 
-// Guards against a zone without flows after its evacuation ended. An evacuation order
-// waits in a stalled voter; the operator resends it to another voter and later ends the
-// evacuation; then the stalled voter proposes the first order. Orders carry no sequence
-// number, so without the expected revision the last to arrive would apply.
+// Guards against a zone without flows after its evacuation ended. An evacuation order waits
+// in a stalled voter. The operator resends the order to another voter and later ends the
+// evacuation, and then the stalled voter proposes the first order. Orders carry no sequence
+// number, so without the expected revision the last one to arrive would apply.
 func TestDelayedOrderDoesNotUndoLaterOne(t *testing.T) {
 	l := ledger.New()
 	require.Equal(t, ledger.Accepted, applyEvacuation(t, l, "again", "a", true, 0).Verdict)
@@ -76,7 +76,7 @@
 }
 
 // Checks that delayed, repeated and concurrent orders leave a zone in the state of the last
-// acknowledged order that was issued after its predecessor had been applied.
+// accepted order. An order issued before that one was applied must not be accepted after it.
 func TestAcknowledgedOrdersAreNotUndoneByOlderOnes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := ledger.New()
@@ -99,7 +99,7 @@
 			}
 			switch a := applyEvacuation(t, l, fmt.Sprint("key-", i), "a", x.on, x.expect); a.Verdict {
 			case ledger.Accepted:
-				require.Greater(t, x.at, lastAt, "an order issued before the last change was applied")
+				require.Greater(t, x.at, lastAt, "accepted an order that was issued before the last accepted one was applied")
 				last, lastAt = x.on, i
 			case ledger.Superseded:
 				require.Equal(t, last, x.on)
--- a/internal/control/ledger/ledger.go
+++ b/internal/control/ledger/ledger.go
@@ -20,8 +20,8 @@
 // Change is a change requested by an operator.
 type Change struct {
 	ChangeKey string
-	// ExpectRevision is the revision that the change is based on: of the configuration, or
-	// of the zone's evacuation state.
+	// ExpectRevision is the revision that the change is based on: that of the configuration
+	// or, for Evacuate, that of the zone's evacuation state.
 	ExpectRevision uint64
 	// UsePreset names the preset to put in force.
 	UsePreset string
@@ -249,9 +249,9 @@
 	return Answer{Verdict: Accepted, Revision: next.Revision}
 }
 
-// publish applies a configuration whose revision is set by the operator. A revision
-// that is not newer has no effect, even if the content of an equal one differs:
-// balancers may already have applied that revision.
+// publish applies a configuration whose revision is set by the operator, if it is higher than
+// the current one. An equal revision with other content has no effect either, since balancers
+// may already have applied that revision.
 func (l *Ledger) publish(c Change) Answer {
 	current := l.Current()
 	if answer := ValidatePublished(*c.Publish); answer.Verdict == Invalid {
@@ -266,7 +266,7 @@
 	return Answer{Verdict: Accepted, Revision: next.Revision}
 }
 
-// ValidatePublished validates a published configuration without regard to the current one.
+// ValidatePublished validates a published configuration independently of the current one.
 // It returns an Invalid answer with the reason, or an empty answer.
 func ValidatePublished(c configuration.Configuration) Answer {
 	if err := withPresets(c, configuration.Configuration{}).Check(); err != nil {
@@ -317,7 +317,7 @@
 	}
 }
 
-// ledgerSnapshot is the snapshot encoding of a ledger, followed by the evacuations.
+// ledgerSnapshot is the first part of an encoded snapshot; the encoded evacuations follow it.
 type ledgerSnapshot struct {
 	_       struct{} `cbor:",toarray"`
 	Current configuration.Configuration
