--- a/internal/control/referral/referral.go
+++ b/internal/control/referral/referral.go
@@ -16,8 +16,9 @@
 const decayInterval = 30 * time.Second
 
 // maxPerBalancer limits the upstreams that one voter refers to one balancer per decay
-// interval, to three times the mean of a fleet of 3,000 upstreams and 300 balancers. Voters
-// that have just started know few balancers; without the limit, a single balancer received 190 upstreams.
+// interval. It is three times the mean of a fleet of 3,000 upstreams and 300 balancers. Voters
+// that have just started know few balancers; without the limit, a single balancer received
+// 190 upstreams.
 const maxPerBalancer = 30
 
 // Referral chooses balancers by the number of upstreams referred to each.
@@ -31,10 +32,10 @@
 func New(s tree.Shape) *Referral { return &Referral{shape: s, referred: map[string]int{}} }
 
 // Choose returns the announcement address of a balancer in the upstream's zone, or "" if the
-// upstream stays with the voter, as in zones with few balancers. A hash of the sequence number
-// selects two candidates, of which the one with fewer upstreams is chosen: an upstream that
-// announces itself to a voter again because its balancer did not respond gets another one. Root
-// balancers are excluded, since they forward the reports of the others.
+// upstream stays with the voter, as in zones with few balancers. A hash of incarnation and sequence
+// number selects two candidates, and the one with fewer referred upstreams is chosen. Because of
+// the sequence number, an upstream whose balancer did not respond is likely to get another one when
+// it announces itself to a voter again. Root balancers are excluded: they forward the others' reports.
 func (r *Referral) Choose(now time.Time, u upstream.Upstream, zone []member.Member) string {
 	candidates := r.candidates(zone)
 	if len(candidates) == 0 {
--- a/internal/control/referral/referral_test.go
+++ b/internal/control/referral/referral_test.go
@@ -57,7 +57,7 @@
 }
 
 // Guards against an upstream that loses half of its announcements: its balancer has lost
-// power, the voter has not detected that yet and refers the upstream to it repeatedly.
+// power, and a voter that has not detected this refers the upstream to it repeatedly.
 func TestReturningUpstreamIsReferredToAnotherBalancer(t *testing.T) {
 	r := referral.New(shape)
 	referred := map[string]bool{}
@@ -68,8 +68,8 @@
 }
 
 // Guards against a balancer whose link is saturated by the announcements of 190 upstreams:
-// after a restart, all voters know only nine balancers of a zone and refer all upstreams to
-// the only one that is not a root.
+// after a restart, all voters knew only nine balancers of a zone and referred all upstreams
+// to the only one that was not a root. Here it is one of five.
 func TestReferralsPerBalancerAreLimited(t *testing.T) {
 	r, referred := referral.New(shape), 0
 	for i := range uint64(200) {
