--- a/internal/control/rostermanager/rostermanager.go
+++ b/internal/control/rostermanager/rostermanager.go
@@ -41,7 +41,7 @@
 	leaderSince time.Time
 	lastChange  time.Time
 	reports     map[string]report
-	// endedAt is when each listed balancer process was first known to have ended, by name.
+	// endedAt is when each listed balancer process became known to have ended, by name.
 	endedAt map[string]time.Time
 }
 
@@ -55,7 +55,7 @@
 	mgr.reports[r.Member.Name] = report{Report: r, receivedAt: now}
 }
 
-// Forget records that a balancer is gone for good, as stated by an operator.
+// Forget records an operator's statement that a balancer will not return.
 func (mgr *Manager) Forget(now time.Time, name string) { mgr.endedAt[name] = now }
 
 // Decide returns the next change of the roster, if any.
@@ -79,7 +79,7 @@
 }
 
 // desiredMembers returns the balancers that report and are not leaving. A new
-// leader also keeps the listed ones until they have had time to report.
+// leader also keeps the listed balancers until they have had time to report.
 func (mgr *Manager) desiredMembers(now time.Time, r roster.Roster) []roster.Member {
 	var ms []roster.Member
 	for _, last := range mgr.reports {
@@ -96,10 +96,7 @@
 	return ms
 }
 
-// settled reports whether the previous list is no longer needed: in every slot, a
-// majority of its members has copied its records. Then no claim can succeed under the
-// old epoch, and every record that a majority held is copied. If a majority is known to
-// have ended, its records are unreachable and expire after KeyRetention.
+// settled reports whether the previous list is no longer needed, because every slot is settled.
 func (mgr *Manager) settled(now time.Time, r roster.Roster) bool {
 	v := roster.NewView(r)
 	for slot := range ownership.Slots {
@@ -111,7 +108,11 @@
 	return true
 }
 
-// slotSettled reports whether one slot, stored by the given replicas of the previous list, is settled.
+// slotSettled reports whether one slot, stored by the given replicas of the previous list, is
+// settled. This is so once a majority of them has copied its records: then no claim can succeed
+// under the old epoch, and every record that a majority held is copied. A slot is also settled
+// once each replica has copied its records or ended at least KeyRetention ago: the records of
+// ended replicas are unreachable and have expired by then.
 func (mgr *Manager) slotSettled(now time.Time, epoch uint64, replicas []roster.Member) bool {
 	moved, expiredCount := 0, 0
 	for _, m := range replicas {
