--- a/internal/control/upstreams/upstreams.go
+++ b/internal/control/upstreams/upstreams.go
@@ -65,14 +65,14 @@
 	// Self is this voter's RPC address.
 	Self string
 	// Known returns the RPC addresses of all voters that receive announcements, and
-	// VotingPeers those whose majority must hold a departure. Both may include this voter.
-	// VotingPeers is empty while there is no list of voters.
+	// VotingPeers those of the voters of which a majority must hold a departure. Both may
+	// include this voter. VotingPeers is empty while there is no list of voters.
 	Known, VotingPeers func() []string
 	// Shape is the shape of the balancer trees to which upstreams are referred.
 	Shape tree.Shape
 	// AnnounceInterval is the announcement interval of an upstream.
 	AnnounceInterval time.Duration
-	// Responsive returns the responsive voters, including this one.
+	// Responsive returns the voters that currently respond, including this one.
 	Responsive func() []owner.Voter
 }
 
@@ -123,8 +123,8 @@
 }
 
 // receiveForwarded records an announcement that a balancer or voter forwarded. Departures are
-// accepted only from the upstream itself, since they are acknowledged only once a majority
-// holds them.
+// accepted only from the upstream itself, since forwarded announcements are acknowledged without
+// waiting until a majority holds them.
 func (u *Receiver) receiveForwarded(now time.Time, a handover.Announcement) {
 	if a.Upstream.State != upstream.Ready || !u.feed.Configured(a.Upstream.Service) {
 		u.logRejected(now, a.Upstream)
@@ -133,14 +133,14 @@
 	u.record(now, a)
 }
 
-// logRejected logs an announcement that a balancer accepted and this voter rejects. The rate
-// is limited, since a faulty announcer may send hundreds.
+// logRejected logs an announcement that another process accepted and this voter rejects. The
+// rate is limited, since a faulty announcer may send hundreds.
 func (u *Receiver) logRejected(now time.Time, a upstream.Upstream) {
 	u.mu.Lock()
 	suppressed, ok := u.limiter.Allow(now)
 	u.mu.Unlock()
 	if ok {
-		u.log.Warn("announcement forwarded by a balancer rejected", "Incarnation", fmt.Sprintf("%x", a.Incarnation),
+		u.log.Warn("rejected forwarded announcement", "Incarnation", fmt.Sprintf("%x", a.Incarnation),
 			"Service", a.Service, "State", a.State.String(), "MoreBefore", suppressed)
 	}
 }
@@ -155,8 +155,8 @@
 }
 
 // forwardToOwner forwards an announcement to the voter that owns the upstream and reports whether
-// that voter accepted it. The announcement arrives here if the upstream's balancer has ended.
-// In zones whose upstreams announce to voters only, it stays at the receiving voter.
+// that voter accepted it. Upstreams announce themselves to any voter once their balancer has ended.
+// In zones whose upstreams announce only to voters, announcements stay at the receiving voter.
 func (u *Receiver) forwardToOwner(ctx context.Context, a handover.Announcement) bool {
 	zone := lo.Map(u.feed.Fleet(a.Upstream.Zone), func(m member.Member, _ int) string { return m.Address })
 	if !u.settings.Shape.MultiLevel(zone) {
--- a/internal/control/upstreams/upstreams_test.go
+++ b/internal/control/upstreams/upstreams_test.go
@@ -108,9 +108,9 @@
 	require.NoError(t, u.Announce(t.Context(), ready, 0), "a ready upstream needs no majority")
 }
 
-// Guards against an acknowledged departure that is lost with two of five voters, a loss that
-// must be tolerated. Two learners and one voter hold the departure, two voters do not;
-// learners must not count towards the majority.
+// Guards against an acknowledged departure that is lost when two of five voters fail,
+// which must be tolerated. Two learners and one voter hold the departure, and two voters do
+// not; learners must not count towards the majority.
 func TestLearnersDoNotCountTowardsTheMajority(t *testing.T) {
 	vs := voters(t, 5, 2)
 	known := vs[0].known
@@ -124,8 +124,8 @@
 	require.Equal(t, upstreams.UnsharedError{Holders: 1, Needed: 2}, *unshared)
 }
 
-// Guards against a serving upstream that is repeatedly marked as replaced, because another
-// announcer uses its address for a service that is not configured and the last announcement
+// Guards against a serving upstream that is repeatedly marked as replaced. Another announcer
+// uses the upstream's address for a service that is not configured, and the last announcement
 // of an address wins.
 func TestUpstreamOfUnknownServiceDoesNotTakeOverAddress(t *testing.T) {
 	v := voters(t, 1, 0)[0]
