--- a/internal/control/voter/publish.go
+++ b/internal/control/voter/publish.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// leaderTimeout is how long a call waits for a known leader. Elections finish within it,
-	// and callers time out after about a second.
+	// leaderTimeout is how long a call waits until a leader is known. Elections finish within
+	// this time, and callers time out after about a second.
 	leaderTimeout = 700 * time.Millisecond
 	// leaderPollInterval is the time between two checks for a leader.
 	leaderPollInterval = 25 * time.Millisecond
@@ -60,8 +60,8 @@
 	return v.ledger.Current()
 }
 
-// Read is a linearizable read: it returns the newest committed configuration once a majority
-// has confirmed the leader after the call began, or an error.
+// Read returns the newest committed configuration. The read is linearizable: a majority must
+// confirm the leader after the call began, or Read returns an error.
 func (v *Voter) Read(ctx context.Context) (configuration.Configuration, error) {
 	return callLeader(ctx, v, empty{}, ReadMethod, v.readLocal)
 }
--- a/internal/control/voter/voter.go
+++ b/internal/control/voter/voter.go
@@ -55,8 +55,7 @@
 	Reopen func() (*wal.Log, agreement.PersistentState, error)
 	// Changed, if set, is called with the history of each configuration that takes effect.
 	Changed func(history.History)
-	// Evacuated, if set, is called with the evacuation orders in effect, before Changed is
-	// called for a later configuration.
+	// Evacuated, if set, is called with the evacuation orders in effect, always before Changed.
 	Evacuated func(evacuation.Evacuations)
 }
 
@@ -102,7 +101,7 @@
 	counts *counts
 	// replaying is set while the log is replayed at a start.
 	replaying bool
-	// clusterView is the view that was logged last.
+	// clusterView is the last logged view of the cluster.
 	clusterView clusterView
 	// members can be read without the lock, which is held during disk writes.
 	members atomic.Pointer[members]
@@ -171,8 +170,8 @@
 	v.source.PublishRoster(v.ledger.Roster())
 }
 
-// current reports whether this voter is considered up to date: it leads with a lease, or it received
-// a leader's message within the election timeout.
+// current reports whether this voter is considered up to date: it holds the leader's lease, or it
+// received a message from the leader within the minimum election timeout.
 func (v *Voter) current() bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/internal/control/voter/voter_test.go
+++ b/internal/control/voter/voter_test.go
@@ -49,7 +49,7 @@
 	return v
 }
 
-// newVoter returns a voter and a function that starts it; that function returns one that stops it.
+// newVoter returns a voter and a start function, which returns a stop function.
 func newVoter(t *testing.T, disk *lockedFolder, changed func(history.History)) (*voter.Voter, func() func()) {
 	w, d, err := wal.Open(disk)
 	require.NoError(t, err)
