--- a/internal/daemon/balancer/admin.go
+++ b/internal/daemon/balancer/admin.go
@@ -173,7 +173,7 @@
 	set("MisdeliveredTotal", s.Router.Misdelivered)
 	set("RepairBytesTotal", s.Router.RepairBytes)
 	set("RequestKeys", uint64(b.memory.Len()))
-	b.setDoorMetrics(set)
+	b.setRequestMetrics(set)
 	set("ControlBytesTotal", s.Swim.SentBytes+s.Router.RepairBytes)
 	if err := text.New(r, metricPrefix).Print(w); err != nil {
 		b.log.Debug("failed to write metrics", "Error", err)
--- a/internal/daemon/balancer/balancer.go
+++ b/internal/daemon/balancer/balancer.go
@@ -42,13 +42,13 @@
 	Clock func() time.Time
 	// Trace records events if set.
 	Trace *trace.Writer
-	// Doors are the listen addresses of the HTTP doors, by service.
+	// Doors are the addresses of the HTTP listeners, by service.
 	Doors map[string]string
 	// MaxKeys and KeyWindow limit the number and the age of stored request keys.
 	MaxKeys   int
 	KeyWindow time.Duration
-	// SaveConfiguration saves the configuration in force to disk, and SavedConfiguration is the one saved before
-	// the start, if any; both are nil without a disk.
+	// SaveConfiguration saves the configuration in force to disk. SavedConfiguration is the one
+	// saved before the start, if any. Both are nil without a disk.
 	SaveConfiguration  func(configuration.Configuration) error
 	SavedConfiguration *configuration.Configuration
 }
@@ -79,7 +79,7 @@
 	loggedInvalidDatagrams uint64
 	pool                   *pool.Pool
 	memory                 *memory.Replica
-	doors                  map[string]*doorServer
+	serviceServers         map[string]*serviceServer
 	leaving                atomic.Bool
 	cancelMove             context.CancelFunc
 }
@@ -102,7 +102,7 @@
 	b.memory = memory.New(memory.Settings{
 		Self: b.rosterMember(), Window: s.KeyWindow, Limit: s.MaxKeys, Clock: s.Clock,
 	}, b.pool, log)
-	b.createDoors()
+	b.createHTTPServers()
 	return b, nil
 }
 
@@ -120,14 +120,14 @@
 	if b.admin, err = net.Listen("tcp", b.settings.Admin); err != nil {
 		return fmt.Errorf("listen on Admin: %w", err)
 	}
-	return b.listenDoors()
+	return b.listenHTTP()
 }
 
 // Addresses holds the addresses that a balancer listens on.
 type Addresses struct {
 	Fabric, Peer netip.AddrPort
 	Rpc, Admin   string
-	// Doors maps services to the addresses of their doors.
+	// Doors maps services to the addresses of their HTTP listeners.
 	Doors map[string]string
 }
 
@@ -135,11 +135,11 @@
 func (b *Balancer) Addresses() Addresses {
 	return Addresses{
 		Fabric: b.fabric.Address(), Peer: b.peer.Address(),
-		Rpc: b.rpc.Addr().String(), Admin: b.admin.Addr().String(), Doors: b.doorAddresses(),
+		Rpc: b.rpc.Addr().String(), Admin: b.admin.Addr().String(), Doors: b.httpAddresses(),
 	}
 }
 
-// SetSeeds sets the peers to join the group through; it must be called before Start.
+// SetSeeds sets the peers through which the balancer joins the cluster; it must be called before Start.
 func (b *Balancer) SetSeeds(seeds []netip.AddrPort) {
 	b.settings.Reducer.Swim.Seeds = seeds
 	b.reducer = reducer.New(b.settings.Reducer, b.settings.Clock())
@@ -162,7 +162,7 @@
 	b.goRun(func() { b.puller.Run(b.ctx) })
 	b.goRun(b.serveRPC)
 	b.goRun(b.serveAdmin)
-	b.startDoors()
+	b.startHTTPServers()
 }
 
 func (b *Balancer) goRun(f func()) {
@@ -173,8 +173,8 @@
 	}()
 }
 
-// Stop stops the process gracefully: it hands flows over within the stop timeout, and
-// notifies the group.
+// Stop stops the process gracefully. Within the stop timeout it completes requests and hands
+// flows and keys over; then it notifies the other members that it has stopped.
 func (b *Balancer) Stop(ctx context.Context) error {
 	b.leaving.Store(true)
 	_ = b.reduce(event.Event{Kind: event.StopPlanned})
@@ -213,7 +213,7 @@
 	if b.pool != nil {
 		b.pool.Close()
 	}
-	for _, e := range b.doors {
+	for _, e := range b.serviceServers {
 		e.close()
 	}
 	for _, s := range []*datagram.Socket{b.fabric, b.peer} {
@@ -256,17 +256,17 @@
 	return b.reduce(event.Event{Kind: event.UpstreamAnnounced, Upstream: &u, TokenSha256: hex.EncodeToString(sum[:])})
 }
 
-// Offer applies a configuration if it is newer, publishes it to peers and saves it.
+// Offer applies a configuration if it is newer than the one in force, publishes it to peers and saves it.
 func (b *Balancer) Offer(c configuration.Configuration) {
 	_ = b.reduce(event.Event{Kind: event.ConfigurationReceived, Configuration: &c})
-	now := b.Configuration()
-	b.source.Publish(now)
-	if b.settings.SaveConfiguration == nil || now.Revision <= b.storedRevision {
+	current := b.Configuration()
+	b.source.Publish(current)
+	if b.settings.SaveConfiguration == nil || current.Revision <= b.storedRevision {
 		return
 	}
-	b.storedRevision = now.Revision
-	if err := b.settings.SaveConfiguration(now); err != nil {
-		b.log.Warn("failed to save configuration", "Revision", now.Revision, "Error", err)
+	b.storedRevision = current.Revision
+	if err := b.settings.SaveConfiguration(current); err != nil {
+		b.log.Warn("failed to save configuration", "Revision", current.Revision, "Error", err)
 	}
 }
 
@@ -277,13 +277,13 @@
 	return b.reducer.Evacuations()
 }
 
-// OfferEvacuations applies evacuation orders if they are newer.
+// OfferEvacuations applies evacuation orders if they are newer than those in force.
 func (b *Balancer) OfferEvacuations(e evacuation.Evacuations) {
 	before := b.Evacuations()
 	_ = b.reduce(event.Event{Kind: event.EvacuationsReceived, Evacuations: &e})
-	if now := b.Evacuations(); now.Revision > before.Revision {
-		b.log.Info("zones evacuated", "Revision", now.Revision, "Zones", now.EvacuatedZones())
-		b.source.PublishEvacuations(now)
+	if current := b.Evacuations(); current.Revision > before.Revision {
+		b.log.Info("zones evacuated", "Revision", current.Revision, "Zones", current.EvacuatedZones())
+		b.source.PublishEvacuations(current)
 	}
 }
 
--- a/internal/daemon/balancer/balancer_test.go
+++ b/internal/daemon/balancer/balancer_test.go
@@ -141,7 +141,7 @@
 	b.ReportMetric(float64(<-done)/float64(b.N), "delivered/sent")
 }
 
-// TestInvalidDatagramsAreDroppedAndCounted sends garbage to both ports.
+// TestInvalidDatagramsAreDroppedAndCounted sends an invalid datagram to each port.
 func TestInvalidDatagramsAreDroppedAndCounted(t *testing.T) {
 	b := start(t)
 	for _, to := range []netip.AddrPort{b.Addresses().Fabric, b.Addresses().Peer} {
@@ -154,9 +154,9 @@
 	require.Eventually(t, func() bool { return b.Status().Refused == 2 }, 10*time.Second, time.Millisecond)
 }
 
-// TestDoorServesHTTP1AndHTTP2 sends requests in HTTP/1.1 and HTTP/2 to a door without
-// upstreams: it must answer that the request was not run.
-func TestDoorServesHTTP1AndHTTP2(t *testing.T) {
+// TestHTTPListenerServesHTTP1AndHTTP2 sends requests in HTTP/1.1 and HTTP/2 for a service
+// without upstreams: the response must say that the request was not run.
+func TestHTTPListenerServesHTTP1AndHTTP2(t *testing.T) {
 	b := start(t)
 	for _, major := range []int{1, 2} {
 		p := new(http.Protocols)
--- a/internal/daemon/balancer/events.go
+++ b/internal/daemon/balancer/events.go
@@ -24,8 +24,8 @@
 	}
 }
 
-// logInvalidDatagrams logs the number of dropped datagrams; with a line for each, anyone who can
-// send datagrams could fill the disk.
+// logInvalidDatagrams logs the number of dropped datagrams. A line for each of them would let
+// anyone who can send datagrams fill the disk.
 func (b *Balancer) logInvalidDatagrams() {
 	b.mu.Lock()
 	bad := b.reducer.InvalidDatagrams()
--- a/internal/daemon/balancer/requests.go
+++ b/internal/daemon/balancer/requests.go
@@ -29,41 +29,41 @@
 	refreshInterval      = 100 * time.Millisecond
 	expireInterval       = 5 * time.Second
 	handOverPollInterval = 50 * time.Millisecond
-	doorIdleTimeout      = time.Minute
+	httpIdleTimeout      = time.Minute
 	initialQueueLimit    = 50
 	initialRetryPercent  = 10
 	initialSlotLimit     = 1
 )
 
-// doorServer is a door with its listener and HTTP server.
-type doorServer struct {
+// serviceServer serves the HTTP requests of one service.
+type serviceServer struct {
 	service  string
 	listener net.Listener
 	server   *http.Server
-	door     *door.Proxy
+	proxy    *door.Proxy
 }
 
-func (e *doorServer) close() {
+func (e *serviceServer) close() {
 	if e.server != nil {
 		_ = e.server.Close()
 	}
 	_ = e.listener.Close()
 }
 
-func (b *Balancer) listenDoors() error {
-	b.doors = map[string]*doorServer{}
+func (b *Balancer) listenHTTP() error {
+	b.serviceServers = map[string]*serviceServer{}
 	for service, address := range b.settings.Doors {
 		l, err := net.Listen("tcp", address)
 		if err != nil {
 			return fmt.Errorf("listen on Door of %s: %w", service, err)
 		}
-		b.doors[service] = &doorServer{service: service, listener: l}
+		b.serviceServers[service] = &serviceServer{service: service, listener: l}
 	}
 	return nil
 }
 
-func (b *Balancer) doorAddresses() map[string]string {
-	return lo.MapValues(b.doors, func(e *doorServer, _ string) string { return e.listener.Addr().String() })
+func (b *Balancer) httpAddresses() map[string]string {
+	return lo.MapValues(b.serviceServers, func(e *serviceServer, _ string) string { return e.listener.Addr().String() })
 }
 
 func (b *Balancer) rosterMember() roster.Member {
@@ -71,15 +71,15 @@
 	return roster.Member{Name: s.Name, Zone: s.Zone, Start: s.Start, Rpc: b.settings.Reducer.Source}
 }
 
-func (b *Balancer) createDoors() {
+func (b *Balancer) createHTTPServers() {
 	c := claimer.New(b.memory, claimTimeout, b.memory.View)
-	for _, e := range b.doors {
-		e.door = door.New(door.Settings{
+	for _, e := range b.serviceServers {
+		e.proxy = door.New(door.Settings{
 			Service: e.service, Name: b.settings.Reducer.Router.Self, Clock: b.settings.Clock,
 			Limits: dispatch.Settings{SlotLimit: initialSlotLimit, QueueLimit: initialQueueLimit, RetryPercent: initialRetryPercent},
 		}, c, b.log)
 		e.server = &http.Server{
-			Handler: e.door, ReadHeaderTimeout: headerTimeout, IdleTimeout: doorIdleTimeout, ErrorLog: b.log.StandardLogger(nil),
+			Handler: e.proxy, ReadHeaderTimeout: headerTimeout, IdleTimeout: httpIdleTimeout, ErrorLog: b.log.StandardLogger(nil),
 			Protocols: protocols(),
 		}
 	}
@@ -94,18 +94,18 @@
 	return p
 }
 
-func (b *Balancer) startDoors() {
-	for _, e := range b.doors {
-		b.goRun(func() { e.door.Run(b.ctx) })
+func (b *Balancer) startHTTPServers() {
+	for _, e := range b.serviceServers {
+		b.goRun(func() { e.proxy.Run(b.ctx) })
 		b.goRun(func() {
 			if err := e.server.Serve(e.listener); !errors.Is(err, http.ErrServerClosed) && b.ctx.Err() == nil {
-				b.log.Error("door server stopped", "Service", e.service, "Error", err)
+				b.log.Error("HTTP server stopped", "Service", e.service, "Error", err)
 			}
 		})
 	}
 	r := registrar.New(b.settings.Puller.Sources, reportInterval, b.pool, b.rosterReport)
 	b.goRun(func() { r.Run(b.ctx) })
-	b.goRun(b.refreshDoors)
+	b.goRun(b.refreshProxies)
 }
 
 func (b *Balancer) rosterReport() rostermanager.Report {
@@ -115,8 +115,8 @@
 // RosterVersion returns the version of the current roster.
 func (b *Balancer) RosterVersion() uint64 { return b.memory.View().Roster.Version }
 
-// OfferRoster applies a roster if it is newer, and copies the keys stored here to the members
-// that must store them under it.
+// OfferRoster applies a roster if it is newer than the current one, and copies the keys stored
+// here to the members that must store them under the new roster.
 func (b *Balancer) OfferRoster(r roster.Roster) {
 	if !b.memory.SetRoster(r) {
 		return
@@ -132,9 +132,9 @@
 	b.goRun(func() { b.memory.CopyRecords(ctx) })
 }
 
-// refreshDoors updates the doors with the current members and upstreams, and removes expired
+// refreshProxies updates the proxies with the current members and upstreams, and removes expired
 // keys.
-func (b *Balancer) refreshDoors() {
+func (b *Balancer) refreshProxies() {
 	refresh := time.NewTicker(refreshInterval)
 	defer refresh.Stop()
 	expire := time.NewTicker(expireInterval)
@@ -144,8 +144,8 @@
 		case <-b.ctx.Done():
 			return
 		case <-refresh.C:
-			for _, e := range b.doors {
-				b.refreshDoor(e)
+			for _, e := range b.serviceServers {
+				b.refreshProxy(e)
 			}
 		case <-expire.C:
 			b.memory.Expire()
@@ -153,7 +153,7 @@
 	}
 }
 
-func (b *Balancer) refreshDoor(e *doorServer) {
+func (b *Balancer) refreshProxy(e *serviceServer) {
 	now := b.settings.Clock()
 	b.mu.Lock()
 	c := b.reducer.Configuration()
@@ -162,25 +162,25 @@
 	shares := lo.Map(upstreams, func(u upstream.Upstream, _ int) float64 { return b.reducer.Share(now, u.Address) })
 	b.mu.Unlock()
 	service, _ := c.Service(e.service)
-	e.door.SetService(service.Repeatable, service.Priority)
+	e.proxy.SetService(service.Repeatable, service.Priority)
 	names := lo.FilterMap(members, func(m swim.Member, _ int) (string, bool) { return m.Name, !m.Passive })
 	assignment := slotassignment.Assign(lo.Map(upstreams, func(u upstream.Upstream, _ int) slotassignment.Upstream {
 		return slotassignment.Upstream{Name: u.Address.String(), Slots: usableSlots(u, c)}
 	}), names)
 	targets := make([]dispatch.Target, 0, len(upstreams))
-	doors := map[string]string{}
+	httpAddresses := map[string]string{}
 	for i, u := range upstreams {
 		name := u.Address.String()
 		if u.Door == "" {
 			continue
 		}
-		doors[name] = u.Door
+		httpAddresses[name] = u.Door
 		targets = append(targets, dispatch.Target{
 			Name: name, Slots: usableSlots(u, c), Share: shares[i], AssignedSlots: assignment.Slots(b.settings.Reducer.Router.Self, name),
 		})
 	}
 	p := c.Preset()
-	e.door.SetTargets(dispatch.Settings{SlotLimit: p.SlotLimit, QueueLimit: p.QueueLimit, RetryPercent: p.RetryPercent}, targets, doors)
+	e.proxy.SetTargets(dispatch.Settings{SlotLimit: p.SlotLimit, QueueLimit: p.QueueLimit, RetryPercent: p.RetryPercent}, targets, httpAddresses)
 }
 
 // usableSlots returns the slots of an upstream, limited by the preset in force.
@@ -188,14 +188,14 @@
 	return min(int(u.Slots), max(c.Preset().SlotLimit, 1))
 }
 
-// waitHandedOver returns a channel that is closed when all requests are answered, and flows
+// waitHandedOver returns a channel that is closed once all requests are complete, and all flows
 // and keys are handed over.
 func (b *Balancer) waitHandedOver(ctx context.Context) <-chan struct{} {
 	done := make(chan struct{})
 	b.goRun(func() {
 		defer close(done)
 		var wg sync.WaitGroup
-		for _, e := range b.doors {
+		for _, e := range b.serviceServers {
 			wg.Add(1)
 			go func() {
 				defer wg.Done()
@@ -224,10 +224,10 @@
 	return lo.Contains(r.Previous, self)
 }
 
-func (b *Balancer) setDoorMetrics(set func(string, uint64)) {
+func (b *Balancer) setRequestMetrics(set func(string, uint64)) {
 	var total [6]int64
-	for _, e := range b.doors {
-		c := &e.door.Counters
+	for _, e := range b.serviceServers {
+		c := &e.proxy.Counters
 		for i, v := range []int64{c.Requests.Load(), c.Answered.Load(), c.NotRun.Load(), c.Unknown.Load(), c.Shed.Load(), c.Retried.Load()} {
 			total[i] += v
 		}
