--- a/internal/daemon/control/control.go
+++ b/internal/daemon/control/control.go
@@ -37,12 +37,13 @@
 // Settings configure a voter process.
 type Settings struct {
 	Name string
-	// Zone is the voter's availability zone, Shape the shape of the balancers' trees.
-	Zone  string
+	// Zone is the voter's availability zone.
+	Zone string
+	// Shape is the shape of the balancers' trees.
 	Shape tree.Shape
 	Rpc   string
-	// Advertise is the address that other processes connect to, if it differs from Rpc,
-	// such as behind NAT.
+	// Advertise is the address that other processes connect to. It is empty unless it differs
+	// from the address listened on, as behind NAT.
 	Advertise  string
 	DataFolder string
 	Founders   []agreement.Voter
@@ -56,11 +57,12 @@
 	OperatorToken string
 	RosterManager rostermanager.Settings
 	Clock         func() time.Time
-	// JoinOnly forbids bootstrapping a new cluster, because one is known to run.
+	// JoinOnly prevents bootstrapping a new cluster, because one already exists.
 	JoinOnly bool
 	// Tolerate is the number of disks that may be lost at the same time.
 	Tolerate int
-	// InitialElectionTimeout is the maximum election timeout after a start; 0 uses Election.
+	// InitialElectionTimeout is the maximum election timeout after a start; 0 means that
+	// Election applies from the start.
 	InitialElectionTimeout time.Duration
 	// AnnounceInterval is the time between two announcements of an upstream.
 	AnnounceInterval time.Duration
@@ -81,8 +83,8 @@
 	feed     *feed.Feed
 	// upstreams receives the upstreams' announcements and records them in the feed.
 	upstreams *upstreams.Receiver
-	// follower receives the other voters' updates on upstreams, remoteUpstreams
-	// stores them.
+	// follower receives the other voters' updates on upstreams, and remoteUpstreams stores
+	// these updates.
 	follower        *follower.Follower
 	remoteUpstreams *remoteUpstreams
 	server          *rpc.Server
@@ -182,8 +184,8 @@
 // identityRecord identifies a disk from its first use until it is lost.
 type identityRecord struct{ Id string }
 
-// loadDiskID returns the disk's id, and creates one on an empty disk: a voter that lost its
-// disk must not vote under the id it had before.
+// loadDiskID returns the disk's id. It creates an id on an empty disk, since a voter that lost
+// its disk must not vote under its former id.
 func loadDiskID(f folder.Folder) (string, error) {
 	b, err := f.ReadFile(identityFile)
 	if err == nil {
@@ -240,7 +242,8 @@
 // Address returns the address that the voter listens on.
 func (c *Control) Address() string { return c.listener.Addr().String() }
 
-// Stop stops the process; a leader transfers its leadership first.
+// Stop ends the voter's goroutines and closes its listener and data folder. A leader first
+// transfers its leadership.
 func (c *Control) Stop() {
 	if c.cancel != nil {
 		c.voter.TransferLeadership()
--- a/internal/daemon/control/control_test.go
+++ b/internal/daemon/control/control_test.go
@@ -204,9 +204,9 @@
 	require.Equal(t, u.Identity, a.Notices[0].Upstream.Identity)
 }
 
-// Guards against saved upstreams that are older the larger the fleet is: in a common file,
-// whose save interval grows with its size, a voter's own upstreams were saved only together
-// with those of all others.
+// Guards against saved upstreams that are out of date in a large fleet. In a common file,
+// whose save interval grows with its size, a voter's own upstreams were saved only as often
+// as those of all others.
 func TestLocalAndRemoteUpstreamsAreSavedSeparately(t *testing.T) {
 	f := newCluster(t, 3)
 	f.waitForVoters(3)
--- a/internal/daemon/control/persistence.go
+++ b/internal/daemon/control/persistence.go
@@ -25,8 +25,8 @@
 	// than any flow may stay open.
 	forgetAfter = 90 * time.Second
 	// saveInterval is the minimum time between two writes of a file of upstreams, and
-	// saveIntervalPerUpstream is added for each upstream in it: encoding 3,000 upstreams
-	// takes 1.4 ms, which every second is 0.6 % of a VM with a quarter of a core.
+	// saveIntervalPerUpstream is added for each upstream in the file. Encoding 3,000 upstreams
+	// takes 1.4 ms; once a second, that is 0.6 % of the CPU time of a quarter of a core.
 	saveInterval            = time.Second
 	saveIntervalPerUpstream = 2 * time.Millisecond
 	// tickInterval is how often upstreams are checked for silence, and the maximum delay of
@@ -37,8 +37,8 @@
 // callLogInterval is the time between two log lines on served calls.
 const callLogInterval = 10 * time.Second
 
-// logCalls logs the number of served calls by method, which shows afterwards what the voter
-// used CPU time for.
+// logCalls logs the number of served calls by method, so that the log shows which calls the
+// voter spent CPU time on.
 func (c *Control) logCalls(now time.Time) {
 	if now.Sub(c.callsLogged) < callLogInterval {
 		return
@@ -73,8 +73,8 @@
 // saveUpstreams saves this voter's upstreams and those of the other voters when they change,
 // so that balancers have upstreams after all voters restart at once. It runs in its own
 // goroutine, because a hanging disk must not delay updates to balancers. This voter's
-// upstreams are a small part of a large fleet: their own file is written often, and so is
-// recent after a site-wide power loss.
+// upstreams are a small part of a large fleet. Since they have a file of their own, it is
+// written often and is recent after a site-wide power loss.
 func (c *Control) saveUpstreams(ctx context.Context) {
 	t := time.NewTicker(tickInterval)
 	defer t.Stop()
@@ -131,8 +131,8 @@
 	return folder.Replace(c.folder, file, b)
 }
 
-// restoreUpstreams loads the upstreams that the process knew before its restart. Each counts
-// as announced now, and expires like any other.
+// restoreUpstreams loads the upstreams that were saved before the restart. Each counts as
+// announced now, and expires like any other upstream.
 func (c *Control) restoreUpstreams() {
 	now := c.settings.Clock()
 	for _, file := range []string{upstreamsFile, remoteUpstreamsFile} {
--- a/internal/daemon/control/remote.go
+++ b/internal/daemon/control/remote.go
@@ -36,8 +36,8 @@
 	return configuration.Configuration{Revision: math.MaxUint64}
 }
 
-// HasUpstreams returns true so that other voters leave out upstreams that they only restored
-// from disk: restored upstreams would never expire here.
+// HasUpstreams returns true, so that other voters do not send the upstreams that they only
+// restored from disk: restored upstreams would never expire here.
 func (o *remoteUpstreams) HasUpstreams() bool { return true }
 
 // OnConfiguration ignores a configuration.
