--- a/internal/daemon/cookie/announcements.go
+++ b/internal/daemon/cookie/announcements.go
@@ -30,15 +30,15 @@
 	return b.fanout.announcements.Add(ctx, b.batchDelay(true), handover.Announcement{Upstream: u, Cold: cold})
 }
 
-// batchDelay returns how long announcements wait to be forwarded in a batch; own is set for those
-// that upstreams sent to this balancer.
+// batchDelay returns how long announcements wait to be forwarded in a batch. own is set for
+// announcements that upstreams sent to this balancer itself.
 func (b *Balancer) batchDelay(own bool) time.Duration {
 	return handover.BatchDelay(b.settings.AnnounceInterval, b.follower.Level(), own)
 }
 
-// Refer returns the address that an upstream announces to from now on, empty while this
-// balancer serves it. Without the referral all upstreams of a stopping balancer would fall
-// back to the voters at once.
+// Refer returns the address to which an upstream announces itself from now on, or "" while this
+// balancer accepts its announcements. Without the referral, all upstreams of a stopping balancer
+// would fall back to the voters at once.
 func (b *Balancer) Refer(u upstream.Upstream) string {
 	if !b.leaving.Load() {
 		return ""
--- a/internal/daemon/cookie/buffer.go
+++ b/internal/daemon/cookie/buffer.go
@@ -20,7 +20,7 @@
 type bufferedPacket struct {
 	packet router.Packet
 	data   []byte
-	// arrived is when the packet reached this VM.
+	// arrived is when the packet reached this VM's socket.
 	arrived time.Time
 }
 
@@ -34,9 +34,9 @@
 	b.unplaced.Add(now, arrived, e.key(), e)
 }
 
-// placeBuffered tries to place the buffered packets: unplaced ones once more state is
-// known, and those that wait for capacity once their upstream has some. The caller holds
-// the lock.
+// placeBuffered tries to place the packets of a buffer. It is called for unplaced when more
+// state is known, and for awaitingCapacity when upstreams may have capacity again. The caller
+// holds the lock.
 func (b *Balancer) placeBuffered(now time.Time, buffered *pending.Buffer[packetKey, bufferedPacket]) {
 	if buffered.Len() == 0 {
 		return
--- a/internal/daemon/cookie/cookie.go
+++ b/internal/daemon/cookie/cookie.go
@@ -49,8 +49,8 @@
 	// tickInterval is the interval of the router's housekeeping.
 	tickInterval = 100 * time.Millisecond
 	// drainQuietPeriod is the time without a packet that ends a planned stop, and
-	// minDrainTime its minimum duration: the fabric removes a balancer from rotation
-	// after two failed checks, half a second apart.
+	// minDrainTime is the minimum duration of a planned stop: the fabric removes a balancer
+	// from rotation after two failed checks, half a second apart.
 	drainQuietPeriod = 600 * time.Millisecond
 	minDrainTime     = 1500 * time.Millisecond
 	// minSuspicionInterval is the minimum time between two updates of the router's
@@ -58,8 +58,8 @@
 	// them within some tenths of a second.
 	minSuspicionInterval = 20 * time.Millisecond
 	// livenessReportInterval is how often liveness reports on suspected upstreams are
-	// repeated: if one is lost, a live upstream would count as unresponsive. A report and
-	// the update that follows it take less time over three levels of balancers.
+	// repeated: if one is lost, a live upstream would count as unresponsive. Over three levels
+	// of balancers, a report and the resulting update take less than this interval.
 	livenessReportInterval = 300 * time.Millisecond
 	// readErrorDelay prevents a socket that fails repeatedly from filling the log.
 	readErrorDelay = 100 * time.Millisecond
@@ -111,7 +111,7 @@
 	// schedules the next update.
 	suspicionsApplied time.Time
 	suspicionPacer    pacing.Pacer
-	// unresponsive holds the subjects that were logged as unresponsive.
+	// unresponsive holds the subjects that are logged as unresponsive.
 	unresponsive map[evidence.Subject]bool
 	// unplaced buffers packets that cannot be placed yet.
 	unplaced *pending.Buffer[packetKey, bufferedPacket]
--- a/internal/daemon/cookie/cookie_test.go
+++ b/internal/daemon/cookie/cookie_test.go
@@ -164,7 +164,7 @@
 	require.Contains(t, w.Body.String(), "wasabideal_revision 3\n")
 }
 
-// Guards against a planned stop that breaks requests: the fabric sends packets to a stopping
+// Guards against a planned stop that breaks requests. The fabric sends packets to a stopping
 // balancer until two readiness checks have failed, and the balancer exited or stopped
 // forwarding before that.
 func TestPlannedStopForwardsUntilTrafficEnds(t *testing.T) {
@@ -203,9 +203,9 @@
 	}, 20*time.Second, 5*time.Millisecond)
 }
 
-// Guards against uploads that fail after three balancers in a row reject them: a third
-// upload over a link with capacity for two was rejected at once, although one of the two
-// ended shortly afterwards.
+// Guards against uploads that fail because three balancers in a row reject them. A third
+// upload over a link with capacity for two was rejected at once, although one of the first
+// two ended shortly afterwards.
 func TestThirdUploadWaitsForCapacity(t *testing.T) {
 	voter, backend := startVoter(t), listenUDP(t)
 	b := startOnLink(t, voter.Address(), 250_000)
@@ -232,8 +232,8 @@
 }
 
 // Guards against callers that wait until their deadlines for an upstream that lost power,
-// also on idle flows: flows were reset only once the upstream was known to have ended, not
-// when balancers reported that it left packets unanswered.
+// also on idle flows. Flows were reset only once the upstream was known to have ended, which
+// is later than when balancers report that it leaves packets unanswered.
 func TestFlowOfUnresponsiveUpstreamIsReset(t *testing.T) {
 	c := startVoter(t)
 	publish(t, c)
@@ -320,7 +320,7 @@
 		require.Eventually(t, func() bool { return b.Configuration().Revision == 9 }, 20*time.Second, 10*time.Millisecond)
 	}
 
-	// The start and the end of a zone's evacuation reach them too.
+	// The start and the end of a zone's evacuation reach all balancers.
 	for _, on := range []bool{true, false} {
 		_, err = c.Voter().Evacuate(t.Context(), "a", on, "test")
 		require.NoError(t, err)
--- a/internal/daemon/cookie/fanout.go
+++ b/internal/daemon/cookie/fanout.go
@@ -28,8 +28,8 @@
 )
 
 const (
-	// maxDeltas is the number of configuration changes that a follower may have missed
-	// and still receive as deltas.
+	// maxDeltas is the number of missed configuration changes up to which a follower gets
+	// deltas.
 	maxDeltas = 64
 	// maxConfigurationBytes limits the configuration response to a follower. At 3 kB, eight
 	// followers use a 2 Mbit/s link for a tenth of a second. A change of 1,400 routes would
--- a/internal/daemon/cookie/stall_test.go
+++ b/internal/daemon/cookie/stall_test.go
@@ -29,9 +29,8 @@
 	return s.jsonCodec.Decode(b)
 }
 
-// Guards against the reset of a flow that a retransmitted opening has opened through another
-// balancer, while the first opening waited in the socket queue of a balancer that got no CPU
-// time.
+// Guards against the reset of an open flow. While the first opening waited in the socket queue
+// of a balancer without CPU time, its retransmission opened the flow through another balancer.
 func TestQueuedOpeningDoesNotResetFlow(t *testing.T) {
 	voter, backend, caller := startVoter(t), listenUDP(t), listenUDP(t)
 	blocked := &sync.Mutex{}
--- a/internal/daemon/cookie/suspicions.go
+++ b/internal/daemon/cookie/suspicions.go
@@ -45,7 +45,7 @@
 	b.sendReports()
 }
 
-// logUnresponsive logs the subjects that became unresponsive, and those that no longer are.
+// logUnresponsive logs the subjects that became unresponsive and those that ceased to be.
 func (b *Balancer) logUnresponsive(now time.Time, all map[evidence.Subject]suspicions.Suspicion, resets int) {
 	for s, suspicion := range all {
 		if suspicion.Unresponsive && !b.unresponsive[s] {
--- a/internal/daemon/cookie/uploads.go
+++ b/internal/daemon/cookie/uploads.go
@@ -30,8 +30,8 @@
 	data []byte
 }
 
-// busyLinkShare is the share of the link's bandwidth used by other packets above which the
-// usage is logged; above it uploads get less.
+// busyLinkShare is the share of the link's bandwidth used by unpaced packets above which the
+// usage is logged. Above it, uploads get less bandwidth.
 const busyLinkShare = 0.3
 
 // admitInterval is how often queued openings are checked for admission.
@@ -59,7 +59,7 @@
 }
 
 // routeOrQueue routes a packet. If the link is busy with other uploads, an upload's opening is
-// queued briefly, and rejected if the link stays busy: the caller's next attempt reaches
+// queued briefly. It is rejected if the link stays busy, and the caller's next attempt reaches
 // another balancer.
 func (b *Balancer) routeOrQueue(now time.Time, p router.Packet, data []byte) router.Verdict {
 	if b.uploads == nil || b.router.Class(p.Address) != configuration.Upload {
@@ -179,8 +179,8 @@
 	return min(pause, admitInterval), true
 }
 
-// logLink logs the link's usage once a second while packets other than uploads' use more
-// than busyLinkShare of it.
+// logLink logs the link's usage once a second while the packets that are not paced use more
+// than busyLinkShare of the bandwidth.
 func (b *Balancer) logLink(now time.Time) {
 	if b.uploads == nil || now.Sub(b.uploads.logged) < summaryInterval {
 		return
