--- a/internal/flow/choice/choice.go
+++ b/internal/flow/choice/choice.go
@@ -15,7 +15,7 @@
 // pair holds the indices of the candidates with the two highest scores, or -1.
 type pair [2]int
 
-// offer adds candidate i if its score is among the two highest so far, which scores holds.
+// offer adds candidate i if its score is among the two highest; scores holds those of the pair.
 func (p *pair) offer(i int, score uint64, scores *[2]uint64) {
 	switch {
 	case p[0] < 0 || score > scores[0]:
--- a/internal/flow/choice/plan.go
+++ b/internal/flow/choice/plan.go
@@ -11,10 +11,10 @@
 )
 
 // Plan distributes the new flows of one service at one balancer over zones and upstreams. It is
-// immutable. Flows arrive at zones in proportion to the slots that their balancers own; a zone
-// keeps them up to its capacity and spills the excess to zones with spare capacity. Plans use no
-// load reports, which are seconds old: balancers that all act on them overshoot (max over mean 1.09
-// to 1.20 at 3,000 openings a second).
+// immutable. Flows arrive at zones in proportion to the slots that their balancers own. A zone
+// keeps its flows up to its capacity and spills the excess to zones with spare capacity. Plans do not
+// use load reports, which are seconds old. Balancers that all act on the same reports overshoot (max
+// over mean 1.09 to 1.20 at 3,000 new flows a second).
 type Plan struct {
 	pool []Candidate
 	// localShare is the share of flows that stay in the local zone.
@@ -25,14 +25,15 @@
 	all   []int
 }
 
-// spillZone is a zone that receives spilled flows, with their cumulative share.
+// spillZone is a zone that receives spilled flows.
 type spillZone struct {
+	// upTo is the cumulative share of spilled flows that go to this zone and those before it.
 	upTo    float64
 	indices []int
 }
 
-// fractionBits is the number of hash bits that decide on a flow's zone: as many as a float64
-// represents exactly.
+// fractionBits is the number of hash bits that select a flow's zone; a float64 represents integers
+// of this size exactly.
 const fractionBits = 53
 
 // NewPlan returns the plan of a balancer in the local zone; arrivals is the share of flows that
@@ -100,8 +101,8 @@
 func fraction(x uint64) float64 { return float64(x>>(64-fractionBits)) / (1 << fractionBits) }
 
 // lessLoaded returns the less loaded of the flow's two best-ranked candidates, as in the power
-// of two choices (Mitzenmacher, 2001). Loads count only the flows that this balancer owns: they
-// are exact, and the flows of each balancer are a representative sample of all flows.
+// of two choices (Mitzenmacher, 2001). Loads count only the flows that this balancer owns. These
+// counts are exact, and the flows of each balancer are a representative sample of all flows.
 func (p Plan) lessLoaded(hash uint64, indices []int, loads []int32) int {
 	best := pair{-1, -1}
 	var scores [2]uint64
--- a/internal/flow/ownership/doc.go
+++ b/internal/flow/ownership/doc.go
@@ -1,8 +1,8 @@
 // Package ownership assigns each flow to an owner and to further replicas among the balancers.
 //
-// Flows are hashed into slots. Each slot ranks the members by rendezvous hashing (Thaler,
+// Flows are hashed into hash slots. Each slot ranks the members by rendezvous hashing (Thaler,
 // Ravishankar, 1998); the first is the owner, and the first three are the replicas that store the
 // flow. If all three are in one zone, the best member of another zone replaces the third. So a
-// replica remains after the loss of any two members or of one zone, and after the loss of an owner
-// the new owner already stores the flow.
+// replica remains after the loss of any two members or of one zone. After the loss of an owner, the
+// new owner already stores the flow.
 package ownership
--- a/internal/flow/ownership/ownership.go
+++ b/internal/flow/ownership/ownership.go
@@ -25,9 +25,9 @@
 	Name    string
 	Zone    string
 	Address netip.AddrPort
-	// Start distinguishes the incarnations of a balancer: after a restart it stores no flow.
+	// Start distinguishes the incarnations of a balancer: a restarted balancer stores no flows.
 	Start uint64
-	// Passive members are joining or leaving: they may store flows, but are no replicas.
+	// Passive members are joining or leaving: they may store flows, but are not replicas.
 	Passive bool
 }
 
@@ -40,8 +40,8 @@
 	zoneShares map[string]float64
 }
 
-// ranking holds the indices of the members to query for a slot's flows; the first ones are its
-// replicas.
+// ranking holds the indices of the members to query for a slot's flows; the first of them, as many
+// as replicas counts, are the slot's replicas.
 type ranking struct {
 	members  [maxLookups]uint16
 	length   uint8
@@ -82,8 +82,8 @@
 	members []Member
 	seeds   []uint64
 	zones   []int
-	// zoneBest holds the active member of each zone with the highest score, and top the best of all
-	// zones.
+	// zoneBest holds the highest-scoring active member of each zone, and top the three
+	// highest-scoring active members of all zones.
 	zoneBest []score
 	top      [replicaCount]score
 	// passive is the passive member with the highest score.
@@ -183,7 +183,7 @@
 	return other
 }
 
-// addZones adds the best member of every zone, the highest score first: after a partition,
+// addZones adds the best member of every zone, the highest score first. After a partition,
 // flows opened on the other side are stored by the best members of the zones there.
 func (b *builder) addZones(r *ranking) {
 	slices.SortFunc(b.zoneBest, func(x, y score) int { return cmp.Compare(y.value, x.value) })
@@ -241,7 +241,7 @@
 	return shares
 }
 
-// SameReplicas reports whether a slot has the same incarnations of the same replicas in both.
+// SameReplicas reports whether a slot has the same incarnations of the same replicas in o and p.
 func (o *Ownership) SameReplicas(p *Ownership, slot int) bool {
 	a, b := o.Replicas(slot), p.Replicas(slot)
 	if len(a) != len(b) {
@@ -256,9 +256,9 @@
 	return true
 }
 
-// MustRepair reports whether the local balancer copies the slot's flows to its new replicas: it
-// is the first former replica in the new lookup order. If that order has no former replica, all
-// of them do, because lookups would not find the flows that only they store.
+// MustRepair reports whether the local balancer copies the slot's flows to its new replicas. The
+// first former replica in the new lookup order does so. If that order has no former replica, all
+// former replicas do, because lookups would not find the flows that only they store.
 func (o *Ownership) MustRepair(before *Ownership, slot int) bool {
 	for _, i := range o.LookupOrder(slot) {
 		m := o.members[i]
--- a/internal/flow/router/configure.go
+++ b/internal/flow/router/configure.go
@@ -12,7 +12,7 @@
 	"wasabideal/internal/model/upstream"
 )
 
-// SetIsolated sets whether half of the members are unreachable. Packets of unknown flows are
+// SetIsolated sets whether at least half of the members are unreachable. Packets of unknown flows are
 // then dropped, because a member on the other side of the partition probably stores the flow.
 func (r *Router) SetIsolated(isolated bool) { r.isolated = isolated }
 
@@ -23,7 +23,7 @@
 const (
 	// Joined balancers open the flows of all slots that they own.
 	Joined JoinStage = iota
-	// Provisional balancers open only those in slots with another known replica.
+	// Provisional balancers open only flows of slots that have another known replica.
 	Provisional
 	// Discovering balancers open no flow.
 	Discovering
@@ -32,14 +32,14 @@
 // SetJoinStage sets the stage of joining.
 func (r *Router) SetJoinStage(j JoinStage) { r.joinStage = j }
 
-// mayOpen reports whether flows of the slot may be opened here. It is false as long as this
-// balancer may not know the other members: they would not query it for these flows.
+// mayOpen reports whether flows of the slot may be opened here. A balancer that has not yet
+// discovered the other members must not open flows: those members would never query it for them.
 func (r *Router) mayOpen(slot int) bool {
 	return r.joinStage == Joined || r.joinStage == Provisional && len(r.ownership.Replicas(slot)) > 1
 }
 
-// SetUnreachable sets the members that this balancer cannot reach, although others can. If an
-// owner is among them, packets go to another replica.
+// SetUnreachable sets the members that do not respond to this balancer but are not declared dead.
+// If the owner of a flow is among them, the flow's packets go to another replica.
 func (r *Router) SetUnreachable(u map[netip.AddrPort]bool) { r.unreachable = u }
 
 // SetMembers updates the ranking if a member joined, left, restarted or is leaving.
@@ -52,7 +52,7 @@
 // SetConfiguration applies a revision of the configuration.
 func (r *Router) SetConfiguration(c configuration.Configuration) {
 	preset := c.Preset()
-	r.spill = preset.SpillPercent
+	r.spillPercent = preset.SpillPercent
 	closed := map[string]bool{}
 	for _, n := range preset.Closed {
 		closed[n] = true
@@ -81,7 +81,7 @@
 }
 
 func (r *Router) plan(s *service) {
-	s.plan = choice.NewPlan(s.pool, r.settings.Zone, r.ownership.ZoneShares(), r.spill)
+	s.plan = choice.NewPlan(s.pool, r.settings.Zone, r.ownership.ZoneShares(), r.spillPercent)
 }
 
 func protocolNumber(name string) uint8 {
--- a/internal/flow/router/doc.go
+++ b/internal/flow/router/doc.go
@@ -2,10 +2,13 @@
 //
 // Every flow has an owner and replicas (package ownership). A balancer that stores the flow
 // sends its packets to the upstream; any other relays them to the owner. Packets replicate the
-// flow: an opening is relayed through all replicas before the upstream receives it, so a caller's
-// acknowledgement of the upstream's response proves that the replicas store the flow. After a
+// flow: an opening is relayed through all replicas before the upstream receives it. So when the
+// caller acknowledges the upstream's response, the replicas store the flow. After a
 // membership change, packets and background repair within a byte budget create the missing copies.
 //
+// An opening is the first packet of a flow (a SYN) and its unfinished handshake. A UDP flow is an
+// opening until two of its packets have been relayed through the replicas.
+//
 // The router is modified in place, because routing a packet of a stored flow must not allocate.
 // It is not safe for concurrent use, and the current time is an argument of each call.
 package router
--- a/internal/flow/router/relayed.go
+++ b/internal/flow/router/relayed.go
@@ -71,8 +71,8 @@
 	return e
 }
 
-// merge resolves a conflict between two copies of a flow: the owner's copy prevails, an
-// established flow replaces an opening, and a new opening replaces a closed flow.
+// merge resolves a conflict between two copies of a flow: the owner's copy prevails.
+// Otherwise, an established flow replaces an opening, and a new opening replaces a closed flow.
 func (r *Router) merge(e *table.Entry, c record, index uint32) {
 	if e.Upstream == index {
 		if c.state > e.State {
@@ -80,9 +80,9 @@
 		}
 		return
 	}
-	newer := c.state == table.Opening && e.State == table.Closing
-	further := c.state > e.State && c.state != table.Closing
-	if !c.fromOwner && !newer && !further {
+	reopened := c.state == table.Opening && e.State == table.Closing
+	laterState := c.state > e.State && c.state != table.Closing
+	if !c.fromOwner && !reopened && !laterState {
 		r.Counters.Conflicts++
 		return
 	}
--- a/internal/flow/router/repair.go
+++ b/internal/flow/router/repair.go
@@ -22,8 +22,8 @@
 	batchHeaderSize = 5
 	recordSize      = key.Size + 1 + relay.TargetSize
 	maxBatchRecords = 36
-	resendAfter     = 500 * time.Millisecond
-	// maxScan bounds the table slots scanned in one tick.
+	retransmitAfter = 500 * time.Millisecond
+	// maxScan bounds the array slots of the table that are scanned in one tick.
 	maxScan = 1 << 16
 )
 
@@ -46,14 +46,17 @@
 // repair scans the table and sends the flows of dirty slots, whose replicas have changed, to the
 // other replicas.
 type repair struct {
-	dirty      [ownership.Slots]bool
-	anyDirty   bool
+	dirty    [ownership.Slots]bool
+	anyDirty bool
+	// position is the next array slot to scan; scanned is set at the end of the table.
 	position   int
 	scanned    bool
 	lastNumber uint32
 	unacked    map[uint32]*batch
-	pending    map[netip.AddrPort][]byte
-	budget     int
+	// pending holds the incomplete batch of each member.
+	pending map[netip.AddrPort][]byte
+	// budget is the number of bytes that may be sent now.
+	budget int
 }
 
 func (p *repair) markDirty(slot int) {
@@ -86,7 +89,7 @@
 		return
 	}
 	p.budget = min(p.budget+r.settings.RepairBytes, 4*r.settings.RepairBytes)
-	r.resend(now, out)
+	r.retransmit(now, out)
 	r.scan(now, out)
 	if p.scanned {
 		r.flushAll(now, out)
@@ -97,10 +100,10 @@
 	}
 }
 
-func (r *Router) resend(now time.Time, out *effect.List) {
+func (r *Router) retransmit(now time.Time, out *effect.List) {
 	for _, number := range slices.Sorted(maps.Keys(r.repair.unacked)) {
 		b := r.repair.unacked[number]
-		if now.Sub(b.sent) < resendAfter || r.repair.budget < len(b.data) {
+		if now.Sub(b.sent) < retransmitAfter || r.repair.budget < len(b.data) {
 			continue
 		}
 		b.sent = now
--- a/internal/flow/router/router.go
+++ b/internal/flow/router/router.go
@@ -19,10 +19,10 @@
 type LostPolicy string
 
 const (
-	// LostCandidate sends it to the upstream that a new flow would get. If the flow is not
-	// there, the upstream's kernel resets the connection, so that the caller gets an error.
+	// LostCandidate sends the packet to the upstream that a new flow would get. If that upstream does
+	// not have the flow, its kernel resets the connection, so that the caller gets an error.
 	LostCandidate LostPolicy = "Candidate"
-	// LostDrop drops it, so that the caller times out.
+	// LostDrop drops the packet, so that the caller times out.
 	LostDrop LostPolicy = "Drop"
 )
 
@@ -32,8 +32,9 @@
 	Zone     string
 	Address  netip.AddrPort
 	MaxFlows int
-	// Settle is how long after a change of a slot's replicas only former replicas may store a flow:
-	// openings, too, are looked up at other members first, and packets of lost flows are dropped.
+	// Settle is the time after a change of a slot's replicas in which some flows may be stored only
+	// at former replicas. In this time, even openings are first looked up at other members, and
+	// packets of lost flows are dropped.
 	Settle         time.Duration
 	OpeningTimeout time.Duration
 	IdleTimeout    time.Duration
@@ -43,9 +44,9 @@
 	Lost        LostPolicy
 }
 
-// Counters are the router's totals since its start. Asked counts the lookups at other members,
-// Foreign packets for an upstream whose address has been reassigned, Misdelivered selected
-// upstreams of another service, and CopiedByTrickle flows that background repair copied.
+// Counters are the router's totals since its start. Asked counts lookups at other members. Foreign
+// counts packets for an upstream whose address has been reassigned. Misdelivered counts selections
+// of an upstream of another service. CopiedByTrickle counts flows copied by background repair.
 type Counters struct {
 	Hits, Relays, Openings, Asked, Lost, Resets, Dropped    uint64
 	UnknownService, NoUpstream, TableFull, Foreign          uint64
@@ -69,16 +70,17 @@
 
 // Router stores and routes the flows of one balancer.
 type Router struct {
-	settings  Settings
-	base      time.Time
-	table     *table.Table
-	ownership *ownership.Ownership
-	parser    ipv4.Parser
-	services  map[serviceKey]*service
-	byHash    map[uint32]*service
-	spill     int
-	targets   targets
-	repair    repair
+	settings Settings
+	// base is the time from which times in seconds are counted.
+	base         time.Time
+	table        *table.Table
+	ownership    *ownership.Ownership
+	parser       ipv4.Parser
+	services     map[serviceKey]*service
+	byHash       map[uint32]*service
+	spillPercent int
+	targets      targets
+	repair       repair
 	// versions hold a number per slot, incremented with each change of its replicas.
 	versions [ownership.Slots]uint16
 	// changedAt is the time of the slot's last change in seconds plus 1, or 0.
@@ -122,7 +124,7 @@
 // Flows returns the number of stored flows.
 func (r *Router) Flows() int { return r.table.Len() }
 
-// Openings returns the number of stored flows that are not established yet.
+// Openings returns the number of stored flows that are openings.
 func (r *Router) Openings() int { return r.table.Openings() }
 
 func (r *Router) seconds(now time.Time) uint32 { return uint32(now.Sub(r.base) / time.Second) }
--- a/internal/flow/router/serve.go
+++ b/internal/flow/router/serve.go
@@ -14,8 +14,9 @@
 const requiredCopyPackets = 2
 
 // serve sends a packet of a stored flow to its upstream, through the replicas if they may lack
-// the flow. If force is set, the packet is first relayed to that member, which lacks the flow.
-func (r *Router) serve(now time.Time, e *table.Entry, slot int, packet []byte, force *netip.AddrPort, out *effect.List) {
+// the flow. If requester is set, the packet is first relayed to that member: it looked up the flow
+// and does not store it.
+func (r *Router) serve(now time.Time, e *table.Entry, slot int, packet []byte, requester *netip.AddrPort, out *effect.List) {
 	nowSeconds := r.seconds(now)
 	if e.State == table.Closing && r.parser.Opening {
 		r.reopen(now, e, slot, packet, out)
@@ -23,17 +24,17 @@
 	}
 	viaReplicas := r.mustCopy(e, slot, nowSeconds)
 	r.observe(e, nowSeconds)
-	if force == nil && !viaReplicas {
+	if requester == nil && !viaReplicas {
 		r.toUpstream(e.Upstream, packet, out)
 		return
 	}
 	h := relay.Header{Flags: relay.FlagHasEntry, State: uint8(e.State), Target: r.targets.at(e.Upstream), Origin: r.settings.Address}
-	if force != nil {
-		h.AddHop(*force)
+	if requester != nil {
+		h.AddHop(*requester)
 	}
 	for _, i := range r.ownership.Replicas(slot) {
 		m := r.ownership.Member(i)
-		if r.ownership.IsSelf(i) || force != nil && m.Address == *force {
+		if r.ownership.IsSelf(i) || requester != nil && m.Address == *requester {
 			continue
 		}
 		if r.unreachable[m.Address] {
@@ -48,9 +49,9 @@
 	r.forward(&h, e.Upstream, packet, out)
 }
 
-// mustCopy reports whether a packet has to be relayed through the flow's replicas: if they may lack
-// the flow, if the packet opens, confirms or closes it, and regularly, so that the idle timeout
-// does not remove the copies of an active flow.
+// mustCopy reports whether a packet has to be relayed through the flow's replicas. It does if they
+// may lack the flow, or if the packet opens, confirms or closes it. Packets of an active flow are
+// also relayed at times, so that the idle timeout does not remove its copies.
 func (r *Router) mustCopy(e *table.Entry, slot int, nowSeconds uint32) bool {
 	if e.Version != r.versions[slot] {
 		e.Version = r.versions[slot]
--- a/internal/flow/table/table.go
+++ b/internal/flow/table/table.go
@@ -52,17 +52,19 @@
 	minEvictionAge = 1
 )
 
-// Table maps keys to entries, with separate limits for openings and for all flows. Openings
-// are the flows in state Opening.
+// Table maps keys to entries, with separate limits for openings (flows in state Opening) and for
+// all flows.
 type Table struct {
 	slots            []Entry
 	mask             uint64
 	limit, openLimit int
 	count, openings  int
 	// evictionScan is the array slot that was scanned last for an opening to evict.
-	evictionScan    uint64
-	establishedFull *FullError
-	openingFull     *FullError
+	evictionScan uint64
+	// totalFull reports the limit of all flows. Its text says "established", because openings are
+	// evicted before that limit is reported.
+	totalFull   *FullError
+	openingFull *FullError
 }
 
 // New returns a table for limit flows, of which a quarter may be openings.
@@ -77,8 +79,8 @@
 	openLimit := max(limit/4, 1)
 	return &Table{
 		slots: make([]Entry, size), mask: size - 1, limit: limit, openLimit: openLimit,
-		establishedFull: &FullError{Limit: "established", Size: limit},
-		openingFull:     &FullError{Limit: "opening", Size: openLimit},
+		totalFull:   &FullError{Limit: "established", Size: limit},
+		openingFull: &FullError{Limit: "opening", Size: openLimit},
 	}
 }
 
@@ -116,7 +118,7 @@
 // Insert adds an entry or returns a FullError. The table must not contain the key.
 func (t *Table) Insert(e Entry, hash uint64, now uint32) (*Entry, error) {
 	if t.count >= t.limit && !t.evictOpening(now) {
-		return nil, t.establishedFull
+		return nil, t.totalFull
 	}
 	if e.State == Opening && t.openings >= t.openLimit && !t.evictOpening(now) {
 		return nil, t.openingFull
