--- a/internal/balancer/reducer/doc.go
+++ b/internal/balancer/reducer/doc.go
@@ -3,4 +3,6 @@
 //
 // It performs no I/O and reads no clock or random source, so that the replay of a
 // recorded trace produces the same effects.
+//
+// An opening is the first packet of a flow (a SYN) and its unfinished handshake.
 package reducer
--- a/internal/balancer/reducer/failures_test.go
+++ b/internal/balancer/reducer/failures_test.go
@@ -89,7 +89,7 @@
 	require.NotZero(t, foreign, "packets of the old flows were dropped")
 }
 
-// Guards against new flows to a withdrawn upstream. Gossip that lists it as ready
+// Guards against new flows to a withdrawn upstream. Gossip that lists the upstream as ready
 // arrives late, so the withdrawal must be kept.
 func TestLateGossipDoesNotRestoreAWithdrawnUpstream(t *testing.T) {
 	f := suezFleet(8)
@@ -108,7 +108,7 @@
 }
 
 // Guards against broken flows after a fast restart of a balancer. The balancer returns
-// under the same name with an empty table before its failure is detected, and must not be
+// under the same name with an empty table before its failure is detected. It must not be
 // treated as the old process, which stored replicas.
 func TestFastRestartBreaksNoFlow(t *testing.T) {
 	f := suezFleet(9)
@@ -157,9 +157,9 @@
 	require.Len(t, f.nodes["b002"].reducer.Members(), 9, "b004 stays a member")
 }
 
-// Guards against flows that break when a partition ends. Both sides open flows; then
-// packets of all flows reach all balancers, and the owner of a flow may not have received
-// the flow from the other side.
+// Guards against flows that break when a partition ends. Both sides open flows. Then packets
+// of all flows reach all balancers, but a flow's owner may not yet store a flow that the other
+// side opened.
 func TestFlowsOfBothSidesSurviveAPartition(t *testing.T) {
 	f := suezFleet(12)
 	f.openFlows(300, "orders", time.Second, time.Second)
@@ -193,8 +193,8 @@
 
 // TestRandomChanges applies random changes in sequence, with at most one unplanned failure at a
 // time and loss, duplication and reordering on the network. All flows must survive except those
-// opened during a partition or in the four seconds after it: the fabric may deliver a retransmitted
-// SYN to both sides, and each opens the flow.
+// opened during a partition or in the four seconds after it. For these, the fabric may deliver a
+// retransmitted SYN to both sides, and each side opens the flow.
 func TestRandomChanges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := suezFleet(rapid.Uint64().Draw(t, "seed"))
--- a/internal/balancer/reducer/fleet_test.go
+++ b/internal/balancer/reducer/fleet_test.go
@@ -23,10 +23,10 @@
 )
 
 const (
-	tickEvery           = 100 * time.Millisecond
-	upstreamTokenDigest = "3c469e9d6c5875d37a43f353d4f88e61fcf812c66eee3457465a40b0da4153e0"
-	callerTimeout       = 15 * time.Second
-	firstRetry          = 250 * time.Millisecond
+	tickEvery              = 100 * time.Millisecond
+	upstreamTokenDigest    = "3c469e9d6c5875d37a43f353d4f88e61fcf812c66eee3457465a40b0da4153e0"
+	callerTimeout          = 15 * time.Second
+	firstRetransmitTimeout = 250 * time.Millisecond
 )
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
@@ -51,7 +51,7 @@
 	duplicate        float64
 	jitter           time.Duration
 	maxFlows         int
-	// repair is RepairBytes of the routers, lost their policy for lost flows.
+	// repair is RepairBytes of the routers, and lost their LostPolicy.
 	repair int
 	lost   router.LostPolicy
 	// sticky sends all packets of a caller to the same balancer.
@@ -85,15 +85,17 @@
 }
 
 type caller struct {
-	source      netip.AddrPort
-	service     netip.AddrPort
-	name        string
-	upstream    netip.AddrPort
-	state       callerState
-	since       time.Time
-	retry       time.Duration
+	source   netip.AddrPort
+	service  netip.AddrPort
+	name     string
+	upstream netip.AddrPort
+	state    callerState
+	// since is the time of the first attempt to connect or of the first packet of a request.
+	since             time.Time
+	retransmitTimeout time.Duration
+	// number counts the requests; interval is the pause before the next one.
 	number      int
-	every       time.Duration
+	interval    time.Duration
 	breakReason string
 	// duringPartition marks a flow that was opened during a partition.
 	duringPartition bool
@@ -334,12 +336,12 @@
 	return all[f.random.IntN(len(all))]
 }
 
-// call opens a flow that then sends a packet per interval.
-func (f *fleet) call(i int, service string, every time.Duration) *caller {
+// call opens a flow that then sends a request per interval.
+func (f *fleet) call(i int, service string, interval time.Duration) *caller {
 	s, _ := f.config.Service(service)
 	c := &caller{
 		source:  sourceOf(i),
-		service: s.Addresses[0], name: service, every: every, since: f.now, retry: firstRetry,
+		service: s.Addresses[0], name: service, interval: interval, since: f.now, retransmitTimeout: firstRetransmitTimeout,
 	}
 	f.callers = append(f.callers, c)
 	f.dial(c)
@@ -356,8 +358,8 @@
 	}
 	c.duringPartition = c.duringPartition || f.now.Before(f.partitionedUntil)
 	f.sendPacket(c, tcpFlags{SYN: true})
-	f.after(c.retry, func() { f.dial(c) })
-	c.retry *= 2
+	f.after(c.retransmitTimeout, func() { f.dial(c) })
+	c.retransmitTimeout *= 2
 }
 
 type tcpFlags struct{ SYN, ACK, FIN, RST bool }
@@ -471,7 +473,7 @@
 	if c.state != open {
 		return
 	}
-	c.state, c.since, c.retry = waiting, f.now, firstRetry
+	c.state, c.since, c.retransmitTimeout = waiting, f.now, firstRetransmitTimeout
 	c.number++
 	f.sendRequest(c, c.number)
 }
@@ -485,8 +487,8 @@
 		return
 	}
 	f.sendPacket(c, tcpFlags{ACK: true})
-	f.after(c.retry, func() { f.sendRequest(c, number) })
-	c.retry = min(2*c.retry, 2*time.Second)
+	f.after(c.retransmitTimeout, func() { f.sendRequest(c, number) })
+	c.retransmitTimeout = min(2*c.retransmitTimeout, 2*time.Second)
 }
 
 func (f *fleet) answered(c *caller, b *backend) {
@@ -498,7 +500,7 @@
 		return
 	}
 	c.state = open
-	f.after(c.every, func() { f.startExchange(c) })
+	f.after(c.interval, func() { f.startExchange(c) })
 }
 
 func (f *fleet) reset(c *caller, b *backend) {
@@ -544,9 +546,11 @@
 
 // site is the size of a deployment.
 type site struct {
-	zones                []string
-	balancers            int
-	between              time.Duration
+	zones     []string
+	balancers int
+	// between is the latency between zones.
+	between time.Duration
+	// upstreams and secondary are the numbers of upstreams of the services orders and notes.
 	upstreams, secondary int
 }
 
@@ -580,10 +584,10 @@
 }
 
 // openFlows opens n flows, evenly spread over a duration, and waits a second.
-func (f *fleet) openFlows(n int, service string, over, every time.Duration) {
+func (f *fleet) openFlows(n int, service string, over, interval time.Duration) {
 	base := len(f.callers)
 	for i := range n {
-		f.after(time.Duration(int64(over)*int64(i)/int64(n)), func() { f.call(base+i, service, every) })
+		f.after(time.Duration(int64(over)*int64(i)/int64(n)), func() { f.call(base+i, service, interval) })
 	}
 	f.run(over + time.Second)
 }
--- a/internal/balancer/reducer/reducer.go
+++ b/internal/balancer/reducer/reducer.go
@@ -87,7 +87,8 @@
 	Leaving     bool
 	Drained     bool
 	Flows       int
-	Openings    int
+	// Openings is the number of flows that are not established yet.
+	Openings int
 	// Refused is the number of rejected datagrams.
 	Refused   uint64
 	Members   []swim.Member
@@ -123,8 +124,8 @@
 	return r.registry.Serving(now, service)
 }
 
-// Share returns the share of a full upstream's load that an upstream should receive; it
-// is below 1 during a slow start.
+// Share returns the weight of an upstream relative to a warm one: 1, or less during its slow
+// start.
 func (r *Reducer) Share(now time.Time, a netip.AddrPort) float64 { return r.registry.Share(now, a) }
 
 // Evacuations returns the zone evacuations in force at this balancer.
@@ -231,16 +232,17 @@
 func (r *Reducer) startLeaving(now time.Time) {
 	if r.leavingSince.IsZero() {
 		r.leavingSince = now
-		r.swim.SetPassive(true)
+		r.swim.SetPassive(true) // owns no flows
 	}
 }
 
 const (
-	// joinAfter is the time in which a starting balancer discovers its group. Until then
-	// it owns no flows: the others do not know it, so they would never query it
-	// for flows that it opened.
+	// joinAfter is the time in which a starting balancer discovers the other members. Until
+	// then it owns no flows: peers that do not list it as a member would never query it for
+	// the flows that it stores.
 	joinAfter = 1500 * time.Millisecond
-	// aloneAfter is the time after which a balancer without known peers is alone.
+	// aloneAfter is the time after which a starting balancer opens flows in all of its
+	// slots. If it has discovered no peer by then, it is alone.
 	aloneAfter = 5 * time.Second
 )
 
@@ -258,7 +260,7 @@
 }
 
 // minLeaveTime is the minimum duration of a planned stop, so that gossip about it reaches
-// the group.
+// the other members.
 const minLeaveTime = 2 * time.Second
 
 func (r *Reducer) checkDrained(now time.Time, out *effect.List) {
--- a/internal/balancer/reducer/spread_test.go
+++ b/internal/balancer/reducer/spread_test.go
@@ -12,8 +12,8 @@
 )
 
 // Guards against a balancer that keeps an old preset. A third of all messages is lost,
-// and only one balancer receives the new revision from a voter; a revision that is sent
-// only once would not reach all.
+// and only one balancer receives the new revision from a voter. A revision that is sent
+// only once would not reach all balancers.
 func TestRevisionReachesAllBalancersDespiteLoss(t *testing.T) {
 	f := suezFleet(21)
 	f.loss = 1.0 / 3
@@ -26,8 +26,8 @@
 }
 
 // Guards against an old configuration that replaces a newer one in an isolated zone. A
-// balancer without a disk restarts there and receives an old revision, which must not be
-// adopted as the newest because it arrived last.
+// balancer without a disk restarts there and receives an old revision. It must adopt the
+// highest revision that it receives, not the last one.
 func TestRestartInAnIsolatedZoneUsesTheHighestRevision(t *testing.T) {
 	f := suezFleet(22)
 	f.usePreset("maintenance")
@@ -98,7 +98,7 @@
 	delete(first.connections, c.source.String())
 	f.drain(first)
 	f.run(2 * time.Second)
-	*c = caller{source: c.source, service: c.service, name: c.name, every: time.Second, since: f.now, retry: firstRetry}
+	*c = caller{source: c.source, service: c.service, name: c.name, interval: time.Second, since: f.now, retransmitTimeout: firstRetransmitTimeout}
 	f.dial(c)
 	f.run(5 * time.Second)
 	require.Zero(t, f.broken)
