--- a/internal/member/registrar/doc.go
+++ b/internal/member/registrar/doc.go
@@ -1,3 +1,3 @@
-// Package registrar registers a balancer as a store of request keys with the leader of
-// the voters.
+// Package registrar registers a balancer with the leader of the voters as a store of
+// idempotency keys.
 package registrar
--- a/internal/member/repairstatus/repairstatus.go
+++ b/internal/member/repairstatus/repairstatus.go
@@ -6,7 +6,7 @@
 	"wasabideal/internal/member/swim"
 )
 
-// flagRepairing is the payload of a balancer that creates replicas; others send none.
+// flagRepairing is the payload of a balancer that creates replicas; others send an empty payload.
 const flagRepairing = 1
 
 // Tracker tracks the balancers that report repairs in progress. It is not safe for
--- a/internal/member/swim/message.go
+++ b/internal/member/swim/message.go
@@ -35,7 +35,7 @@
 const (
 	// headerReserve is the space reserved for a message without piggybacked payloads.
 	headerReserve = 420
-	// minPayloadBytes is the space for payloads that a probe has even without a budget.
+	// minPayloadBytes is the space for payloads in a probe if the byte budget is exhausted.
 	minPayloadBytes = 160
 	membersPerSync  = 16
 )
@@ -43,7 +43,7 @@
 // send adds updates and piggybacked payloads to m and sends it. The byte budget limits
 // the payloads.
 //
-// Probes are sent even without a budget, or the balancer would appear dead.
+// Probes are sent even if the budget is exhausted; otherwise the balancer would appear dead.
 func (s *Swim) send(now time.Time, to netip.AddrPort, m message, out *effect.List) {
 	m.From = s.self
 	m.Digest = s.digest()
@@ -112,7 +112,7 @@
 		if m.Digest != s.digest() {
 			a.News = s.nextMembers(updatesPerMessage / 2)
 		}
-		// Notifies a suspected member of the suspicion, so that it can refute it.
+		// Notifies a suspected member, so that it can refute the suspicion.
 		if p := s.peers[m.From.Name]; p != nil && p.State != Alive {
 			a.News = append(a.News, p.Member)
 		}
--- a/internal/member/swim/swim.go
+++ b/internal/member/swim/swim.go
@@ -35,7 +35,7 @@
 	IndirectAfter time.Duration
 	// SuspectAfter is the time without an ack after which a member is suspected.
 	SuspectAfter time.Duration
-	// DeadAfter is the time in which a suspected member may refute.
+	// DeadAfter is the time in which a suspected member may refute before it is declared dead.
 	DeadAfter time.Duration
 	// ForgetAfter is the time after which a dead member is removed and no longer probed.
 	ForgetAfter time.Duration
@@ -61,7 +61,7 @@
 	probeEvery = 2
 	// pushFanout is the number of members that receive a push.
 	pushFanout = 3
-	// reviveEvery is the number of probes of which one goes to a dead member.
+	// reviveEvery is the interval, in probes, between the probes of dead members.
 	reviveEvery = 4
 )
 
@@ -165,9 +165,9 @@
 	return u
 }
 
-// Isolated reports whether the dead members and unknown seeds are at least as many as the
-// reachable members, including this balancer. It is then more likely that this balancer is
-// partitioned than that all of the others failed.
+// Isolated reports whether the dead members and the seeds not yet known as members are at
+// least as many as the reachable members, including this balancer. A partition is then more
+// likely than the failure of all the others.
 func (s *Swim) Isolated() bool {
 	unreachable, reachable := len(s.unknownSeeds()), 1
 	for _, p := range s.peers {
@@ -182,6 +182,7 @@
 	return unreachable >= reachable
 }
 
+// unknownSeeds returns the seeds that are not yet known as members.
 func (s *Swim) unknownSeeds() []netip.AddrPort {
 	return slices.DeleteFunc(slices.Clone(s.settings.Seeds), s.isKnown)
 }
@@ -203,7 +204,7 @@
 }
 
 // TakeUrgent reports whether a member joined, left, failed, was suspected or refuted
-// since the last call. Until all balancers know, some send packets that are lost.
+// since the last call. Until the update reaches all balancers, some send packets that are lost.
 func (s *Swim) TakeUrgent() bool {
 	u := s.urgentChange
 	s.urgentChange = false
@@ -243,9 +244,9 @@
 
 // join sends a join message to an unknown seed.
 //
-// It is not enough to do so without any known member: two balancers that start together
-// and discover each other first would remain a separate group, and both groups would
-// own the same flows.
+// Unknown seeds are contacted even if other members are known. Otherwise two balancers that
+// start together and find only each other would remain a separate group, and both
+// groups would have owners for the same flows.
 func (s *Swim) join(now time.Time, out *effect.List) {
 	if s.ticks%joinEvery != 0 {
 		return
