--- a/internal/request/claimer/claimer.go
+++ b/internal/request/claimer/claimer.go
@@ -57,8 +57,8 @@
 	err    error
 }
 
-// Claim claims the key at all members that store it. It is granted by a majority of each quorum
-// set; otherwise the claims at all members are released. Two attempts cannot both be granted: two
+// Claim claims the key at all members that store it. The claim needs a majority of each quorum
+// set; without it, the claims at all members are released. Two attempts cannot both be granted: two
 // majorities of a set share a member, which keeps the first attempt's record. Until a roster change
 // is settled, a majority of the previous set is needed too.
 func (c *Claimer) Claim(ctx context.Context, r keys.Record) Result {
@@ -122,8 +122,8 @@
 }
 
 // release releases the claims at all members, including those whose response was late or
-// lost. An unreachable member keeps its record: the key stays taken there, which
-// rejects repeats but never runs one twice.
+// lost. An unreachable member keeps its record, so the key stays taken there: repeats may be
+// rejected, but no request runs twice.
 func (c *Claimer) release(ctx context.Context, votes map[string]vote, r keys.Record) {
 	c.forEach(ctx, lo.MapToSlice(votes, func(_ string, x vote) roster.Member { return x.member }), func(ctx context.Context, m roster.Member) {
 		c.stores.Release(ctx, m, r)
--- a/internal/request/claimer/claimer_test.go
+++ b/internal/request/claimer/claimer_test.go
@@ -147,11 +147,11 @@
 	if to == nil || !m.g.connected(m.from, to) || m.lost() {
 		return keys.Record{}, LostError{}
 	}
-	answer, err := to.keys.Claim(m.g.now, e, r)
+	record, err := to.keys.Claim(m.g.now, e, r)
 	if m.lost() {
 		return keys.Record{}, LostError{}
 	}
-	return answer, err
+	return record, err
 }
 
 func (m remoteStores) Release(_ context.Context, x roster.Member, r keys.Record) {
@@ -207,9 +207,9 @@
 	s.remoteStores.Finish(ctx, x, r)
 }
 
-// TestKeysRunAtMostOnce simulates restarts, planned stops, partitions, message loss
+// TestRequestsRunAtMostOnce simulates restarts, planned stops, partitions, message loss
 // and roster changes while callers send the same keys through all balancers.
-func TestKeysRunAtMostOnce(t *testing.T) {
+func TestRequestsRunAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := newGroup(rapid.Uint64().Draw(t, "seed"))
 		for i := range rapid.IntRange(10, 120).Draw(t, "steps") {
@@ -243,9 +243,9 @@
 }
 
 // Guards against a request that runs on both sides of a partition. The group splits
-// 2 to 3 and the caller repeats the key on the other side; a majority of the reachable
+// 2 to 3 and the caller repeats the key on the other side. A majority of the reachable
 // members is not a majority of the roster.
-func TestBothSidesOfAPartitionNeverRunOneKey(t *testing.T) {
+func TestBothSidesOfAPartitionNeverRunOneRequest(t *testing.T) {
 	g := newGroup(1)
 	g.side["b0"], g.side["b1"] = 1, 1
 	for i := range 40 {
@@ -257,7 +257,7 @@
 	require.NotEmpty(t, g.sent, "the side with a majority continues to serve")
 }
 
-// Guards against a key that runs again after a rolling restart. Each balancer in turn
+// Guards against a request that runs again after a rolling restart. Each balancer in turn
 // leaves and returns empty; its keys must be copied before the next one leaves.
 func TestRollingRestartLosesNoKey(t *testing.T) {
 	g := newGroup(2)
@@ -277,8 +277,8 @@
 	}
 }
 
-// Guards against a key that runs twice after two of the three balancers that stored it
-// crashed together. Both restart empty and rejoin the roster as a majority without
+// Guards against a request that runs twice after two of the three balancers that stored its
+// key crashed together. Both restart empty and rejoin the roster as a majority without
 // records; claims are rejected until the window has passed.
 func TestLostMajorityRejectsClaimsDuringTheWindow(t *testing.T) {
 	g := newGroup(3)
@@ -297,8 +297,8 @@
 	require.Equal(t, claimer.Granted, g.attempt(g.nodes[0], "new", 20, true))
 }
 
-// Guards against a key that runs twice because a flood of keys evicted it inside the
-// window. A full store rejects new keys instead.
+// Guards against a request that runs twice because a flood of keys evicted its key inside
+// the window. A full store rejects new keys instead.
 func TestFullStoreRejectsNewKeys(t *testing.T) {
 	k := keys.New(window, 2)
 	for _, key := range []string{"a", "b"} {
--- a/internal/request/claimer/doc.go
+++ b/internal/request/claimer/doc.go
@@ -1,3 +1,3 @@
-// Package claimer obtains the exclusive right to send a request with a key, from a
-// majority of the balancers that store the key.
+// Package claimer obtains the exclusive right to send a request with an idempotency key
+// from a majority of the balancers that store the key.
 package claimer
--- a/internal/request/dispatch/dispatch.go
+++ b/internal/request/dispatch/dispatch.go
@@ -23,7 +23,7 @@
 type Target struct {
 	Name  string
 	Slots int
-	// Share is the part of the slots in use: 1, or less during a slow start.
+	// Share is the part of the slots that may be used: 1, or less during a slow start.
 	Share float64
 	// AssignedSlots is the number of slots assigned to this balancer. The assignment keeps
 	// balancers from competing for a slot, except under load.
@@ -38,7 +38,7 @@
 	Priority int
 	// Avoid lists the upstreams that rejected or failed this request.
 	Avoid []string
-	// Since is when the request arrived; Offer sets it where it is zero.
+	// Since is the arrival time of the request; Offer sets it if it is zero.
 	Since time.Time
 }
 
--- a/internal/request/dispatch/experiment_test.go
+++ b/internal/request/dispatch/experiment_test.go
@@ -392,7 +392,7 @@
 }
 
 // Guards against low goodput after a pool recovers. For 20 s, ten of 15 upstreams (about
-// 70 %) are removed and the other 30 % serve; queues fill with expired requests, and
+// 70 %) are removed and the other 30 % serve. Queues fill with expired requests, and
 // retries keep the upstreams busy beyond the 20 s.
 func TestGoodputRecoversWithinFiveSeconds(t *testing.T) {
 	w := newSimulation(15, newScheduler)
--- a/internal/request/door/attempt.go
+++ b/internal/request/door/attempt.go
@@ -14,8 +14,8 @@
 	"wasabideal/internal/request/keys"
 )
 
-// attempt sends the request to one upstream. It returns done if a response was written to
-// the caller, and retry if the request may be sent again: it did not run, or may run twice.
+// attempt sends the request to one upstream. It returns done if the caller got a response, and
+// retry if the request may be sent again because it did not run or may run twice.
 func (p *Proxy) attempt(ctx context.Context, x *exchange, target string, try int) (retry, done bool) {
 	start := p.settings.Clock()
 	sent := &sentFlag{}
--- a/internal/request/door/door.go
+++ b/internal/request/door/door.go
@@ -33,7 +33,7 @@
 	maxTimeout     = time.Minute
 	// replayLimit is the largest request body that is buffered for a retry.
 	replayLimit = 64 << 10
-	// storedResponseLimit is the largest response body that is stored under a request key.
+	// storedResponseLimit is the largest response body that is stored under an idempotency key.
 	storedResponseLimit = 4 << 10
 	maxKeyBytes         = 128
 	maxAttempts         = 24
--- a/internal/request/door/door_test.go
+++ b/internal/request/door/door_test.go
@@ -185,7 +185,7 @@
 }
 
 // Guards against callers that wait until their deadline for a rejection. All slots are
-// taken for longer than that; the request is rejected at once and its key released.
+// taken beyond that deadline; the request is rejected at once and its key released.
 func TestRequestThatCannotMeetItsDeadlineIsRejectedAtOnce(t *testing.T) {
 	release := make(chan struct{})
 	e := newFixture(t, func(w http.ResponseWriter, _ *http.Request) {
--- a/internal/request/keys/doc.go
+++ b/internal/request/keys/doc.go
@@ -1,4 +1,4 @@
-// Package keys stores the request keys of one balancer.
+// Package keys stores the idempotency keys of requests at one balancer.
 //
 // A record is created before a request is sent. Only the attempt that created it may
 // release it, and only if the request did not run.
--- a/internal/request/keys/keys.go
+++ b/internal/request/keys/keys.go
@@ -55,8 +55,8 @@
 	return fmt.Sprintf("claim under epoch %d, this balancer is at %d", e.Claim, e.Here)
 }
 
-// Store holds each record until a window of time after its claim has passed. It is not safe
-// for concurrent use.
+// Store keeps each record for a fixed time after its claim, the window. It is not safe for
+// concurrent use.
 type Store struct {
 	window  time.Duration
 	limit   int
--- a/internal/request/memory/memory.go
+++ b/internal/request/memory/memory.go
@@ -192,8 +192,8 @@
 	m.keys.Expire(m.settings.Clock())
 }
 
-// SetRoster adopts a newer roster, and reports whether it is newer. From then on claims
-// with an older epoch are rejected, so that CopyRecords misses no record.
+// SetRoster adopts a roster if it is newer, and reports whether it did. From then on, claims
+// with another epoch are rejected, so that CopyRecords misses no record.
 func (m *Replica) SetRoster(r roster.Roster) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
