--- a/internal/configuration/follower/follower.go
+++ b/internal/configuration/follower/follower.go
@@ -10,7 +10,7 @@
 	"wasabideal/internal/model/configuration"
 )
 
-// wireRevision is the revision of a balancer's configuration, with the address to fetch it.
+// wireRevision is the revision of a balancer's configuration, with the address to fetch it from.
 type wireRevision struct {
 	_        struct{} `cbor:",toarray"`
 	Revision uint64
@@ -38,10 +38,10 @@
 // Age returns the time since the current or a newer revision was last received.
 func (f *Follower) Age(now time.Time) time.Duration { return now.Sub(f.confirmed) }
 
-// Offer applies a configuration if it is newer, and reports whether it did.
+// Offer applies a configuration if it is newer and valid, and reports whether it did.
 //
-// An older one never replaces a newer one: a restarted peer or a partitioned
-// voter may still send it.
+// An older configuration never replaces a newer one: a restarted peer or a partitioned
+// voter may still send an older one.
 func (f *Follower) Offer(now time.Time, c configuration.Configuration) bool {
 	if c.Revision >= f.current.Revision {
 		f.confirmed = now
@@ -54,8 +54,8 @@
 	return true
 }
 
-// NewestPeer returns the peer that announced the newest revision, and whether it is newer
-// than the applied one.
+// NewestPeer returns the peer that announced the newest revision, and whether that revision
+// is newer than the applied one.
 func (f *Follower) NewestPeer() (netip.AddrPort, bool) {
 	return f.newestAt, f.newest > f.current.Revision
 }
--- a/internal/configuration/history/history.go
+++ b/internal/configuration/history/history.go
@@ -62,11 +62,11 @@
 type History struct {
 	current configuration.Configuration
 	deltas  []Delta
-	keep    int
+	limit   int
 }
 
-// New returns an empty history that keeps up to keep deltas.
-func New(keep int) History { return History{keep: keep} }
+// New returns an empty history that keeps up to limit deltas.
+func New(limit int) History { return History{limit: limit} }
 
 // Current returns the newest configuration.
 func (h History) Current() configuration.Configuration { return h.current }
@@ -80,7 +80,7 @@
 		h.deltas = nil
 		return h
 	}
-	first := max(len(h.deltas)+1-h.keep, 0)
+	first := max(len(h.deltas)+1-h.limit, 0)
 	h.deltas = append(slices.Clone(h.deltas[min(first, len(h.deltas)):]), d)
 	return h
 }
--- a/internal/configuration/history/history_test.go
+++ b/internal/configuration/history/history_test.go
@@ -26,9 +26,9 @@
 // same parts in another order, so the digest must not depend on the order.
 func TestDigestIsIndependentOfOrder(t *testing.T) {
 	h := history.New(8).With(routes(1, 80, 443)).With(routes(2, 80, 8080, 443)).With(routes(5, 9090, 8080))
-	answer := h.Since(1)
-	require.Len(t, answer.Deltas, 2)
-	c, err := history.Apply(routes(1, 80, 443), answer)
+	response := h.Since(1)
+	require.Len(t, response.Deltas, 2)
+	c, err := history.Apply(routes(1, 80, 443), response)
 	require.NoError(t, err)
 	require.Equal(t, uint64(5), c.Revision)
 	require.ElementsMatch(t, routes(5, 9090, 8080).Routes, c.Routes)
--- a/internal/configuration/source/source.go
+++ b/internal/configuration/source/source.go
@@ -18,7 +18,7 @@
 // maxDeltas is how many changes a follower may miss and still get deltas.
 const maxDeltas = 1024
 
-// Request is a follower's request, with the versions that it has.
+// Request is a follower's request, with the versions that the follower has.
 type Request struct {
 	Revision uint64
 	// RosterVersion is the version of the roster.
--- a/internal/model/configuration/configuration.go
+++ b/internal/model/configuration/configuration.go
@@ -46,8 +46,8 @@
 	_ struct{} `cbor:",toarray"`
 	// For is how long an upstream stays cold; its announcements contain the remaining time.
 	For time.Duration
-	// PerSecond is the maximum number of requests in any second of that time, from all
-	// balancers together; 0 means no limit.
+	// PerSecond is the maximum number of requests in any one second while the upstream is cold,
+	// from all balancers together; 0 means no limit.
 	PerSecond float64
 }
 
@@ -96,7 +96,7 @@
 	// Limits are the limits for callers.
 	Limits Limits `json:",omitzero" cbor:",omitzero"`
 	// Extra holds the unknown JSON members of the operator's document, encoded, by the path
-	// of the object that contains them, so that operators read back the document that they
+	// of the object that contains them. They let operators read back the document that they
 	// sent. Only voters store them.
 	Extra map[string][]byte `json:",omitzero" cbor:",omitempty"`
 }
--- a/internal/model/configuration/route.go
+++ b/internal/model/configuration/route.go
@@ -10,9 +10,9 @@
 )
 
 // Class determines how a route's requests may be handled. The name of a class that this version
-// does not know is stored unchanged, so that operators read back the document that they sent. Its
-// requests get the safest handling: they run at most once, and a flow with a pending request is not
-// reset when its upstream becomes unresponsive.
+// does not know is stored unchanged, so that operators read back the document that they sent.
+// Requests of such a class get the safest handling: they run at most once, and a flow with a
+// pending request is not reset when its upstream becomes unresponsive.
 type Class string
 
 // The classes of requests.
--- a/internal/model/evacuation/evacuation.go
+++ b/internal/model/evacuation/evacuation.go
@@ -29,7 +29,7 @@
 type Zone struct {
 	_    struct{} `cbor:",toarray"`
 	Name string
-	// Revision is the revision of the evacuations that introduced the order.
+	// Revision is the revision of Evacuations at which the order was added.
 	Revision  uint64
 	Evacuated bool
 	// Who is the operator, When the time and ChangeKey the idempotency key of the order.
@@ -73,9 +73,9 @@
 	return e
 }
 
-// Check returns an InvalidError if no order for a zone with that name can be stored. The
-// zone may have no known upstreams: a voter may have started just now and not know them
-// yet, and an operator in an emergency must not have to wait.
+// Check returns an InvalidError if no order for a zone with that name can be stored. A zone
+// without known upstreams is accepted: a voter that has just started may lack their
+// announcements, and an operator must not have to wait in an emergency.
 func (e Evacuations) Check(name string) error {
 	switch {
 	case name == "" || len(name) > maxNameBytes || strings.ContainsFunc(name, func(r rune) bool { return !unicode.IsGraphic(r) }):
--- a/internal/model/roster/doc.go
+++ b/internal/model/roster/doc.go
@@ -2,5 +2,5 @@
 //
 // Gossip cannot determine which balancers store a key: both sides of a partition would each
 // find a majority. The roster therefore changes only in the voters' log. A new
-// list is valid together with the previous one until the keys are copied.
+// list is used together with the previous one until the keys are copied.
 package roster
--- a/internal/model/roster/roster.go
+++ b/internal/model/roster/roster.go
@@ -14,9 +14,9 @@
 type Member struct {
 	Name string
 	Zone string
-	// Start distinguishes runs: a restarted balancer has lost its keys.
+	// Start distinguishes runs: a restarted balancer has lost its idempotency keys.
 	Start uint64
-	// Rpc is the address for requests about keys.
+	// Rpc is the address of the member's RPC server for idempotency keys.
 	Rpc netip.AddrPort
 }
 
@@ -46,7 +46,7 @@
 	return r
 }
 
-// Contains reports whether the list contains that run of a balancer.
+// Contains reports whether the list contains the same run of the balancer.
 func (r Roster) Contains(m Member) bool { return contains(r.Members, m) }
 
 func contains(ms []Member, m Member) bool {
@@ -59,7 +59,7 @@
 	current, previous *ownership.Ownership
 }
 
-// NewView computes which members store which keys under a roster.
+// NewView computes the members that store each key under a roster.
 func NewView(r Roster) View {
 	return View{Roster: r, current: newOwnership(r.Members), previous: newOwnership(r.Previous)}
 }
--- a/internal/model/upstream/upstream.go
+++ b/internal/model/upstream/upstream.go
@@ -68,7 +68,7 @@
 	return u.Later(o)
 }
 
-// Later reports whether u was announced after o, both of the same incarnation. The state
+// Later reports whether u was announced after o; both have the same incarnation. The state
 // breaks ties between equal sequences, so that the result does not depend on arrival order.
 func (u Upstream) Later(o Upstream) bool {
 	if u.Born != o.Born {
