--- a/internal/wire/datagram/timestamp.go
+++ b/internal/wire/datagram/timestamp.go
@@ -9,7 +9,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// controlSize is the buffer size for the one control message, the receive timestamp.
+// controlSize is the buffer size for a single control message, the receive timestamp.
 const controlSize = 64
 
 // enableTimestamps requests a receive timestamp for each datagram. If the kernel refuses,
--- a/internal/wire/datagram/timestamp_test.go
+++ b/internal/wire/datagram/timestamp_test.go
@@ -9,8 +9,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// Guards against a panic where the kernel reports no receive timestamp.
-func TestMissingTimestamps(t *testing.T) {
+// Guards against a panic on a missing or truncated receive timestamp.
+func TestParseTimestamp(t *testing.T) {
 	message := make([]byte, unix.CmsgSpace(16))
 	binary.NativeEndian.PutUint64(message, uint64(unix.CmsgLen(16)))
 	binary.NativeEndian.PutUint32(message[8:], unix.SOL_SOCKET)
--- a/internal/wire/relay/doc.go
+++ b/internal/wire/relay/doc.go
@@ -1,2 +1,2 @@
-// Package relay encodes the datagrams in which balancers forward packets to each other.
+// Package relay encodes the datagrams in which balancers relay packets to each other.
 package relay
--- a/internal/wire/relay/relay.go
+++ b/internal/wire/relay/relay.go
@@ -23,8 +23,8 @@
 	FlagNotFound
 	// FlagLookup marks a packet that looks up the flow's entry on behalf of Origin.
 	FlagLookup
-	// FlagStale marks a packet with a holder of a possibly outdated entry appended to its path:
-	// its entry is used if no other member has one.
+	// FlagStale means that the last hop of the path is a member whose entry may be outdated; this
+	// entry is used only if no other member has one.
 	FlagStale
 )
 
--- a/internal/wire/rpc/client.go
+++ b/internal/wire/rpc/client.go
@@ -28,9 +28,9 @@
 func (e *LostError) Unwrap() error { return e.Cause }
 
 // DialTimeout is the default limit for opening a connection. A VM without power does
-// not respond, and the kernel retransmits the SYN only after a second: a caller that
-// waits for that reaches a voter that is back after a third of a second only then.
-// Connections between zones open within a few ms.
+// not respond, and the kernel retransmits the SYN only after a second. Without this limit, a
+// client that dials a voter during a restart of a third of a second connects only with that
+// retransmission. Connections between zones open within a few ms.
 const DialTimeout = 100 * time.Millisecond
 
 // Client calls one address, one call at a time.
--- a/internal/wire/rpc/rpc_test.go
+++ b/internal/wire/rpc/rpc_test.go
@@ -134,9 +134,9 @@
 }
 
 // Guards against a late configuration after a power failure of all VMs: balancers got it
-// after a second, although voters had it after a third of a second. A balancer that starts
-// before a voter's VM loses its SYN, and the kernel retransmits it only after a second; the
-// call used to wait for the connection until its own deadline.
+// after a second, although voters had it after a third of a second. If a balancer starts
+// before a voter's VM, its SYN is lost, and the kernel retransmits the SYN only after a second.
+// Formerly, the call waited for the connection until the deadline of the call.
 func TestHangingConnectionAttemptTimesOut(t *testing.T) {
 	c := rpc.NewClient(unresponsiveAddress(t), "token")
 	defer c.Close()
@@ -189,9 +189,9 @@
 	return n, err
 }
 
-// Guards against wasted bandwidth on the links of root balancers: forwarded
-// announcements are calls with large bodies that repeat the names of services and zones, and
-// only responses were compressed.
+// Guards against wasted bandwidth on the links of root balancers. Forwarded announcements
+// are calls with large bodies that repeat the names of services and zones. Formerly, only
+// responses were compressed.
 func TestLargeCallsAreCompressed(t *testing.T) {
 	l := listen(t)
 	counted := &countingListener{Listener: l}
