--- a/internal/disk/fault/fault.go
+++ b/internal/disk/fault/fault.go
@@ -26,7 +26,7 @@
 	random  *rand.Rand
 	// Operations counts the operations so far that change files or sync them.
 	Operations int
-	// FailAt is the number of the first operation that fails, as do all later ones; 0 disables failures.
+	// FailAt is the number of the operation from which on all fail; 0 disables failures.
 	FailAt int
 	// FailOnce limits the failure to operation FailAt, as on a disk that is full for a moment.
 	FailOnce bool
--- a/internal/disk/wal/wal_test.go
+++ b/internal/disk/wal/wal_test.go
@@ -43,7 +43,7 @@
 	require.Equal(t, size, w.Size())
 }
 
-// Guards against the loss of acknowledged changes at a restart: a flipped bit in an early
+// Guards against the loss of acknowledged changes at a restart. A flipped bit in an early
 // record must not be treated as a torn write at the end.
 func TestCorruptionBeforeTheEndIsReportedWithItsOffset(t *testing.T) {
 	for offset := range 40 {
@@ -58,7 +58,7 @@
 	}
 }
 
-// Guards against the loss of accepted changes after the disk was full: if one write fails and
+// Guards against the loss of accepted changes after the disk was full. If one write fails and
 // later ones succeed, their records follow a partial one and cannot be read.
 func TestWritesFailAfterOneFailure(t *testing.T) {
 	f := fault.New(1)
