--- a/internal/demo/run/run.go
+++ b/internal/demo/run/run.go
@@ -312,21 +312,22 @@
 	return highest
 }
 
-// violations returns the names of the guarantees that the result violates.
+// violations returns the names of the guarantees that the result violates. They appear in
+// Result.Broken and stay unchanged.
 func (r *Result) violations() []string {
 	guarantees := []struct {
 		name  string
 		holds bool
 	}{
 		{"established flows survive", r.BrokenFlows == 0 && r.Flows > 0},
-		{"no packet reaches the wrong service", r.Misdelivered == 0},
-		{"replies are intact", r.WrongBytes == 0},
+		{"no packet reaches another service", r.Misdelivered == 0},
+		{"answers are whole", r.WrongBytes == 0},
 		{"requests are answered", r.Requests > 0 && r.Unanswered == 0 && r.LeftUnknown <= maxLeftUnknown},
-		{"a non-idempotent request runs at most once", r.DoubleRun == 0},
-		{"a request reported as not run has not run", r.FalseNotRun == 0},
-		{"a preset is active on all balancers within seconds", r.PresetSeconds < propagationLimit.Seconds()},
-		{"a draining upstream gets no new work after a few seconds", r.DrainSeconds <= drainLimitSeconds},
-		{"new flows are spread evenly", r.Imbalance > 0 && r.Imbalance <= maxImbalance},
+		{"an unrepeatable request runs at most once", r.DoubleRun == 0},
+		{"not run is true", r.FalseNotRun == 0},
+		{"a preset is in force within seconds", r.PresetSeconds < propagationLimit.Seconds()},
+		{"a leaving upstream gets no new work after seconds", r.DrainSeconds <= drainLimitSeconds},
+		{"new flows are spread fairly", r.Imbalance > 0 && r.Imbalance <= maxImbalance},
 	}
 	var violated []string
 	for _, g := range guarantees {
--- a/internal/member/swim/message.go
+++ b/internal/member/swim/message.go
@@ -58,7 +58,7 @@
 	}
 	b, err := cbor.Marshal(m)
 	if err != nil {
-		out.Add(effect.Effect{Kind: effect.Alarm, Text: "encoding a gossip message failed: " + err.Error()})
+		out.Add(effect.Effect{Kind: effect.Alarm, Text: "gossip cannot be encoded: " + err.Error()})
 		return
 	}
 	data := s.signer.Sign(append([]byte{Kind}, b...))
--- a/internal/soak/run/callers.go
+++ b/internal/soak/run/callers.go
@@ -149,7 +149,7 @@
 			incarnation = response.Incarnation
 		}
 		if response.Incarnation != incarnation {
-			c.run.reportViolation(InvariantFlow, fmt.Sprintf("flow of upstream %x answered by upstream %x", incarnation, response.Incarnation))
+			c.run.reportViolation(InvariantFlow, fmt.Sprintf("flow of %x answered by %x", incarnation, response.Incarnation))
 		}
 		time.Sleep(rand.N(maxRequestPause))
 	}
@@ -177,7 +177,7 @@
 	}
 	var a responseBody
 	if err := json.Unmarshal(p.Data, &a); err != nil || a.Request != string(next.Data) {
-		c.run.reportViolation(InvariantResponse, fmt.Sprintf("request %q received response %q", next.Data, p.Data))
+		c.run.reportViolation(InvariantResponse, fmt.Sprintf("%q got %q", next.Data, p.Data))
 	}
 	c.run.count(&c.run.answered)
 	next.Sequence += uint32(next.Length)
--- a/internal/soak/run/evacuate.go
+++ b/internal/soak/run/evacuate.go
@@ -54,6 +54,6 @@
 	at, evacuated := r.evacuated[zone]
 	r.mu.Unlock()
 	if evacuated && at.Add(drainGrace).Before(r.timeBoundsReference()) {
-		r.reportViolation(InvariantEvacuated, fmt.Sprintf("new flow in %s, evacuated since %s", zone, at))
+		r.reportViolation(InvariantEvacuated, fmt.Sprintf("%s evacuated at %s", zone, at))
 	}
 }
--- a/internal/soak/run/operate.go
+++ b/internal/soak/run/operate.go
@@ -62,7 +62,7 @@
 		return false
 	}
 	if revision < minRevision {
-		r.reportViolation(InvariantRevert, fmt.Sprintf("%s returned revision %d after %d was acknowledged", api, revision, minRevision))
+		r.reportViolation(InvariantRevert, fmt.Sprintf("%s read %d where %d was acknowledged", api, revision, minRevision))
 	}
 	return true
 }
--- a/internal/soak/run/platform.go
+++ b/internal/soak/run/platform.go
@@ -88,18 +88,18 @@
 }
 
 func (e *BrokenError) Error() string {
-	return fmt.Sprintf("invariant violated: %s: %s", e.Invariant, e.Detail)
+	return fmt.Sprintf("broken promise: %s: %s", e.Invariant, e.Detail)
 }
 
-// The invariants that a run checks.
+// The invariants that a run checks. Their texts appear in Result.Broken and stay unchanged.
 const (
 	InvariantService   = "a packet never reaches another service"
-	InvariantFlow      = "open flows survive faults"
-	InvariantResponse  = "callers receive the responses to their own requests"
-	InvariantOnce      = "a request is executed at most once"
-	InvariantRevert    = "a read never returns a revision older than the newest acknowledged one"
-	InvariantDraining  = "a draining upstream gets no new flows after a few seconds"
-	InvariantEvacuated = "an evacuated zone gets no new flows after a few seconds"
-	InvariantExit      = "no process exits unexpectedly"
-	InvariantRecover   = "the system recovers after the faults"
+	InvariantFlow      = "open flows survive"
+	InvariantResponse  = "callers get the answers to their own requests"
+	InvariantOnce      = "a request runs at most once"
+	InvariantRevert    = "what was acknowledged is never read back older"
+	InvariantDraining  = "a leaving upstream gets no new flow after seconds"
+	InvariantEvacuated = "an evacuated zone gets no new flow after seconds"
+	InvariantExit      = "no process ends by itself"
+	InvariantRecover   = "all serve again after the faults"
 )
--- a/internal/soak/run/upstreams.go
+++ b/internal/soak/run/upstreams.go
@@ -169,13 +169,13 @@
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if !u.run.isPermitted(p.Address, u.self.Service) {
-		u.run.reportViolation(InvariantService, fmt.Sprintf("packet for %s reached service %s", p.Address, u.self.Service))
+		u.run.reportViolation(InvariantService, fmt.Sprintf("%s reached %s", p.Address, u.self.Service))
 		return
 	}
 	f := u.flows[p.Caller]
 	if p.Opening {
 		if !u.drainAcknowledgedAt.IsZero() && u.drainAcknowledgedAt.Add(drainGrace).Before(u.run.timeBoundsReference()) {
-			u.run.reportViolation(InvariantDraining, fmt.Sprintf("new flow at upstream %x, departure acknowledged at %s", u.self.Incarnation, u.drainAcknowledgedAt))
+			u.run.reportViolation(InvariantDraining, fmt.Sprintf("%x left at %s", u.self.Incarnation, u.drainAcknowledgedAt))
 		}
 		u.run.checkEvacuated(u.self.Zone)
 		if f == nil {
--- a/internal/start/logging/logging.go
+++ b/internal/start/logging/logging.go
@@ -14,7 +14,7 @@
 type Stage struct{}
 
 // String names the stage.
-func (Stage) String() string { return "create logger" }
+func (Stage) String() string { return "open log" }
 
 // Run provides the logger.
 func (Stage) Run(_ context.Context, i do.Injector) error {
