--- a/internal/request/door/exchange.go
+++ b/internal/request/door/exchange.go
@@ -143,4 +143,6 @@
 	http.Error(x.writer, "unknown: the request was sent and its answer was lost: "+err.Error(), http.StatusGatewayTimeout)
 }
 
-func (e *NoAddressError) Error() string { return "upstream " + e.Target + " has no door any more" }
+func (e *NoAddressError) Error() string {
+	return "upstream " + e.Target + " has no HTTP address any more"
+}
