--- a/internal/cookie/router/choose.go
+++ b/internal/cookie/router/choose.go
@@ -14,14 +14,15 @@
 	// idleFlowLoad is the load of an open flow without a request in flight: callers pause
 	// for about a second between requests of some 25 ms.
 	idleFlowLoad = 0.03
-	// spillLoad is the load, in requests per slot, by which an upstream in the balancer's
-	// own zone may exceed one in another zone. It reduces traffic between zones, and keeps
-	// the flows of a partitioned zone on upstreams that it can reach.
-	spillLoad = 0.75
-	// uploadSpillLoad is spillLoad for uploads. An upload counts as load while its body is
-	// in transit, though it occupies a slot for a few ms only, and its bytes are most of
-	// the traffic between zones.
-	uploadSpillLoad = 4
+	// remotePenalty is added to the cost of upstreams in other zones. An idle upstream there
+	// is preferred only to upstreams of the balancer's own zone with more than remotePenalty
+	// requests per slot. The penalty reduces traffic between zones, and keeps the flows of a
+	// partitioned zone on upstreams that the zone can reach.
+	remotePenalty = 0.75
+	// uploadRemotePenalty is remotePenalty for uploads. An upload counts as load while its body is
+	// in transit, though it occupies a slot for a few ms only. The bytes of uploads are most
+	// of the traffic between zones.
+	uploadRemotePenalty = 4
 )
 
 // rank orders candidates: lower values are preferred regardless of cost.
@@ -29,14 +30,14 @@
 
 const (
 	rankHealthy rank = iota
-	// rankSuspected upstreams show one sign of failure: they are not live, or they are
-	// suspected by the voters or this balancer. rankUnhealthy upstreams show both.
+	// rankSuspected upstreams show one of two signs of failure: they are not live, or they are
+	// suspected by the voters or this balancer. rankUnhealthy upstreams show both signs.
 	rankSuspected
 	rankUnhealthy
 )
 
 func (r *Router) rank(now time.Time, t *target) rank {
-	switch suspected := t.suspected(now) || t.suspectedByVoters() || now.Before(t.zone.refusals.until); {
+	switch suspected := t.suspectedLocally(now) || t.suspectedByVoters() || now.Before(t.zone.refusals.until); {
 	case t.Live && !suspected:
 		return rankHealthy
 	case t.Live || !suspected:
@@ -102,23 +103,23 @@
 	if p == nil {
 		return nil
 	}
-	spill := spillLoad
+	penalty := remotePenalty
 	if class == configuration.Upload {
-		spill = uploadSpillLoad
+		penalty = uploadRemotePenalty
 	}
 	r.rotation++
 	best := r.cheapest(now, p.local(), scanCount(p.local()), 0)
-	if best.healthy() && best.cost <= 1+spill {
-		// Upstreams of other zones cost at least 1+spill.
+	if best.healthy() && best.cost <= 1+penalty {
+		// No upstream of another zone costs less than 1+penalty.
 		return best.target
 	}
-	if bestRemote := r.cheapest(now, p.remote(), scanCount(p.remote()), spill); bestRemote.betterThan(best) {
+	if bestRemote := r.cheapest(now, p.remote(), scanCount(p.remote()), penalty); bestRemote.betterThan(best) {
 		best = bestRemote
 	}
 	if !best.healthy() && len(p.local())+len(p.remote()) > sampleSize {
 		// All sampled upstreams may be unhealthy while others are healthy.
 		best = r.cheapest(now, p.local(), len(p.local()), 0)
-		if bestRemote := r.cheapest(now, p.remote(), len(p.remote()), spill); bestRemote.betterThan(best) {
+		if bestRemote := r.cheapest(now, p.remote(), len(p.remote()), penalty); bestRemote.betterThan(best) {
 			best = bestRemote
 		}
 	}
@@ -153,16 +154,16 @@
 	return best
 }
 
-// bufferedPendingMax is the number of pending requests and openings at an upstream, as seen
-// by this balancer, from which on buffered packets stay buffered. After a power loss of the
-// whole site, each balancer buffers an equal share of the packets, and an upstream has room
-// for ten. When they were all placed at once, 230 of 28,000 requests found full queues and
-// were rejected three times in a row; with this limit, 25 were.
+// A buffered packet is placed only if this balancer has fewer than bufferedPendingMax openings and
+// requests pending at the upstream. After a power loss of the whole site, each balancer buffers an
+// equal share of the packets and places as many at a time; an upstream has room for ten. When all
+// packets were placed at once, 230 of 28,000 requests found full queues and were rejected three
+// times in a row; with this limit, 25 were.
 const bufferedPendingMax = 1
 
-// MayPlace reports whether a buffered packet may be placed now. Packets that have just
-// arrived are placed without this check: they are new, or the last retransmission. Buffered
-// packets were retransmitted recently, and their callers still wait for some time.
+// MayPlace reports whether a buffered packet may be placed now. Packets that have just arrived skip
+// this check, since one of them may be the caller's last retransmission. The callers of buffered
+// packets retransmitted recently and still wait for some time.
 func (r *Router) MayPlace(now time.Time, p Packet) bool {
 	if r.settings.Off.Has(mechanism.RoomAfterStart) {
 		return true
@@ -171,11 +172,11 @@
 		t := r.cookies[p.Cookie]
 		return t == nil || p.Length == 0 || t.openings+t.requests < bufferedPendingMax
 	}
-	route, ok := r.routes[p.Address]
+	configured, ok := r.routes[p.Address]
 	if !ok || r.flows[p.Flow()] != nil {
 		return true
 	}
-	t := r.choose(now, pickBackend(route.backends, p.Flow().hash()), route.Class)
+	t := r.choose(now, pickBackend(configured.backends, p.Flow().callerHash()), configured.Class)
 	return t == nil || t.openings+t.requests < bufferedPendingMax
 }
 
--- a/internal/cookie/router/cold.go
+++ b/internal/cookie/router/cold.go
@@ -34,11 +34,11 @@
 	return until, true
 }
 
-// withinColdLimit reports whether this balancer may send another flow to an upstream: always
-// if it is warm, otherwise within its cold rate. Each cold upstream is assigned to one
-// balancer of its own zone, since no balancer knows what the others send: with 70 balancers
-// one upstream got 17 flows in a second at a limit of 6. If the rate were divided among all,
-// each could send one flow in twelve seconds, longer than upstreams stay cold.
+// withinColdLimit reports whether this balancer may send another flow to an upstream: always if the
+// upstream is warm, otherwise within its cold rate. Each cold upstream is assigned to one balancer
+// of its own zone, since no balancer knows what the others send: with 70 balancers, one upstream
+// got 17 flows in a second at a limit of 6. If the rate were divided among all, each balancer could
+// send one flow in twelve seconds, and no upstream stays cold for that long.
 func (r *Router) withinColdLimit(now time.Time, t *target) bool {
 	until, bounded := t.coldUntil()
 	if !bounded || !now.Before(until) || r.settings.Off.Has(mechanism.SlowStart) {
@@ -62,10 +62,10 @@
 	return p != nil && (lo.SomeBy(p.local(), limited) || lo.SomeBy(p.remote(), limited))
 }
 
-// rejectCold returns the verdict on a new flow if no upstream is available and some are cold.
-// If one of these will be warm within warmWaitMax, the opening is dropped for a temporary
-// reason, so that the balancer buffers it. Otherwise it is reset, and the caller's retry may
-// reach the balancer that a cold upstream is assigned to.
+// rejectCold returns the verdict on a new flow if no upstream is available and some are cold. If a
+// cold upstream will be warm within warmWaitMax, the opening is dropped for a temporary reason, so
+// that the balancer buffers it. Otherwise the opening is reset, and the caller's retry may reach
+// the balancer that a cold upstream is assigned to.
 func (r *Router) rejectCold(now time.Time, service string) Verdict {
 	v := Verdict{Action: Reset, Reason: Cold, Revision: r.revision}
 	p := r.pools[service]
--- a/internal/cookie/router/cold_test.go
+++ b/internal/cookie/router/cold_test.go
@@ -91,10 +91,9 @@
 	return x
 }
 
-// Guards against cold upstreams that get more flows than their rate: each balancer sees only
-// its own flows, and considers these upstreams idle. An upstream that had just started got 17
-// flows in a second at a rate of 6. Eight upstreams start beside 24 warm ones; 22 balancers
-// get 25 flows a second each.
+// Eight upstreams start beside 24 warm ones, and 22 balancers get 25 flows a second each. Each
+// balancer sees only its own flows, and considers the cold upstreams idle. An upstream that had
+// just started used to get 17 flows in a second at a rate of 6.
 func TestColdRateLimitsFlowsOfAllBalancers(t *testing.T) {
 	for _, rate := range []float64{2, 6, 12} {
 		f := newColdFleet(t, rate, epoch.Add(-time.Minute), coldBalancers)
@@ -121,9 +120,9 @@
 	}
 }
 
-// Guards against upstreams that become cold while their zone is evacuated. Until their next
-// announcement, a second after the evacuation is revoked, balancers considered them warm and
-// sent them many times their rate.
+// Upstreams become cold while their zone is evacuated. Until their next announcement, a second
+// after the evacuation was revoked, balancers used to consider the upstreams warm and sent them
+// many times their rate.
 func TestZoneIsColdAfterItsEvacuation(t *testing.T) {
 	f := newColdFleet(t, 6, epoch.Add(-time.Minute), coldBalancers)
 	f.setTargets(epoch, target(1, "orders", "a"), target(2, "orders", "b"))
@@ -142,9 +141,8 @@
 	require.Greater(t, f.maxPerSecond(1), 25)
 }
 
-// Guards against several balancers that each consider a cold upstream assigned to
-// themselves: for the first seconds after a restart of all, each knows only some of the
-// others.
+// All balancers restart, and for the first seconds each knows only some of the others. Several
+// balancers must not each consider the same cold upstream assigned to themselves.
 func TestRestartedBalancersSendNoFlowsToColdUpstreams(t *testing.T) {
 	f := newColdFleet(t, 6, epoch, 3)
 	f.setTargets(epoch, coldTarget(1, "a", epoch.Add(coldFor)), target(2, "orders", "a"))
--- a/internal/cookie/router/detection.go
+++ b/internal/cookie/router/detection.go
@@ -19,18 +19,18 @@
 	// answer is only late.
 	minLossRate, maxLossRate = 0.01, 0.9
 	// An upstream without recent answers is assumed to respond in unmeasuredFactor times the
-	// median response time of its service, or unmeasuredResponseTime if there is no median.
+	// median response time of its service. Without a median, unmeasuredResponseTime is assumed.
 	// minResponseTime is the least mean response time assumed: after a few fast answers,
-	// slower ones would otherwise be overly strong evidence.
+	// slower answers would otherwise be overly strong evidence.
 	unmeasuredFactor       = 2
 	unmeasuredResponseTime = 75 * time.Millisecond
 	minResponseTime        = 10 * time.Millisecond
 	// lossDecay is the factor applied to the loss counters at each tick, a window of about
 	// five seconds.
 	lossDecay = 0.98
-	// recentDecay is the same for the counters of each upstream and the abandoned openings
-	// of each zone, a window of about half a second. A count up to recentMin, a fifth of a
-	// packet, is no longer recent: one packet decays to it in 0.7 s.
+	// recentDecay is the factor applied at each tick to the packet counters of each upstream
+	// and to the opening counters of each zone, a window of about half a second. A count up to
+	// recentMin, a fifth of a packet, is no longer recent: one packet decays to it in 0.7 s.
 	recentDecay = 0.8
 	recentMin   = 0.2
 	// minSample is the number of upstreams or openings of a zone that a comparison
@@ -57,16 +57,16 @@
 	return s != nil && lastAlive.Before(s.First)
 }
 
-// unresponsive reports whether the suspicion is active and the voters' evidence suffices.
+// unresponsive reports whether the suspicion is active and the voters have confirmed it.
 func (s *voterSuspicion) unresponsive(lastAlive time.Time) bool {
 	return s.active(lastAlive) && s.Unresponsive
 }
 
 // losses estimates the rate of packets lost in transit to live upstreams.
 type losses struct {
-	// answered is the decaying number of answered requests and openings, retransmitted the
-	// number of these that were sent more than once.
-	answered, retransmitted float64
+	// answered is the decaying number of answered requests and openings.
+	// answeredAfterRetransmission is the number of these that were sent more than once.
+	answered, answeredAfterRetransmission float64
 	// zoneRate is the recent share of unanswered packets in the balancer's own zone if most
 	// of its upstreams have some, otherwise 0.
 	zoneRate float64
@@ -74,19 +74,19 @@
 
 // rate returns the estimated loss rate.
 func (l *losses) rate() float64 {
-	return min(max(l.retransmitted/max(l.answered, 1), l.zoneRate, minLossRate), maxLossRate)
+	return min(max(l.answeredAfterRetransmission/max(l.answered, 1), l.zoneRate, minLossRate), maxLossRate)
 }
 
 // packetCounts are the decaying numbers of packets sent to an upstream and left unanswered.
 type packetCounts struct{ sent, unanswered float64 }
 
-// updateLossRates decays the counters, refills the report budget and compares the upstreams
-// of the balancer's own zone. If most of them leave packets unanswered at the same time, the
-// cause is probably packet loss and not that all these upstreams are down.
+// updateLossRates decays the counters, refills the report budget and compares the upstreams of the
+// balancer's own zone. If most of these upstreams leave packets unanswered at the same time, the
+// cause is probably packet loss: it is unlikely that all of them are down.
 func (r *Router) updateLossRates() {
 	r.reportBudget = min(r.reportBudget+reportsPerTick, reportBurst)
 	r.losses.answered *= lossDecay
-	r.losses.retransmitted *= lossDecay
+	r.losses.answeredAfterRetransmission *= lossDecay
 	used, losing := 0, 0
 	var all packetCounts
 	for _, s := range r.services {
@@ -111,12 +111,12 @@
 
 // zone is the state shared by the upstreams of one availability zone.
 type zone struct {
-	// lastAlive is the time of the latest answer from the zone, lastAnswered the upstream
-	// that sent it.
-	lastAlive    time.Time
-	lastAnswered *target
-	suspicion    *voterSuspicion
-	refusals     refusals
+	// lastAlive is the time of the latest answer from the zone; lastAnswered is the upstream
+	// that sent this answer.
+	lastAlive      time.Time
+	lastAnswered   *target
+	voterSuspicion *voterSuspicion
+	refusals       refusals
 	// evacuationRevoked is when the evacuation of the zone was revoked.
 	evacuationRevoked time.Time
 }
@@ -133,21 +133,21 @@
 // unresponsive reports whether the voters have confirmed their suspicion of the upstream or
 // its zone, and this balancer has seen no answer since.
 func (t *target) unresponsive() bool {
-	return t.suspicion.unresponsive(t.lastAlive) || t.zone.suspicion.unresponsive(t.zone.lastAlive)
+	return t.voterSuspicion.unresponsive(t.lastAlive) || t.zone.voterSuspicion.unresponsive(t.zone.lastAlive)
 }
 
 // unresponsiveSuspicion returns the suspicion that makes the upstream unresponsive.
 func (t *target) unresponsiveSuspicion() suspicions.Suspicion {
-	if t.suspicion.unresponsive(t.lastAlive) {
-		return t.suspicion.Suspicion
+	if t.voterSuspicion.unresponsive(t.lastAlive) {
+		return t.voterSuspicion.Suspicion
 	}
-	return t.zone.suspicion.Suspicion
+	return t.zone.voterSuspicion.Suspicion
 }
 
 // suspectedByVoters reports whether voters suspect the upstream or its zone and this
 // balancer has seen no answer since.
 func (t *target) suspectedByVoters() bool {
-	return t.suspicion.active(t.lastAlive) || t.zone.suspicion.active(t.zone.lastAlive)
+	return t.voterSuspicion.active(t.lastAlive) || t.zone.voterSuspicion.active(t.zone.lastAlive)
 }
 
 // report queues an event for the voters.
@@ -164,10 +164,10 @@
 	return out
 }
 
-// evidenceWeight returns the weight of an unanswered packet: the negative logarithm of the
-// larger of two probabilities, that the packet was lost, and that the upstream is still
-// processing it. The latter falls exponentially with the time waited, as the response times
-// of a queue do. Neither exceeds maxLossRate.
+// evidenceWeight returns the weight of an unanswered packet. The weight is the negative logarithm
+// of the larger of two probabilities: that the packet was lost, and that the upstream is still
+// processing it. The second probability falls exponentially with the time waited, as response times
+// under load do. Neither probability exceeds maxLossRate.
 func (r *Router) evidenceWeight(now time.Time, t *target, waited time.Duration) float64 {
 	mean, known := t.response.Mean(now)
 	if !known {
@@ -201,20 +201,21 @@
 	})
 }
 
-// noteAlive records an answer of an upstream, and refutes the voters' suspicions of it and
-// its zone.
-func (r *Router) noteAlive(now time.Time, t *target) {
-	t.noteAlive(now)
+// noteUpstreamAnswer records an answer of an upstream, and refutes the voters' suspicions of the
+// upstream and its zone.
+func (r *Router) noteUpstreamAnswer(now time.Time, t *target) {
+	t.noteAnswer(now)
 	t.zone.lastAlive, t.zone.lastAnswered = now, t
 	t.zone.refusals.until = time.Time{}
 	r.refuteSuspicions(now, t)
 }
 
-// refuteSuspicions reports the latest answer of an upstream to the voters, if it came after
-// the first unanswered packet of a suspicion and none was reported since the last update.
+// refuteSuspicions reports the latest answer of an upstream to the voters if the answer came after
+// the first unanswered packet of a suspicion. It reports at most one answer between two updates
+// from the voters.
 func (r *Router) refuteSuspicions(now time.Time, t *target) {
 	refutes := false
-	for _, s := range [...]*voterSuspicion{t.suspicion, t.zone.suspicion} {
+	for _, s := range [...]*voterSuspicion{t.voterSuspicion, t.zone.voterSuspicion} {
 		if s != nil && !s.active(t.lastAlive) && !s.refuted {
 			s.refuted, refutes = true, true
 		}
@@ -232,11 +233,11 @@
 // on the flow is lost as well.
 func (r *Router) SetSuspicions(now time.Time, all map[evidence.Subject]suspicions.Suspicion) []Packet {
 	for _, t := range r.suspects {
-		t.suspicion = nil
+		t.voterSuspicion = nil
 	}
 	r.suspects = r.suspects[:0]
 	for _, z := range r.zones {
-		z.suspicion = nil
+		z.voterSuspicion = nil
 	}
 	suspected := false
 	for subject, suspicion := range all {
@@ -249,32 +250,32 @@
 		r.refuteSuspicions(now, t)
 	}
 	for _, z := range r.zones {
-		if z.suspicion != nil && z.lastAnswered != nil {
+		if z.voterSuspicion != nil && z.lastAnswered != nil {
 			r.refuteSuspicions(now, z.lastAnswered)
 		}
 	}
 	return r.resetUnresponsive()
 }
 
-// suspect stores a suspicion and reports whether its subject is known. The suspicion is
-// stored as not refuted, so that the upstream's latest answer is reported even if that was
-// done before: a voter that restarted or received reports late may have missed it.
+// suspect stores a suspicion and reports whether its subject is known. The suspicion is stored as
+// not refuted, so that the upstream's latest answer is reported, even if it was reported before: a
+// voter that restarted or received reports late may have missed the earlier report.
 func (r *Router) suspect(subject evidence.Subject, suspicion suspicions.Suspicion) bool {
 	stored := &voterSuspicion{Suspicion: suspicion}
 	if z := r.zones[subject.Zone]; subject.Zone != "" && z != nil {
-		z.suspicion = stored
+		z.voterSuspicion = stored
 		return true
 	}
 	t := r.targets[subject.Incarnation]
 	if subject.Zone != "" || t == nil || t.Born != subject.Born {
 		return false
 	}
-	t.suspicion = stored
+	t.voterSuspicion = stored
 	r.suspects = append(r.suspects, t)
 	return true
 }
 
-// resetUnresponsive removes those flows of unresponsive upstreams for which mayReset returns
+// resetUnresponsive removes the flows of unresponsive upstreams for which mayReset returns
 // true. It returns a Packet for each of them, with the fields needed to send the reset.
 func (r *Router) resetUnresponsive() []Packet {
 	var out []Packet
--- a/internal/cookie/router/detection_test.go
+++ b/internal/cookie/router/detection_test.go
@@ -66,8 +66,8 @@
 	starved [poolUpstreams + 1]time.Time
 	clients []*client
 	ports   int
-	// requests counts all requests, unanswered those without an answer, and wronglyReset the
-	// flows that were reset although their upstreams were live.
+	// requests counts all requests, and unanswered the requests without an answer. wronglyReset
+	// counts the flows that were reset although their upstreams were live.
 	requests, unanswered, wronglyReset int
 }
 
@@ -77,8 +77,8 @@
 	balancer int
 	target   uint64
 	class    configuration.Class
-	// request is the number of the latest request, started when it was first sent; pending
-	// is set until it is answered.
+	// request is the number of the latest request, and started is when the client first sent
+	// it; pending is set until the request is answered.
 	request int
 	started time.Time
 	pending bool
@@ -106,12 +106,12 @@
 		s.received = append(s.received, suspicions.New(3*time.Second))
 	}
 	for i := range poolCallers {
-		u := &client{balancer: i % poolBalancers, class: configuration.Idempotent}
+		c := &client{balancer: i % poolBalancers, class: configuration.Idempotent}
 		if i%4 == 0 {
-			u.class = configuration.Unrepeatable
+			c.class = configuration.Unrepeatable
 		}
-		s.clients = append(s.clients, u)
-		s.AfterFunc(time.Duration(s.random.Int64N(int64(poolThinkTime))), func() { s.startRequest(u) })
+		s.clients = append(s.clients, c)
+		s.AfterFunc(time.Duration(s.random.Int64N(int64(poolThinkTime))), func() { s.startRequest(c) })
 	}
 	s.tick()
 	return s
@@ -135,11 +135,11 @@
 
 // sendToBalancer delivers a packet to a balancer, or loses it. A stalled balancer receives it
 // after the stall.
-func (s *poolSimulation) sendToBalancer(u *client, p router.Packet, then func(router.Verdict)) {
+func (s *poolSimulation) sendToBalancer(c *client, p router.Packet, then func(router.Verdict)) {
 	if s.packetLost() {
 		return
 	}
-	s.whenRunning(u.balancer, func() { s.route(u, p, then) })
+	s.whenRunning(c.balancer, func() { s.route(c, p, then) })
 }
 
 // whenRunning runs a function on a balancer. After a stall, the functions run in the order of
@@ -166,10 +166,10 @@
 	})
 }
 
-func (s *poolSimulation) route(u *client, p router.Packet, then func(router.Verdict)) {
-	r := s.routers[u.balancer]
+func (s *poolSimulation) route(c *client, p router.Packet, then func(router.Verdict)) {
+	r := s.routers[c.balancer]
 	v := r.Route(s.Now, p)
-	s.report(u.balancer)
+	s.report(c.balancer)
 	then(v)
 }
 
@@ -251,9 +251,9 @@
 func (s *poolSimulation) applySuspicions(balancer int, all []evidence.Suspicion) {
 	s.received[balancer].Update(s.Now, "voter", all)
 	for _, p := range s.routers[balancer].SetSuspicions(s.Now, s.received[balancer].All()) {
-		for _, u := range s.clients {
-			if u.packet.Caller == p.Caller {
-				s.reset(u)
+		for _, c := range s.clients {
+			if c.packet.Caller == p.Caller {
+				s.reset(c)
 			}
 		}
 	}
@@ -261,54 +261,54 @@
 }
 
 // reset ends a client's flow; a repeatable request is retried on another flow at once.
-func (s *poolSimulation) reset(u *client) {
-	if u.target != 0 && !s.dead[u.target] {
+func (s *poolSimulation) reset(c *client) {
+	if c.target != 0 && !s.dead[c.target] {
 		s.wronglyReset++
 	}
-	u.target = 0
-	if u.pending && u.class.Repeatable() {
-		s.send(u, 0)
+	c.target = 0
+	if c.pending && c.class.Repeatable() {
+		s.send(c, 0)
 	}
 }
 
 // startRequest starts a client's next request, and counts it if it misses its deadline.
-func (s *poolSimulation) startRequest(u *client) {
-	u.request++
-	u.started, u.pending = s.Now, true
+func (s *poolSimulation) startRequest(c *client) {
+	c.request++
+	c.started, c.pending = s.Now, true
 	s.requests++
-	n := u.request
+	request := c.request
 	s.AfterFunc(poolDeadline, func() {
-		if u.pending && u.request == n {
+		if c.pending && c.request == request {
 			s.unanswered++
-			u.pending, u.target = false, 0
-			s.AfterFunc(poolThinkTime, func() { s.startRequest(u) })
+			c.pending, c.target = false, 0
+			s.AfterFunc(poolThinkTime, func() { s.startRequest(c) })
 		}
 	})
-	s.send(u, 0)
+	s.send(c, 0)
 }
 
 // send sends the request, on a new flow if none is open, and retransmits it.
-func (s *poolSimulation) send(u *client, retransmissions int) {
-	n := u.request
-	if u.target == 0 {
-		s.openFlow(u)
+func (s *poolSimulation) send(c *client, retransmissions int) {
+	request := c.request
+	if c.target == 0 {
+		s.openFlow(c)
 		return
 	}
-	p := u.packet
+	p := c.packet
 	p.Length = 300
-	s.sendToBalancer(u, p, func(v router.Verdict) {
+	s.sendToBalancer(c, p, func(v router.Verdict) {
 		if v.Action == router.Reset {
-			s.reset(u)
+			s.reset(c)
 			return
 		}
-		s.arrive(u, n, v.Incarnation)
+		s.arrive(c, request, v.Incarnation)
 	})
 	if retransmissions < len(retransmitAfter) {
-		flow := u.packet.Caller
-		s.AfterFunc(retransmitAfter[retransmissions]-u.elapsed(retransmissions), func() {
+		flow := c.packet.Caller
+		s.AfterFunc(retransmitAfter[retransmissions]-c.elapsed(retransmissions), func() {
 			s.whenScheduled(0, func() {
-				if u.pending && u.request == n && u.packet.Caller == flow && u.target != 0 {
-					s.send(u, retransmissions+1)
+				if c.pending && c.request == request && c.packet.Caller == flow && c.target != 0 {
+					s.send(c, retransmissions+1)
 				}
 			})
 		})
@@ -316,29 +316,29 @@
 }
 
 // elapsed returns the time from the first transmission to the given retransmission.
-func (u *client) elapsed(retransmissions int) time.Duration {
+func (c *client) elapsed(retransmissions int) time.Duration {
 	if retransmissions == 0 {
 		return 0
 	}
 	return retransmitAfter[retransmissions-1]
 }
 
-func (s *poolSimulation) openFlow(u *client) {
+func (s *poolSimulation) openFlow(c *client) {
 	s.ports++
 	address := orders
-	if u.class == configuration.Unrepeatable {
+	if c.class == configuration.Unrepeatable {
 		address = notes
 	}
-	u.packet = router.Packet{Caller: caller(s.ports), Address: address, Opening: true}
-	n := u.request
-	p := u.packet
+	c.packet = router.Packet{Caller: caller(s.ports), Address: address, Opening: true}
+	request := c.request
+	p := c.packet
 	for retransmissions, d := range append([]time.Duration{0}, retransmitAfter[:2]...) {
 		s.AfterFunc(d, func() {
-			if !u.pending || u.request != n || u.target != 0 || u.packet.Caller != p.Caller {
+			if !c.pending || c.request != request || c.target != 0 || c.packet.Caller != p.Caller {
 				return
 			}
 			p.Copy = uint32(retransmissions)
-			s.sendToBalancer(u, p, func(v router.Verdict) {
+			s.sendToBalancer(c, p, func(v router.Verdict) {
 				if v.Action != router.Forward || s.dead[v.Incarnation] || s.packetLost() {
 					return
 				}
@@ -346,9 +346,9 @@
 					if s.Now.Before(s.starved[v.Incarnation]) {
 						return
 					}
-					if u.pending && u.request == n && u.target == 0 && u.packet.Caller == p.Caller {
-						u.packet.Opening, u.packet.Cookie, u.target = false, v.Cookie, v.Incarnation
-						s.send(u, 0)
+					if c.pending && c.request == request && c.target == 0 && c.packet.Caller == p.Caller {
+						c.packet.Opening, c.packet.Cookie, c.target = false, v.Cookie, v.Incarnation
+						s.send(c, 0)
 					}
 				})
 			})
@@ -370,32 +370,32 @@
 }
 
 // arrive processes a request at an upstream, which answers the caller directly.
-func (s *poolSimulation) arrive(u *client, n int, id uint64) {
-	if s.dead[id] || s.packetLost() || s.packetLost() {
+func (s *poolSimulation) arrive(c *client, request int, upstream uint64) {
+	if s.dead[upstream] || s.packetLost() || s.packetLost() {
 		return
 	}
-	s.whenScheduled(id, func() { s.work(u, n, id) })
+	s.whenScheduled(upstream, func() { s.work(c, request, upstream) })
 }
 
-func (s *poolSimulation) work(u *client, n int, id uint64) {
-	work := time.Duration((0.5 + s.random.ExpFloat64()/2) * float64(poolWork) * max(s.slow[id], 1))
-	s.AfterFunc(work+transit, func() { s.whenScheduled(0, func() { s.answer(u, n, id) }) })
+func (s *poolSimulation) work(c *client, request int, upstream uint64) {
+	work := time.Duration((0.5 + s.random.ExpFloat64()/2) * float64(poolWork) * max(s.slow[upstream], 1))
+	s.AfterFunc(work+transit, func() { s.whenScheduled(0, func() { s.answer(c, request, upstream) }) })
 }
 
-func (s *poolSimulation) answer(u *client, n int, id uint64) {
-	if !u.pending || u.request != n || u.target != id {
+func (s *poolSimulation) answer(c *client, request int, upstream uint64) {
+	if !c.pending || c.request != request || c.target != upstream {
 		return
 	}
-	u.pending = false
-	u.packet.Sequence += 300
-	u.packet.Acknowledged += 2000
-	s.sendToBalancer(u, u.packet, func(router.Verdict) {})
-	s.AfterFunc(time.Duration(s.random.ExpFloat64()*float64(poolThinkTime)), func() { s.startRequest(u) })
+	c.pending = false
+	c.packet.Sequence += 300
+	c.packet.Acknowledged += 2000
+	s.sendToBalancer(c, c.packet, func(router.Verdict) {})
+	s.AfterFunc(time.Duration(s.random.ExpFloat64()*float64(poolThinkTime)), func() { s.startRequest(c) })
 }
 
-// lossAfterPowerFailure simulates a pool of which a quarter loses power, and returns the
-// share of the requests of the next two seconds without an answer.
-func lossAfterPowerFailure(t *testing.T, seed uint64, shared bool) float64 {
+// unansweredAfterPowerFailure simulates a pool in which a quarter of the upstreams lose power. It
+// returns the share of unanswered requests among those of the next two seconds.
+func unansweredAfterPowerFailure(t *testing.T, seed uint64, shared bool) float64 {
 	s := newPoolSimulation(t, seed, shared)
 	s.run(2 * time.Second)
 	requests, unanswered := s.requests, s.unanswered
@@ -407,23 +407,23 @@
 	return float64(s.unanswered-unanswered) / float64(requests)
 }
 
-// Guards against slow detection of dead upstreams: each balancer sees only a seventh of the
-// unanswered packets. When flows were reset only once announcements were overdue, one request
-// in ten got no answer. A quarter of a pool loses power while callers have open flows there.
+// A quarter of a pool loses power while callers have open flows there. Each of the seven balancers
+// sees only a seventh of the unanswered packets. When flows were reset only once announcements were
+// overdue, one request in ten got no answer.
 func TestSharedSuspicionsSaveRequests(t *testing.T) {
-	alone, together := 0.0, 0.0
+	unshared, shared := 0.0, 0.0
 	for seed := range uint64(4) {
-		alone += lossAfterPowerFailure(t, seed, false) / 4
-		together += lossAfterPowerFailure(t, seed, true) / 4
+		unshared += unansweredAfterPowerFailure(t, seed, false) / 4
+		shared += unansweredAfterPowerFailure(t, seed, true) / 4
 	}
-	t.Logf("unanswered: %.3f without shared suspicions, %.3f with them", alone, together)
-	require.Less(t, together, 0.35*alone)
+	t.Logf("unanswered: %.3f without shared suspicions, %.3f with them", unshared, shared)
+	require.Less(t, shared, 0.35*unshared)
 }
 
 var seeds = flag.Int("seeds", 100, "number of random simulations of pools with live upstreams")
 
-// Guards against resets of flows of live upstreams under random packet loss, with slow
-// upstreams and stalled balancers.
+// Packets are lost at random, upstreams are slow, and balancers stall. Flows of live upstreams must
+// not be reset.
 func TestLiveUpstreamsLoseNoFlow(t *testing.T) {
 	for seed := range uint64(*seeds) {
 		s := newPoolSimulation(t, seed, true)
@@ -442,8 +442,7 @@
 	}
 }
 
-// Guards against resets of flows whose upstreams, callers or balancers are only starved of
-// CPU.
+// Upstreams, callers or balancers are starved of CPU for a while. Their flows must not be reset.
 func TestStarvedUpstreamsLoseNoFlow(t *testing.T) {
 	for seed := range uint64(*seeds) {
 		s := newPoolSimulation(t, seed, true)
@@ -462,10 +461,9 @@
 	}
 }
 
-// Guards against flows of live upstreams that are reset because refutations arrive late. 60 ms
-// suffice for balancers that poll the voters directly, but not for those that poll through
-// relays on narrow links, which batch what they relay. Upstreams are slow and 10 % of the
-// packets are lost.
+// Upstreams are slow, and 10 % of the packets are lost. Balancers poll the voters through relays on
+// narrow links, which batch what they relay. A timeout for refutations of 60 ms suffices for direct
+// polls, but reset flows of live upstreams behind relays.
 func TestRelayedRefutationsArriveInTime(t *testing.T) {
 	// With a limit of 60 ms, seed 353 reset a flow of a live upstream.
 	for _, seed := range append([]uint64{353}, lo.RangeFrom(uint64(0), *seeds)...) {
@@ -501,9 +499,9 @@
 	require.Len(t, r.Reports(), 4)
 }
 
-// Guards against callers of a partitioned zone that wait up to 0.8 s for a reset: with all
-// upstreams unresponsive, openings were still forwarded to one of them, and reset only with
-// the voters' next response.
+// A zone is partitioned, and all upstreams of a service are unresponsive. Openings used to be
+// forwarded to one of these upstreams, and reset only with the voters' next response: callers
+// waited up to 0.8 s.
 func TestFlowToUnresponsiveZoneIsReset(t *testing.T) {
 	r := newRouter(t, target(1, "orders", "b"), target(2, "orders", "b"))
 	unresponsive := map[evidence.Subject]suspicions.Suspicion{{Zone: "b"}: {First: epoch, Unresponsive: true}}
--- a/internal/cookie/router/doc.go
+++ b/internal/cookie/router/doc.go
@@ -1,7 +1,7 @@
-// Package router selects the upstream of a packet by a cookie that both ends of a flow echo in each
-// packet, so that any balancer can forward any packet without per-flow state. It sees only callers'
-// packets, since upstreams answer callers directly: a caller's acknowledgment shows that its
-// upstream answered.
+// Package router selects the upstream of a packet by a cookie, which both ends of a flow echo in
+// each packet. Any balancer can therefore forward any packet without per-flow state. The router
+// sees only callers' packets, since upstreams answer callers directly: a caller's acknowledgment
+// shows that its upstream answered.
 //
 // An opening is the first packet of a flow (a SYN), and its handshake until that is complete. The
 // router stores pending openings and requests to place new flows, and to detect unresponsive and
--- a/internal/cookie/router/evacuate_test.go
+++ b/internal/cookie/router/evacuate_test.go
@@ -19,8 +19,8 @@
 	return e
 }
 
-// Guards against new flows to an evacuated zone, where the cheapest upstream may be: the
-// balancer's own zone is evacuated while a flow is open and an opening is pending.
+// The balancer's own zone is evacuated while a flow is open and an opening is pending. New flows
+// must not go to the zone, although the cheapest upstream may be there.
 func TestEvacuatedZoneGetsNoNewFlows(t *testing.T) {
 	r := newRouter(t, target(1, "orders", "a"), target(2, "orders", "b"), target(3, "orders", "c"))
 	require.Equal(t, uint64(1), r.Route(epoch, opening(1)).Incarnation, "the local zone is cheapest")
--- a/internal/cookie/router/flow.go
+++ b/internal/cookie/router/flow.go
@@ -36,14 +36,14 @@
 	// overdue is set if the answer is late; the flow then no longer counts towards the
 	// concurrency limit.
 	overdue bool
-	// retransmitted is set if the pending opening or request was sent again, reported if
+	// retransmitted is set if the pending opening or request was sent again; reported is set if
 	// it was reported to the voters as unanswered.
 	retransmitted, reported bool
 	// inFlightAtSend is the number of flows of the service in flight when the request was
 	// sent.
 	inFlightAtSend int
-	// nextSequence is the end of the data that the caller has sent, acknowledged the end of
-	// the data that it has received.
+	// nextSequence is the end of the data that the caller has sent; acknowledged is the end of
+	// the data that the caller has received.
 	nextSequence, acknowledged uint32
 }
 
@@ -112,13 +112,13 @@
 	if f.opening {
 		f.opening = false
 		t.addPending(-1, 0)
-		r.noteAnswer(now, f)
+		r.noteFlowAnswer(now, f)
 		notify(r.settings.Opened, now.Sub(f.sent))
 		f.nextSequence, f.acknowledged = p.Sequence, p.Acknowledged
 	}
 	if int32(p.Acknowledged-f.acknowledged) > 0 {
 		f.acknowledged = p.Acknowledged
-		r.noteAnswer(now, f)
+		r.noteFlowAnswer(now, f)
 		if f.requestPending {
 			f.requestPending = false
 			t.addPending(0, -1)
@@ -131,15 +131,15 @@
 	}
 }
 
-// noteAnswer records that the upstream of a flow answered.
-func (r *Router) noteAnswer(now time.Time, f *flow) {
+// noteFlowAnswer records that the upstream of a flow answered.
+func (r *Router) noteFlowAnswer(now time.Time, f *flow) {
 	r.losses.answered++
 	if f.retransmitted {
-		r.losses.retransmitted++
+		r.losses.answeredAfterRetransmission++
 		f.retransmitted = false
 	}
 	f.setOverdue(false)
-	r.noteAlive(now, f.target)
+	r.noteUpstreamAnswer(now, f.target)
 }
 
 func (r *Router) noteData(now time.Time, f *flow, t *target, p Packet) {
--- a/internal/cookie/router/load_test.go
+++ b/internal/cookie/router/load_test.go
@@ -50,30 +50,30 @@
 	offered  int
 	inTime   int
 	rejected int
-	// queueFull counts the requests that found a full queue, refused the connections that a
-	// server reset.
+	// queueFull counts the requests that found a full queue; refused counts the connections that
+	// a server reset.
 	queueFull, refused int
 	// unserved holds the start times of the requests that callers gave up.
 	unserved []time.Time
-	// work is the mean processing time of a request, objective the response time up to
-	// which it is in time.
+	// work is the mean processing time of a request. A request counts in inTime if its response
+	// time does not exceed objective.
 	work, objective time.Duration
 	// urgentOffered and urgentInTime count the requests of the more urgent priority.
 	urgentOffered, urgentInTime int
 }
 
 // newSimulation returns a simulation whose balancers have known the upstreams since the given
-// time. The objective of their routes is goal; 0 means none.
-func newSimulation(t *testing.T, knownSince time.Time, goal time.Duration, slow map[uint64]float64) *simulation {
-	return newSimulationOf(t, knownSince, goal, slow, balancers, upstreamCount)
+// time. The routes have the objective routeObjective; 0 means none.
+func newSimulation(t *testing.T, knownSince time.Time, routeObjective time.Duration, slow map[uint64]float64) *simulation {
+	return newSimulationOf(t, knownSince, routeObjective, slow, balancers, upstreamCount)
 }
 
-// seedStep is the difference between the seeds of balancers, spread like hashes of their
-// addresses.
+// seedStep separates the seeds of the simulated balancers. In production, the seed is a hash of the
+// balancer's address.
 const seedStep = 7919
 
 // newSimulationOf is newSimulation with the given numbers of balancers and upstreams.
-func newSimulationOf(t *testing.T, knownSince time.Time, goal time.Duration, slow map[uint64]float64, balancers int, upstreams uint64) *simulation {
+func newSimulationOf(t *testing.T, knownSince time.Time, routeObjective time.Duration, slow map[uint64]float64, balancers int, upstreams uint64) *simulation {
 	s := &simulation{
 		Clock: virtual.Clock{Now: epoch}, random: rand.New(rand.NewPCG(1, 2)), servers: map[uint64]*server{}, work: work,
 		objective: objective,
@@ -86,8 +86,8 @@
 	for i := range balancers {
 		r := router.New(router.Settings{Zone: "a", Seed: uint64(i) * seedStep})
 		require.NoError(t, r.Configure(configuration.Configuration{Revision: 1, Routes: []configuration.Route{
-			{Name: "orders", Address: orders, Service: "orders", Objective: goal, Priority: 2},
-			{Name: "urgent", Address: notes, Service: "orders", Objective: goal, Priority: 1},
+			{Name: "orders", Address: orders, Service: "orders", Objective: routeObjective, Priority: 2},
+			{Name: "urgent", Address: notes, Service: "orders", Objective: routeObjective, Priority: 1},
 		}}))
 		r.SetTargets(knownSince, targets)
 		s.routers = append(s.routers, r)
@@ -207,8 +207,8 @@
 }
 
 // simulate returns the share of the requests that were answered in time.
-func simulate(t *testing.T, perSecond float64, goal time.Duration, slow map[uint64]float64) (float64, *simulation) {
-	s := newSimulation(t, epoch.Add(-time.Minute), goal, slow)
+func simulate(t *testing.T, perSecond float64, routeObjective time.Duration, slow map[uint64]float64) (float64, *simulation) {
+	s := newSimulation(t, epoch.Add(-time.Minute), routeObjective, slow)
 	s.tick()
 	s.offer(perSecond)
 	s.run(duration)
@@ -218,22 +218,20 @@
 // capacity is the number of requests per second that all upstreams can process.
 var capacity = upstreamCount * slotsPerUpstream / work.Seconds()
 
-// Guards against overload that fills the queues of all upstreams, so that nearly every
-// answer is late though they work at full speed. Callers offer one and a half times the
-// capacity.
+// Callers offer one and a half times the capacity. Without admission control, the queues of all
+// upstreams fill, and nearly every answer is late although the upstreams work at full speed.
 func TestOverloadRejectsOpenings(t *testing.T) {
 	without, _ := simulate(t, 1.5*capacity, 0, nil)
 	with, s := simulate(t, 1.5*capacity, objective, nil)
 	t.Logf("in time %.2f, without admission %.2f", with, without)
-	require.Greater(t, with, 0.5, "two thirds can be served")
+	require.Greater(t, with, 0.5, "the capacity suffices for two thirds")
 	require.Greater(t, with, 2*without)
 	require.NotZero(t, s.rejected)
 }
 
-// Guards against rejections just after an outage: all balancers lost power, and all callers
-// return at once. The initial queue was taken for overload, and callers that had already waited
-// were rejected three times in a row: one request in six failed although the upstreams had
-// capacity again within a second.
+// All balancers lose power, and all callers return at once. The initial queue used to be taken for
+// overload, and callers that had already waited were rejected three times in a row: one request in
+// six failed although the upstreams had capacity again within a second.
 func TestNoRejectionsDuringSettlePeriod(t *testing.T) {
 	s := newSimulation(t, epoch, objective, nil)
 	s.tick()
@@ -254,8 +252,8 @@
 	}
 }
 
-// Guards against idle slow upstreams that look as good as idle fast ones: one request in
-// ten was late at low load. Five of 14 upstreams take six times longer.
+// Five of 14 upstreams take six times longer. An idle slow upstream used to look as good as an idle
+// fast one: one request in ten was late at low load.
 func TestSlowUpstreamsAreChosenLast(t *testing.T) {
 	slow := map[uint64]float64{1: 6, 4: 6, 7: 6, 10: 6, 13: 6}
 	with, s := simulate(t, 0.35*capacity, objective, slow)
@@ -264,9 +262,9 @@
 	require.Less(t, float64(s.rejected), 0.02*float64(s.offered), "nine others have capacity")
 }
 
-// Guards against short requests that are rejected because uploads, whose bodies are in
-// transit for 0.9 s, count towards the service's response time. A route sends part of its
-// flows to a service that also takes uploads.
+// A service takes short requests and uploads, whose bodies are in transit for 0.9 s. Uploads must
+// not count towards the response time that decides on short requests; otherwise short requests are
+// rejected.
 func TestUploadsDoNotAffectAdmissionOfShortRequests(t *testing.T) {
 	r := router.New(router.Settings{Zone: "a"})
 	require.NoError(t, r.Configure(configuration.Configuration{Revision: 1, Routes: []configuration.Route{
@@ -327,9 +325,9 @@
 	return s.queueFull
 }
 
-// Guards against buffered packets that fill the queues when placed at once: callers are then
-// refused three times in a row within some ms, and all other requests are delayed. After a
-// power loss, balancers place 300 buffered packets; each upstream has room for ten.
+// After a power loss, balancers place 300 buffered packets; each upstream has room for ten. When
+// the packets were placed at once, they filled the queues: callers were refused three times in a
+// row within some ms, and all other requests were delayed.
 func TestBufferedPacketsArePlacedGradually(t *testing.T) {
 	atOnce := simulateRecovery(t, false)
 	paced := simulateRecovery(t, true)
@@ -338,9 +336,9 @@
 	require.Less(t, paced, atOnce/10)
 }
 
-// Guards against rejections in a burst that the upstreams can absorb: 0.5 % of the requests
-// were not served, and without rejections all were. Callers offer four fifths of the capacity.
-// A request takes half of the objective on average; flows were rejected from there on.
+// Callers offer four fifths of the capacity, and a request takes half of the objective on average.
+// Flows used to be rejected from half of the objective on: in a burst that the upstreams can
+// absorb, 0.5 % of the requests were not served, and without rejections all were.
 func TestBusyUpstreamsWithinObjectiveRejectFewFlows(t *testing.T) {
 	with, s := simulate(t, 0.8*capacity, objective, nil)
 	t.Logf("%.2f in time, rejected %d of %d", with, s.rejected, s.offered)
@@ -357,9 +355,9 @@
 	fleetObjective = 500 * time.Millisecond
 )
 
-// simulateFleet simulates callers that offer a load, as a share of the capacity, to balancers
-// that know the given number of balancers (0: unknown). Hanging upstreams accept requests and
-// never answer.
+// simulateFleet simulates callers that offer a load, given as a share of the capacity. The
+// balancers assume the known number of balancers; 0 means unknown. Hanging upstreams accept
+// requests and never answer.
 func simulateFleet(t *testing.T, load float64, known, hanging int) *simulation {
 	return simulateFleetSeeded(t, load, known, hanging, 1)
 }
@@ -381,11 +379,11 @@
 	return s
 }
 
-// Guards against a fleet whose upstreams refuse requests before the balancers reject flows.
-// The objective is 500 ms, but a queue is full at 200, so response times never reach the
-// objective. Each refusal costs a whole request and up to two more: in a burst of six times
-// the load a third of all requests failed until six seconds after it, and upstreams refused
-// 8,000. Callers offer one and a half times the capacity.
+// Callers offer one and a half times the capacity. The objective is 500 ms, but a queue is full at
+// 200, so response times never reach the objective. Upstreams used to refuse requests before
+// balancers rejected flows, and each refusal costs a whole request and up to two more: in a burst
+// of six times the load, upstreams refused 8,000 requests, and a third of all requests failed until
+// six seconds after the burst.
 func TestFlowsAreRejectedBeforeQueuesAreFull(t *testing.T) {
 	without := simulateFleet(t, 1.5, 0, 0)
 	with := simulateFleet(t, 1.5, fleetBalancers, 0)
@@ -394,7 +392,7 @@
 	require.Less(t, with.queueFull, without.queueFull/10)
 	require.Greater(t, float64(with.urgentInTime), 0.95*float64(with.urgentOffered), "the urgent quarter is rejected last")
 	require.Greater(t, with.urgentInTime, without.urgentInTime)
-	require.Greater(t, float64(with.inTime), 0.6*float64(with.offered), "two thirds can be served")
+	require.Greater(t, float64(with.inTime), 0.6*float64(with.offered), "the capacity suffices for two thirds")
 }
 
 func TestFleetUnderOrdinaryLoadRejectsFewFlows(t *testing.T) {
@@ -414,17 +412,17 @@
 	}
 }
 
-// Guards against requests that hang and count as in flight until callers give up: while a
-// tenth of the upstreams (four of 40) hung, 8 % of the callers were rejected although the
-// other upstreams had capacity.
+// A tenth of the upstreams (four of 40) hang. Requests at these upstreams used to count as in
+// flight until callers gave up: 8 % of the callers were rejected although the other upstreams had
+// capacity.
 func TestRequestsAtHangingUpstreamsUseNoConcurrency(t *testing.T) {
 	s := simulateFleet(t, 0.4, fleetBalancers, fleetUpstreams/10)
 	t.Logf("rejected %d of %d", s.rejected, s.offered)
 	require.Less(t, float64(s.rejected), 0.01*float64(s.offered))
 }
 
-// Guards against rejections while upstreams are idle: connections refused by upstreams
-// counted as load.
+// Some upstreams refuse all connections. Refused connections used to count as load, and flows were
+// rejected while the other upstreams were idle.
 func TestRefusedConnectionsUseNoConcurrency(t *testing.T) {
 	for _, share := range []float64{0.1, 0.25, 0.4, 0.5, 0.75} {
 		s := newSimulationOf(t, epoch.Add(-time.Minute), fleetObjective, nil, fleetBalancers, fleetUpstreams)
@@ -443,14 +441,14 @@
 		if share >= 0.5 {
 			continue
 		}
-		// Suspicions of 1, 2 and 4 s allow three attempts in five seconds, in addition to one
+		// Suspicions of 1, 2 and 4 s allow three attempts in five seconds, in addition to one attempt
 		// that began before the first refusal was detected.
 		require.LessOrEqual(t, float64(s.refused), 4*share*fleetUpstreams*fleetBalancers)
 	}
 }
 
-// Guards against an overload without rejections: a request that its caller had reset counted
-// as overdue for ever, and so allowed another one in flight.
+// Callers reset their requests. A reset request used to count as overdue for ever, and so allowed
+// another one in flight: an overload caused no rejections.
 func TestResetRequestsFreeNoExtraConcurrency(t *testing.T) {
 	s := newSimulationOf(t, epoch.Add(-time.Minute), fleetObjective, nil, 1, 2)
 	r := s.routers[0]
@@ -485,8 +483,8 @@
 	require.Positive(t, rejected, "four slots have 290 requests in flight")
 }
 
-// Guards against flows that leave their zone when callers, not upstreams, become
-// unreachable: their openings look as if upstreams had refused them.
+// Callers, not upstreams, become unreachable. Their openings look as if upstreams had refused them,
+// but flows must not leave the zone.
 func TestVanishedCallersSuspectNoUpstream(t *testing.T) {
 	suspected := 0
 	r := router.New(router.Settings{Zone: "a", Suspected: func(view.Target) { suspected++ }})
@@ -508,8 +506,8 @@
 	require.LessOrEqual(t, suspected, 2, "until the zone has three checked openings")
 }
 
-// Guards against callers that use up their tries in a zone whose upstreams have all ended,
-// because each balancer had to detect each ended upstream.
+// All upstreams of a zone end at once. Each balancer used to detect each ended upstream separately,
+// and callers used up their tries in the zone.
 func TestRefusingZoneIsAvoided(t *testing.T) {
 	const crash, restart = 2 * time.Second, 5 * time.Second
 	s := newSimulationOf(t, epoch.Add(-time.Minute), fleetObjective, nil, fleetBalancers, fleetUpstreams)
--- a/internal/cookie/router/overdue.go
+++ b/internal/cookie/router/overdue.go
@@ -7,12 +7,13 @@
 
 const (
 	// A pending request is overdue from the age overdueAfter, or overdueFactor times the
-	// median response time of its service if that is longer. It no longer counts as load: its
-	// packets were lost, or its upstream is down or hangs.
+	// median response time of its service if that is longer. An overdue request no longer counts
+	// towards the service's flows in flight: its packets were lost, or its upstream is down or
+	// hangs.
 	overdueAfter  = 300 * time.Millisecond
 	overdueFactor = 4
-	// openingOverdueAfter is the same for an opening: upstreams accept connections without
-	// occupying a slot, within a few round trips between zones.
+	// openingOverdueAfter is the age from which a pending opening is overdue: upstreams accept
+	// connections without occupying a slot, within a few round trips between zones.
 	openingOverdueAfter = 100 * time.Millisecond
 )
 
@@ -62,7 +63,7 @@
 	} else {
 		s.requests.add(f)
 	}
-	f.setOverdue(f.target.suspected(now) || f.target.suspectedByVoters())
+	f.setOverdue(f.target.suspectedLocally(now) || f.target.suspectedByVoters())
 }
 
 // markOverdue marks the flows that have waited too long as overdue.
--- a/internal/cookie/router/packet.go
+++ b/internal/cookie/router/packet.go
@@ -7,7 +7,8 @@
 
 // Packet holds the fields of a caller's packet that routing depends on.
 type Packet struct {
-	Caller  netip.AddrPort
+	Caller netip.AddrPort
+	// Address is the address of the route, to which the caller sends.
 	Address netip.AddrPort
 	// Opening is set if the packet requests a new flow; Copy is then how often the caller has
 	// sent it before.
@@ -26,9 +27,9 @@
 	Waited time.Duration
 }
 
-// rejectableFor is the age up to which an opening may be rejected. Callers retransmit after
-// 200 ms, and the retransmission may open the flow through another balancer; the difference
-// allows for the reset's transit time.
+// rejectableFor is the age up to which an opening may be rejected. Callers retransmit after 200 ms,
+// and the retransmission may open the flow through another balancer. The difference of 40 ms allows
+// for the reset's transit time.
 const rejectableFor = 160 * time.Millisecond
 
 // Rejectable reports whether an opening may be answered by a reset, because no other
@@ -36,7 +37,7 @@
 // flow; the opening is dropped instead, and the caller's attempt times out.
 func (p Packet) Rejectable() bool { return p.Copy == 0 && p.Waited < rejectableFor }
 
-// Flow identifies a flow by its two endpoints.
+// Flow identifies a flow by its caller and the address of its route, to which the caller sends.
 type Flow struct{ Caller, Address netip.AddrPort }
 
 // Flow returns the flow of the packet.
@@ -105,8 +106,8 @@
 	"Known", "Placed", "Repeated", "Unconfigured", "NoRoute", "NoUpstream", "UnknownCookie", "Ended", "Busy", "Waiting", "Overloaded", "Unresponsive", "Evacuated", "Cold", "Stray",
 }
 
-// Temporary reports whether a packet dropped for this reason may be placed soon, once more
-// state is known.
+// Temporary reports whether a packet that is dropped, and not reset, for this reason may be placed
+// soon, once more state is known.
 func (r Reason) Temporary() bool {
 	return r == Unconfigured || r == UnknownCookie || r == NoUpstream || r == Cold
 }
@@ -118,8 +119,9 @@
 type Verdict struct {
 	Action Action
 	Reason Reason
-	// To, Incarnation and Cookie are the destination of a forwarded packet and the cookie
-	// for both ends to echo; Incarnation is also set if the upstream has terminated.
+	// To and Incarnation identify the upstream of a forwarded packet; Cookie is what both ends
+	// of the flow echo. Incarnation is also set if the flow is reset because of its upstream's
+	// state, or if its upstream has terminated.
 	To          netip.AddrPort
 	Incarnation uint64
 	Cookie      uint32
--- a/internal/cookie/router/place.go
+++ b/internal/cookie/router/place.go
@@ -9,9 +9,10 @@
 	"wasabideal/internal/cookie/mechanism"
 )
 
-// routeOpening decides on an opening. A retransmission goes to the upstream chosen before: if
-// two upstreams answered, the caller would echo the cookie of the later answer, and its
-// packets would go to an upstream where the flow is not open.
+// routeOpening decides on an opening. It drops an opening that would be reset but is not
+// Rejectable. A retransmission goes to the upstream chosen before: if two upstreams answered, the
+// caller would echo the cookie of the later answer, and its packets would go to an upstream where
+// the flow is not open.
 func (r *Router) routeOpening(now time.Time, p Packet) Verdict {
 	v := r.decideOpening(now, p)
 	if v.Action == Reset && !p.Rejectable() {
@@ -24,7 +25,7 @@
 	if r.revision == 0 {
 		return Verdict{Action: Drop, Reason: Unconfigured}
 	}
-	route, ok := r.routes[p.Address]
+	configured, ok := r.routes[p.Address]
 	if !ok {
 		return Verdict{Action: Reset, Reason: NoRoute, Revision: r.revision}
 	}
@@ -38,19 +39,19 @@
 		}
 		r.removeFlow(k, f)
 	}
-	return r.decideNewFlow(now, k, route)
+	return r.decideNewFlow(now, k, configured)
 }
 
 // decideNewFlow decides on an opening of a flow that is not stored.
-func (r *Router) decideNewFlow(now time.Time, k Flow, route route) Verdict {
+func (r *Router) decideNewFlow(now time.Time, k Flow, configured route) Verdict {
 	r.detectAbandoned(now)
-	hash := k.hash()
-	service := pickBackend(route.backends, hash)
+	hash := k.callerHash()
+	service := pickBackend(configured.backends, hash)
 	settled := now.Sub(r.targetsKnownAt) >= settlePeriod || r.settings.Off.Has(mechanism.Settling)
-	if v, rejected := r.checkAdmission(now, service, route.Route, hash); rejected && settled {
+	if v, rejected := r.checkAdmission(now, service, configured.Route, hash); rejected && settled {
 		return v
 	}
-	t := r.choose(now, service, route.Class)
+	t := r.choose(now, service, configured.Class)
 	if t == nil && r.anyColdLimited(now, service) {
 		return r.rejectCold(now, service)
 	}
@@ -73,8 +74,9 @@
 	return r.forwardVerdict(t, Placed)
 }
 
-// hash returns a hash of the caller, which selects the backend of a split route.
-func (k Flow) hash() uint64 {
+// callerHash returns a hash of the caller. It selects the backend of a split route, and the flows
+// that admission control rejects.
+func (k Flow) callerHash() uint64 {
 	a, port := k.Caller.Addr().As4(), k.Caller.Port()
 	b := [6]byte{a[0], a[1], a[2], a[3], byte(port >> 8), byte(port)}
 	return xxhash.Sum64(b[:])
--- a/internal/cookie/router/refused.go
+++ b/internal/cookie/router/refused.go
@@ -10,8 +10,8 @@
 	// zoneRefusalPeriod is how long new flows avoid a zone after most openings there were
 	// abandoned. An answer from the zone, or the start of an upstream there, ends it early.
 	zoneRefusalPeriod = 2 * time.Second
-	// zoneTrialPeriod is how long new flows still avoid the zone after the first one that
-	// is sent there as a trial: until the outcome of the trial is known.
+	// zoneTrialPeriod is how long new flows still avoid the zone after one flow was sent there
+	// as a trial: until the outcome of the trial is known.
 	zoneTrialPeriod = abandonedAfter + 100*time.Millisecond
 )
 
@@ -19,22 +19,22 @@
 // that upstreams refuse flows. The VM of an upstream whose process has ended resets callers
 // directly, so the balancer sees only that the handshake is not completed.
 type refusals struct {
-	// checked is the decaying number of openings that have reached the age abandonedAfter,
-	// abandoned the number of these that were abandoned.
+	// checked is the decaying number of openings that have reached the age abandonedAfter;
+	// abandoned is the number of these that were abandoned.
 	checked, abandoned float64
 	// until is when the next trial flow may be sent to the zone, zero if the zone is not
 	// suspected.
 	until time.Time
 }
 
-// suspected reports whether the zone is suspected to refuse new flows; an answer from the
-// zone clears the suspicion.
-func (x *refusals) suspected() bool { return !x.until.IsZero() }
+// zoneSuspected reports whether the zone is suspected to refuse new flows. An answer from the zone
+// clears the suspicion.
+func (x *refusals) zoneSuspected() bool { return !x.until.IsZero() }
 
 // startTrial is called for each new flow to the zone. If the zone is suspected and until has
 // passed, the flow is a trial, and further flows avoid the zone for zoneTrialPeriod.
 func (x *refusals) startTrial(now time.Time) {
-	if x.suspected() && !now.Before(x.until) {
+	if x.zoneSuspected() && !now.Before(x.until) {
 		x.until = now.Add(zoneTrialPeriod)
 	}
 }
@@ -67,19 +67,20 @@
 	r.abandoned = abandoned
 }
 
-// suspectRefused suspects the upstream of an abandoned opening. If most openings to its zone
-// are abandoned, and no upstream there has answered since this opening was sent, it suspects
-// the whole zone instead, or nothing if the callers may be at fault.
+// suspectRefused handles an abandoned opening. By default, it suspects the opening's upstream. If
+// the upstream's zone is suspected already or most openings there are abandoned, and no upstream
+// there has answered since this opening was sent, it suspects the whole zone instead. In this case
+// it suspects nothing if the callers may be at fault.
 func (r *Router) suspectRefused(now time.Time, p pendingAnswer) {
 	z := p.target.zone
 	answering := z.lastAlive.After(p.sent)
 	switch x := &z.refusals; {
-	case answering || !x.mostAbandoned() && !x.suspected():
+	case answering || !x.mostAbandoned() && !x.zoneSuspected():
 		r.suspectLocally(now, p.flow)
 	case r.callersMayBeAtFault(z):
 		x.until = time.Time{}
 	default:
-		if !x.suspected() && r.settings.ZoneRefused != nil {
+		if !x.zoneSuspected() && r.settings.ZoneRefused != nil {
 			r.settings.ZoneRefused(p.target.Zone)
 		}
 		x.until = now.Add(zoneRefusalPeriod)
--- a/internal/cookie/router/reset.go
+++ b/internal/cookie/router/reset.go
@@ -6,8 +6,8 @@
 type FlowReset struct {
 	Flow   Flow
 	Reason Reason
-	// Incarnation, Born and Live are those of the upstream, as last received from the
-	// voters.
+	// Incarnation, Born (the start time) and Live describe the upstream, as last received from
+	// the voters.
 	Incarnation, Born uint64
 	Live              bool
 	// Opened is when this balancer placed the flow, zero if another balancer did or the
--- a/internal/cookie/router/router.go
+++ b/internal/cookie/router/router.go
@@ -34,8 +34,8 @@
 	ZoneRefused func(zone string)
 	// Reset, if set, is called for each reset of a flow that may be open.
 	Reset func(FlowReset)
-	// Opened, if set, is called with the duration of each handshake as seen by this balancer,
-	// Answered with the response time of each request.
+	// Opened, if set, is called with the duration of each handshake as seen by this balancer.
+	// Answered, if set, is called with the response time of each request.
 	Opened, Answered func(time.Duration)
 }
 
@@ -64,7 +64,7 @@
 	// suspects are the upstreams that the voters suspect; upstreams of a suspected zone are
 	// not included.
 	suspects []*target
-	// reports are the queued events for the voters, reportBudget the number of unanswered
+	// reports are the queued events for the voters; reportBudget is the number of unanswered
 	// packets that may still be reported.
 	reports      []evidence.Event
 	reportBudget int
--- a/internal/cookie/router/router_test.go
+++ b/internal/cookie/router/router_test.go
@@ -106,9 +106,9 @@
 	require.Equal(t, router.NoUpstream, v.Reason)
 }
 
-// Guards against resets of openings for upstreams that are running but not yet known: after
-// a power loss, the first voter to answer a balancer has not yet received an announcement of
-// any upstream of a service.
+// After a power loss, the first voter to answer a balancer has not yet received an announcement of
+// any upstream of a service. Openings for upstreams that are running but not yet known must not be
+// reset.
 func TestOpeningsAreDroppedUntilUpstreamsAreKnown(t *testing.T) {
 	r := router.New(router.Settings{Zone: "a"})
 	require.NoError(t, r.Configure(configured(1)))
@@ -118,9 +118,8 @@
 	require.Equal(t, router.Reset, r.Route(epoch.Add(2*time.Second), opening(1)).Action)
 }
 
-// Guards against packets that reach an upstream of another service. Two upstreams have the
-// same cookie, and a flow is open at the earlier one: once the later one was announced, the
-// flow's packets went there.
+// Two upstreams of different services have the same cookie, and a flow is open at the earlier one.
+// Once the later upstream was announced, the flow's packets used to go there.
 func TestCookieCollisionExcludesTheLaterUpstream(t *testing.T) {
 	// The fold is linear: this incarnation has the same cookie as 1.
 	const colliding = uint64(1)<<32 | (1 ^ 0x9e3779b1)
@@ -146,8 +145,8 @@
 	require.NotZero(t, counts[3], "flows spill from a full local zone")
 }
 
-// Guards against new flows to a dead upstream, whose announcements count as overdue only
-// seconds later: each such flow costs its caller 1.4 s. An opening to it is retransmitted.
+// An opening to a dead upstream is retransmitted. The upstream's announcements count as overdue
+// only seconds later; until then, each new flow to the upstream would cost its caller 1.4 s.
 func TestUnansweredOpeningSuspectsTheUpstream(t *testing.T) {
 	r := newRouter(t, target(1, "orders", "a"), target(2, "orders", "a"))
 	first := r.Route(epoch, opening(1)).Incarnation
@@ -188,7 +187,7 @@
 	require.Equal(t, uint64(1), r.Route(epoch, opening(20)).Incarnation, "an unhealthy upstream is better than none")
 }
 
-// Guards against openings to a partitioned zone, which are lost: each of its upstreams was
+// A zone is partitioned, and openings sent there are lost. Each upstream of the zone used to be
 // suspected separately, and tried again whenever its suspicion ended.
 func TestPartitionedZoneIsSuspectedAsAWhole(t *testing.T) {
 	r := newRouter(t, target(1, "orders", "a"), target(2, "orders", "b"), target(3, "orders", "b"), target(4, "orders", "c"))
@@ -307,9 +306,8 @@
 	return targets
 }
 
-// Guards against upstreams of a large pool with twice the flows of others, since only a
-// sample is compared for each flow. 20 balancers of a zone open flows at 600 upstreams, and
-// some flows end at once.
+// 20 balancers of a zone open flows at 600 upstreams, and some flows end at once. Only a sample of
+// the upstreams is compared for each flow, but no upstream may get twice the flows of others.
 func TestLargePoolStaysBalanced(t *testing.T) {
 	const balancers, each = 20, 15_000
 	flows := map[uint64]int{}
@@ -340,8 +338,8 @@
 	require.LessOrEqual(t, imbalance, 1.1)
 }
 
-// Guards against new flows to dead upstreams because only a sample is compared: all
-// upstreams of a large pool but one are silent.
+// All upstreams of a large pool but one are silent. Only a sample is compared for each flow, but
+// new flows must not go to dead upstreams.
 func TestLastHealthyUpstreamOfALargePoolIsFound(t *testing.T) {
 	targets := targetsInZones(500)
 	for i := range targets {
@@ -353,9 +351,9 @@
 	}
 }
 
-// Guards against flows of a crashed upstream that hang until their deadlines, or reach an
-// upstream that does not hold them. The upstream restarts with the same incarnation; both
-// instances had the same cookie.
+// An upstream crashes and restarts with the same incarnation. Both instances used to have the same
+// cookie: flows of the crashed instance hung until their deadlines, or reached an upstream that did
+// not hold them.
 func TestFlowsOfAFormerInstanceGoToTheCurrentOne(t *testing.T) {
 	before := target(1, "orders", "a")
 	before.Born = 100
@@ -379,9 +377,9 @@
 	require.Equal(t, router.UnknownCookie, v.Reason, "cookies of former instances expire")
 }
 
-// Guards against the reset of a flow that the upstream's current instance holds: the
-// opening reached the upstream after its restart, but before the balancer received its
-// announcement.
+// An opening reaches an upstream after its restart, but before the balancer receives the
+// announcement of the restart. The upstream's current instance holds the flow, which must not be
+// reset.
 func TestFlowOpenedBeforeARestartIsAnnouncedStaysOpen(t *testing.T) {
 	before := target(1, "orders", "a")
 	before.Born = 100
--- a/internal/cookie/router/service.go
+++ b/internal/cookie/router/service.go
@@ -100,8 +100,8 @@
 	t.service.inFlight += openings + requests
 }
 
-// checkAdmission returns the verdict that rejects a new flow, and true, if the service is
-// overloaded.
+// checkAdmission reports whether a new flow is rejected because the service is overloaded, and
+// returns the verdict if so. The hash is that of the flow's caller.
 func (r *Router) checkAdmission(now time.Time, name string, route configuration.Route, hash uint64) (Verdict, bool) {
 	s := r.service(name)
 	s.urgency.Record(now, route.Priority)
@@ -112,12 +112,12 @@
 	if r.settings.Off.Has(mechanism.Admission) {
 		return Verdict{}, false
 	}
-	responseTimes := s.admission(route.Class)
-	predicted := responseTimes.ResponseTime(now, s.effectiveInFlight())
-	d := admission.Flow{
+	control := s.admission(route.Class)
+	predicted := control.ResponseTime(now, s.effectiveInFlight())
+	newFlow := admission.Flow{
 		Objective: route.Objective, Urgent: urgent, Number: hash >> 32,
 	}
-	if !responseTimes.Overloaded(now, predicted, route.Objective) || d.Admitted(predicted) {
+	if !control.Overloaded(now, predicted, route.Objective) || newFlow.Admitted(predicted) {
 		return Verdict{}, false
 	}
 	return Verdict{
@@ -125,15 +125,15 @@
 	}, true
 }
 
-// checkConcurrency returns the verdict that rejects a new flow, and true, if this balancer
-// has used up its share of the service's concurrency.
+// checkConcurrency reports whether a new flow is rejected because this balancer has used up its
+// share of the service's concurrency, and returns the verdict if so.
 func (r *Router) checkConcurrency(now time.Time, name string, s *service, route configuration.Route, urgent bool) (Verdict, bool) {
 	p := r.pools[name]
 	if p == nil || route.Class == configuration.Upload || r.settings.Off.Has(mechanism.Concurrency) {
 		return Verdict{}, false
 	}
-	share := concurrency.Share{Slots: p.slots, Balancers: r.balancers}
-	limit, known := share.Limit(urgent)
+	shared := concurrency.SharedSlots{Slots: p.slots, Balancers: r.balancers}
+	limit, known := shared.Limit(urgent)
 	s.markOverdue(now)
 	inFlight := s.effectiveInFlight()
 	if !s.concurrency.Update(now, inFlight, limit) || !known {
--- a/internal/cookie/router/target.go
+++ b/internal/cookie/router/target.go
@@ -18,7 +18,7 @@
 	// answerTimeout is the age from which a missing answer counts as evidence: twice the
 	// round trip to the farthest zone, plus the processing of a heavy request.
 	answerTimeout = 180 * time.Millisecond
-	// formerInstanceTTL is how long the cookies of an upstream's earlier instance are kept:
+	// formerInstanceTTL is how long the cookie of an upstream's earlier instance is kept:
 	// longer than any flow may stay open.
 	formerInstanceTTL = 90 * time.Second
 )
@@ -32,8 +32,8 @@
 	cookieCollision bool
 	// position is its location in the pool of its service.
 	position position
-	// openings and requests count the flows that await the completion of the handshake and
-	// the answer to a request.
+	// openings counts the flows that await the completion of the handshake; requests counts the
+	// flows that await the answer to a request.
 	openings, requests int
 	service            *service
 	// flows counts the stored flows.
@@ -48,15 +48,15 @@
 	endObserved time.Time
 	// active is set while the upstream is one of the active ones of its service.
 	active bool
-	// suspicion is the voters' suspicion of the upstream, nil if there is none;
-	// localSuspicion is that of this balancer.
-	suspicion *voterSuspicion
+	// voterSuspicion is the voters' suspicion of the upstream, nil if there is none. The embedded
+	// localSuspicion is this balancer's own suspicion.
+	voterSuspicion *voterSuspicion
 	localSuspicion
 }
 
-// Cookie folds an incarnation and its start time into the cookie that both ends of a flow
-// echo; it is never 0, which stands for none. A restarted upstream has a different cookie,
-// so that flows of its earlier instance can be distinguished.
+// Cookie folds an incarnation and its start time (born) into the cookie that both ends of a flow
+// echo. The cookie is never 0, since 0 stands for no cookie. A restarted upstream has a different
+// cookie, so that flows of its earlier instance can be distinguished.
 func Cookie(incarnation, born uint64) uint32 {
 	c := uint32(incarnation) ^ uint32(incarnation>>32)*0x9e3779b1 ^ uint32(born)*0x85ebca6b ^ uint32(born>>32)*0xc2b2ae35
 	if c == 0 {
@@ -77,24 +77,24 @@
 type localSuspicion struct {
 	// lastAlive is the time of the latest answer.
 	lastAlive time.Time
-	// until is when the suspicion ends, backoff the duration of the latest suspicion.
+	// until is when the suspicion ends; backoff is the duration of the latest suspicion.
 	until   time.Time
 	backoff time.Duration
 }
 
-func (s *localSuspicion) suspected(now time.Time) bool { return now.Before(s.until) }
+func (s *localSuspicion) suspectedLocally(now time.Time) bool { return now.Before(s.until) }
 
-// noteAlive records an answer, which ends the suspicion.
-func (s *localSuspicion) noteAlive(now time.Time) {
+// noteAnswer records an answer, which ends the suspicion.
+func (s *localSuspicion) noteAnswer(now time.Time) {
 	s.lastAlive = now
 	s.until = time.Time{}
 	s.backoff = 0
 }
 
-// noteUnanswered records the retransmission of a packet, given the time it was first sent,
-// and reports whether the upstream has become suspected.
+// noteUnanswered records the retransmission of a packet that was first sent at the given time. It
+// reports whether the upstream has become suspected by this retransmission.
 func (s *localSuspicion) noteUnanswered(now, sent time.Time) bool {
-	if s.suspected(now) || !s.lastAlive.Before(sent) || now.Sub(sent) < answerTimeout {
+	if s.suspectedLocally(now) || !s.lastAlive.Before(sent) || now.Sub(sent) < answerTimeout {
 		return false
 	}
 	s.backoff = min(max(2*s.backoff, suspicionPeriod), suspicionPeriodMax)
--- a/internal/cookie/router/upstreams.go
+++ b/internal/cookie/router/upstreams.go
@@ -7,7 +7,7 @@
 	"wasabideal/internal/upstream/view"
 )
 
-// SetTargets replaces all upstreams; those that remain keep their state.
+// SetTargets replaces all upstreams; upstreams that remain keep their state.
 func (r *Router) SetTargets(now time.Time, targets []view.Target) {
 	r.Update(now, view.Changes{Whole: true, Targets: targets})
 }
@@ -78,10 +78,10 @@
 	}
 }
 
-// successor returns the current instance of an upstream that has restarted, nil if there is
-// none in the same service. Only the current instance knows which flows it holds: some with
-// the old cookie were opened after the restart, before it was announced. The current instance
-// resets the others.
+// successor returns the current instance of an upstream that has restarted, or nil if there is none
+// in the same service. Only the current instance knows which flows it holds: some flows with the
+// old cookie were opened after the restart, before the restart was announced. The current instance
+// resets the other flows.
 func (r *Router) successor(t *target) *target {
 	if !t.Ended {
 		return nil
--- a/internal/overload/concurrency/concurrency.go
+++ b/internal/overload/concurrency/concurrency.go
@@ -27,16 +27,16 @@
 	averageTimeConstant = 400 * time.Millisecond
 )
 
-// Share is the size of a service and the number of balancers that share it.
-type Share struct {
-	// Slots is how many requests the service's upstreams process concurrently, and Balancers how
-	// many balancers send them requests; 0 means unknown.
+// SharedSlots holds the slots of a service and the number of balancers that share them.
+type SharedSlots struct {
+	// Slots is the number of requests that the service's upstreams process concurrently.
+	// Balancers is the number of balancers that send requests to the service. 0 means unknown.
 	Slots, Balancers int
 }
 
-// Limit returns the number of in-flight requests from which new flows are rejected, and
-// whether there is a limit.
-func (s Share) Limit(isUrgent bool) (int, bool) {
+// Limit returns the number of in-flight requests from which one balancer rejects new urgent or
+// ordinary flows, and whether there is a limit.
+func (s SharedSlots) Limit(isUrgent bool) (int, bool) {
 	if s.Slots == 0 || s.Balancers == 0 {
 		return 0, false
 	}
@@ -47,9 +47,9 @@
 	return max(int(perSlot*float64(s.Slots)/float64(s.Balancers)), minLimit), true
 }
 
-// shortAge is the fraction of averageTimeConstant up to which the first terms of the exponential
-// series suffice.
-const shortAge = 0.1
+// shortInterval is a fraction of averageTimeConstant. For update intervals up to this fraction, the
+// first terms of the exponential series approximate the weight well enough.
+const shortInterval = 0.1
 
 // InFlightAverage is the moving average of a balancer's in-flight requests. The zero value is an
 // average of 0. It is not safe for concurrent use.
@@ -61,10 +61,10 @@
 // Update adds the current number to the average, and reports whether both the number and the
 // average have reached the limit.
 func (i *InFlightAverage) Update(now time.Time, inFlight, limit int) bool {
-	age := now.Sub(i.updated).Seconds() / averageTimeConstant.Seconds()
-	weight := age - age*age/2
-	if age > shortAge {
-		weight = 1 - math.Exp(-age)
+	interval := now.Sub(i.updated).Seconds() / averageTimeConstant.Seconds()
+	weight := interval - interval*interval/2
+	if interval > shortInterval {
+		weight = 1 - math.Exp(-interval)
 	}
 	i.updated = now
 	i.mean += weight * (float64(inFlight) - i.mean)
--- a/internal/overload/concurrency/concurrency_test.go
+++ b/internal/overload/concurrency/concurrency_test.go
@@ -13,14 +13,14 @@
 	for _, c := range []struct {
 		slots, balancers, ordinary, urgent int
 	}{{240, 70, 10, 27}, {28, 9, 9, 24}, {42000, 3200, 39, 105}, {6, 30, 6, 6}} {
-		s := concurrency.Share{Slots: c.slots, Balancers: c.balancers}
+		s := concurrency.SharedSlots{Slots: c.slots, Balancers: c.balancers}
 		limit, known := s.Limit(false)
 		require.True(t, known)
 		require.Equal(t, c.ordinary, limit)
 		limit, _ = s.Limit(true)
 		require.Equal(t, c.urgent, limit)
 	}
-	_, known := concurrency.Share{Slots: 240}.Limit(true)
+	_, known := concurrency.SharedSlots{Slots: 240}.Limit(true)
 	require.False(t, known, "no limit without a known number of balancers")
 }
 
