--- a/internal/cookie/follower/announcements.go
+++ b/internal/cookie/follower/announcements.go
@@ -20,8 +20,8 @@
 	return "no voter can be reached from this balancer; announce the upstream elsewhere"
 }
 
-// ForwardAnnouncements forwards announcements to the parent or, without a parent, each to the owner
-// of its upstream.
+// ForwardAnnouncements forwards announcements to the parent. Without a parent, it forwards each
+// announcement to the owner of the announced upstream.
 func (f *Follower) ForwardAnnouncements(ctx context.Context, all []handover.Announcement) error {
 	f.mu.Lock()
 	parent := ""
@@ -53,7 +53,7 @@
 	return err
 }
 
-// reachableVoters returns the polled voters that answer, and the unpolled ones whose state is at
+// reachableVoters returns the polled voters that answer, and the unpolled voters whose state is at
 // most ContactLease old. Unpolled voters count because an upstream whose owner changes is announced
 // to the whole fleet again. The caller holds the lock.
 func (f *Follower) reachableVoters() []owner.Voter {
--- a/internal/cookie/follower/announcements_test.go
+++ b/internal/cookie/follower/announcements_test.go
@@ -12,9 +12,9 @@
 	"wasabideal/internal/upstream/owner"
 )
 
-// Guards against upstreams that get another owner, and are announced to the whole fleet again, when
-// a balancer stops. Its followers poll only some voters for a moment, and forwarded announcements to
-// those only.
+// A balancer stops, and its followers poll only some voters for a moment. The followers used to
+// forward announcements to those voters only, so that upstreams got another owner and were
+// announced to the whole fleet again.
 func TestUpstreamsKeepVoterWhileSubsetIsPolled(t *testing.T) {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	f := New(Settings{Clock: func() time.Time { return now }, Self: member.Member{Zone: "a", Address: "self"}}, nil, hclog.NewNullLogger())
--- a/internal/cookie/follower/doc.go
+++ b/internal/cookie/follower/doc.go
@@ -1,3 +1,3 @@
-// Package follower keeps a long poll open to each of its sources, which are the voters or a parent
-// balancer that relays their state, and passes the responses to a handler.
+// Package follower keeps a long poll open to each of its sources and passes the responses to a
+// handler. The sources are the voters, or a parent balancer that relays the voters' state.
 package follower
--- a/internal/cookie/follower/fetcher.go
+++ b/internal/cookie/follower/fetcher.go
@@ -27,8 +27,9 @@
 	fetchBackoff    = 50 * time.Millisecond
 	maxFetchBackoff = time.Second
 	// unavailableAfter is how long a balancer may fail to get an announced configuration before it
-	// announces the revision to its followers, which then fetch it elsewhere. With an earlier
-	// announcement, they would request from the voters what this balancer is about to receive.
+	// announces the revision to its followers, which then fetch it elsewhere. After an earlier
+	// announcement, the followers would request from the voters what this balancer is about to
+	// receive.
 	unavailableAfter = time.Second
 )
 
@@ -42,9 +43,9 @@
 	// announced.
 	voters func() []string
 	// available is the newest revision that each source announced; attempts counts the fetches from
-	// a source since the last successful fetch from any. A newer revision does not reset the count.
-	// When it did, a balancer kept retrying a parent that never delivered during a series of quick
-	// changes, and held a configuration replaced 5.5 s earlier.
+	// a source since the last successful fetch from any source. A newer revision does not reset
+	// attempts. When it did, a balancer kept retrying a parent that delivered none of a series of
+	// quick changes, and held a configuration replaced 5.5 s earlier.
 	available map[string]uint64
 	attempts  map[string]int
 	wake      chan struct{}
@@ -77,9 +78,9 @@
 	return f.available[address]
 }
 
-// unavailableRevision returns the newest announced revision if this balancer has made no progress
-// towards it for unavailableAfter, that is, if it is cut off from the sources that have it. It
-// returns 0 otherwise.
+// unavailableRevision returns the newest announced revision if this balancer is cut off from the
+// sources that have it: for unavailableAfter, the balancer has received no newer configuration than
+// current. Otherwise it returns 0.
 func (f *fetcher) unavailableRevision(now time.Time, current uint64) uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/cookie/follower/fetcher_test.go
+++ b/internal/cookie/follower/fetcher_test.go
@@ -8,11 +8,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against a balancer that places flows by a configuration replaced 5.5 s earlier, where 5 s
-// are allowed. During a series of quick changes its parent lost power after it announced the first
-// one, and the fetch took 2 s to time out. The next parent had just started and rejected each
-// fetch. Each further change reset its attempt count, and each rejected fetch doubled the pause, up
-// to a second.
+// During a series of quick changes, a parent loses power after it announced the first change, and
+// the fetch takes 2 s to time out. The next parent has just started and rejects each fetch. Each
+// further change used to reset the attempt count, and each rejected fetch doubled the pause, up to
+// a second: the balancer placed flows by a configuration replaced 5.5 s earlier, where 5 s are
+// allowed.
 func TestFailedSourceIsRetriedLast(t *testing.T) {
 	f := newFetcher("", nil, func() []string { return []string{"voter"} }, hclog.NewNullLogger())
 	f.noteRevision("dead", 8)
@@ -37,8 +37,8 @@
 	require.Less(t, f.timeout("dead"), f.timeout("voter")/2)
 }
 
-// Guards against followers with an outdated configuration although they can reach the voters. Their
-// parent is cut off from the voters and announces only the configuration that it holds.
+// A parent that is cut off from the voters announces only the configuration that it holds. Its
+// followers must not keep an outdated configuration, since they can reach the voters.
 func TestUnavailableRevisionIsReported(t *testing.T) {
 	f := newFetcher("", nil, func() []string { return nil }, hclog.NewNullLogger())
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
--- a/internal/cookie/follower/follower.go
+++ b/internal/cookie/follower/follower.go
@@ -47,7 +47,7 @@
 const ContactLease = 2 * (voterHold + voterGrace)
 
 // Handler receives the responses of the sources and returns the state in force. OnVoterState is
-// called by one goroutine at a time, the other methods by several concurrently.
+// called by one goroutine at a time, the other methods by several goroutines concurrently.
 type Handler interface {
 	// Configuration returns the configuration in force.
 	Configuration() configuration.Configuration
@@ -57,9 +57,10 @@
 	OnConfiguration(address string, c configuration.Configuration)
 	// OnVoterState receives the state that a voter sent.
 	OnVoterState(now time.Time, x origins.Update)
-	// Evacuations returns the evacuation orders in force, and OnEvacuations receives those of the
-	// voter or balancer at an address. OnEvacuations is called before the rest of the same response
-	// is applied: otherwise flows would go to upstreams of that response in an evacuated zone.
+	// Evacuations returns the evacuation orders in force. OnEvacuations receives the orders that
+	// the voter or balancer at an address sent. OnEvacuations is called before the rest of the same
+	// response is applied: otherwise flows would go to upstreams of that response in an evacuated
+	// zone.
 	Evacuations() evacuation.Evacuations
 	OnEvacuations(address string, e evacuation.Evacuations)
 }
@@ -244,8 +245,8 @@
 	return out
 }
 
-// voterSubset returns the voters that are enough for a limited time: the seeds, and some voters of
-// the balancer's zone, which stay reachable if the zone is partitioned.
+// voterSubset returns the voters that suffice for a limited time: the seeds, and some voters of the
+// balancer's zone. The latter stay reachable if the zone is partitioned.
 func (f *Follower) voterSubset() map[string]bool {
 	out := map[string]bool{}
 	maps.Copy(out, f.seeds)
@@ -261,9 +262,9 @@
 	return out
 }
 
-// startupSeed returns the one seed to poll during startup, or "" while no voter has sent a complete
-// state or no seed answers. The choice is hashed per balancer; without it, every balancer of a
-// restarting fleet would hold connections to all voters.
+// startupSeed returns the only seed to poll during startup. It returns "" until a voter has sent a
+// complete state, and while no seed answers. The choice is hashed per balancer; without the hash,
+// every balancer of a restarting fleet would hold connections to all voters.
 func (f *Follower) startupSeed() string {
 	chosen := ""
 	if !f.bootstrap.Done() {
--- a/internal/cookie/follower/follower_test.go
+++ b/internal/cookie/follower/follower_test.go
@@ -155,9 +155,9 @@
 	require.Eventually(t, f, 20*time.Second, 5*time.Millisecond)
 }
 
-// Guards against balancers that receive departures more than a second late after a change of 1,400
-// routes. Formerly every voter's response carried the change ahead of the notices, over a link on
-// which one such response takes half a second.
+// The configuration changes by 1,400 routes, over a link on which one response with the change
+// takes half a second. Every voter's response used to carry the change ahead of the notices, and
+// balancers received departures more than a second late.
 func TestConfigurationIsFetchedFromOneVoter(t *testing.T) {
 	a, b, c := startVoter(t, 1), startVoter(t, 2), startVoter(t, 3)
 	h := startFollower(t, a.address, b.address, c.address)
@@ -192,9 +192,9 @@
 	require.Equal(t, uint64(1), h.Configuration().Revision)
 }
 
-// Guards against a slow start without a configuration: 81 balancers became ready 90 ms after the
-// first voter answered. They polled for notices first, and only then fetched the configuration that
-// the responses announced.
+// 81 balancers start without a configuration. Balancers used to poll for notices first, and only
+// then to fetch the configuration that the responses announced: they became ready 90 ms after the
+// first voter answered.
 func TestFirstConfigurationArrivesWithNotices(t *testing.T) {
 	a := startVoter(t, 1)
 	a.stuck = true
@@ -258,8 +258,8 @@
 	return f, h
 }
 
-// Guards against balancers that stay unready for seconds although voters answer. After all VMs lost
-// power, a voter with an empty disk answered first, and any one response ended the startup phase.
+// All VMs lose power, and a voter with an empty disk answers first. Any one response used to end
+// the startup phase: balancers stayed unready for seconds although voters answered.
 func TestVoterWithEmptyDiskDoesNotEndStartup(t *testing.T) {
 	self, zone := nonRootBalancer()
 	empty, complete := startVoter(t, 1), startVoter(t, 2)
@@ -274,9 +274,8 @@
 	eventually(t, func() bool { return h.Configuration().Revision == 7 && h.HasUpstreams() })
 }
 
-// Guards against slow starts of a large fleet. After all VMs lost power, balancers became ready 265
-// ms after the first voter, the first balancer after 97 ms, because each requested all upstreams
-// from every seed.
+// All VMs of a large fleet lose power. Each balancer used to request all upstreams from every seed:
+// balancers became ready 265 ms after the first voter, the earliest of them after 97 ms.
 func TestStartupPollsOneVoter(t *testing.T) {
 	self, zone := nonRootBalancer()
 	var voters []*voter
--- a/internal/cookie/follower/parent.go
+++ b/internal/cookie/follower/parent.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// parentHold is how long a parent may hold a long poll when nothing has changed, and
-	// parentGrace the time beyond it after which the parent counts as failed. Each level adds at
+	// parentHold is how long a parent may hold a long poll when nothing has changed. If there is no
+	// response for parentGrace longer, the parent counts as failed. Each level adds at
 	// most parentHold to the age of a voter's state, so three levels stay within ContactLease.
 	parentHold  = 600 * time.Millisecond
 	parentGrace = 400 * time.Millisecond
@@ -64,7 +64,7 @@
 		return false, err
 	}
 	now := f.settings.Clock()
-	// The full round trip is added, so that an age is never too small.
+	// The full round trip is added, so that no age is too small.
 	roundTrip := max(now.Sub(sent)-a.Held, 0)
 	updated, fresh := a.Revision > q.Revision, 0
 	if a.Evacuations != nil {
--- a/internal/cookie/follower/retry_test.go
+++ b/internal/cookie/follower/retry_test.go
@@ -9,9 +9,9 @@
 	"wasabideal/internal/wire/rpc"
 )
 
-// Guards against balancers that become ready up to 0.2 s after the first voter answers. After all
-// VMs lost power, the balancers started a third of a second before the voters: their pauses had
-// grown meanwhile, and connection attempts made before a voter was up hung until their timeout.
+// All VMs lose power, and balancers start a third of a second before the voters. The balancers'
+// pauses used to grow meanwhile, and connection attempts made before a voter was up hung until
+// their timeout: balancers became ready up to 0.2 s after the first voter answered.
 func TestPausesGrowOnlyWhileAnotherVoterAnswers(t *testing.T) {
 	var r backoff
 	for range 50 {
@@ -28,8 +28,8 @@
 	require.Equal(t, []time.Duration{minRetryPause, 2 * minRetryPause, 4 * minRetryPause, maxRetryPause, maxRetryPause}, pauses)
 }
 
-// Guards against connection attempts that multiply by the number of voters: each of 177 isolated
-// balancers dialed each of 25 voters 25 times a second.
+// No voter answers 177 balancers. Connection attempts used to multiply by the number of voters:
+// each balancer dialed each of 25 voters 25 times a second.
 func TestIsolatedDialRateIsIndependentOfVoterCount(t *testing.T) {
 	for _, voters := range []int{5, 6, 25, 50} {
 		var r backoff
--- a/internal/cookie/follower/serving.go
+++ b/internal/cookie/follower/serving.go
@@ -25,8 +25,8 @@
 	return a, updated
 }
 
-// UnavailableRevision returns the newest announced revision that this balancer has failed to get for
-// some time, 0 if there is none.
+// UnavailableRevision returns the newest announced revision if this balancer has failed to get it
+// for some time, and 0 otherwise. The parameter current is the revision in force.
 func (f *Follower) UnavailableRevision(now time.Time, current uint64) uint64 {
 	return f.fetcher.unavailableRevision(now, current)
 }
@@ -40,8 +40,8 @@
 	}
 }
 
-// followerReport returns the followers to report to a source, none unless reports go to that
-// source.
+// followerReport returns the followers to report to a source, or none if this balancer does not
+// report to that source.
 func (f *Follower) followerReport(address string) []members.Heartbeat {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/cookie/follower/voters.go
+++ b/internal/cookie/follower/voters.go
@@ -15,8 +15,8 @@
 	"wasabideal/internal/wire/rpc"
 )
 
-// bootstrapPollInterval is the interval at which a connected voter's poll, held back during startup,
-// checks whether it may be sent.
+// Polls of connected voters are held back during startup. bootstrapPollInterval is the interval at
+// which such a poll checks whether it may be sent.
 const bootstrapPollInterval = 5 * time.Millisecond
 
 // pollVoter polls one voter until the context ends or the voter expires.
@@ -92,7 +92,7 @@
 }
 
 // dropIfExpired stops polling a voter that has failed for voterExpiry and that no source has listed
-// for as long. It reports whether it did.
+// for as long. It reports whether it stopped.
 func (f *Follower) dropIfExpired(address string, src *source, failing time.Duration) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
