--- a/internal/overload/admission/admission.go
+++ b/internal/overload/admission/admission.go
@@ -59,8 +59,8 @@
 
 // Flow describes a new flow.
 type Flow struct {
-	// Objective is the time within which its requests are to be answered. Flows without an
-	// objective, 0, are always admitted.
+	// Objective is the time within which the flow's requests are to be answered. Flows without
+	// an objective (0) are always admitted.
 	Objective time.Duration
 	// Urgent flows are rejected last.
 	Urgent bool
@@ -94,9 +94,10 @@
 }
 
 // ResponseTime predicts the duration of a request that is sent now with the given number of
-// requests in flight; 0 means too few responses to predict. Responses reflect the load when their
-// requests were sent, so a burst would fill all queues before its first response is late. Scaling by
-// the growth of requests in flight since the requests were sent shows the burst at once.
+// requests in flight; 0 means too few responses to predict. A response reflects the load when its
+// request was sent, so a burst would fill all queues before its first response is late. The
+// prediction is therefore scaled by the growth of requests in flight since the responses' requests
+// were sent.
 func (a *Admission) ResponseTime(now time.Time, inFlight int) time.Duration {
 	var buffer [maxResponses]response
 	n := a.recent(now, &buffer)
@@ -119,8 +120,8 @@
 	return time.Duration(max(mean, slowest))
 }
 
-// Overloaded updates and reports whether the service counts as overloaded; otherwise no flow
-// is rejected.
+// Overloaded updates and reports whether the service counts as overloaded. Flows are rejected only
+// if it does.
 func (a *Admission) Overloaded(now time.Time, predicted, objective time.Duration) bool {
 	if objective <= 0 {
 		return false
--- a/internal/overload/admission/admission_test.go
+++ b/internal/overload/admission/admission_test.go
@@ -66,9 +66,9 @@
 	require.True(t, admission.Flow{}.Admitted(time.Hour), "flows without an objective are always admitted")
 }
 
-// Guards against a late reaction to bursts. Three times as many requests arrive within 0.1 s,
-// before the first late response: response times reflect the queue of earlier requests, so
-// that the burst was admitted as a whole, and flows were rejected after its end.
+// Three times as many requests arrive within 0.1 s, before the first late response. Response times
+// reflect the queue of earlier requests: the burst used to be admitted as a whole, and flows were
+// rejected after its end.
 func TestBurstIsDetectedBeforeItsFirstResponse(t *testing.T) {
 	a := answered(20, 25*time.Millisecond)
 	require.Zero(t, rejected(a, epoch, 10, false))
@@ -77,9 +77,8 @@
 	require.Equal(t, 75*time.Millisecond, a.ResponseTime(epoch, 1000), "at most three times the mean")
 }
 
-// Guards against immediate refusals that hide an overload. Upstreams with full queues refuse
-// every other request at once, which lowers the mean: a service that was overloaded when a
-// balancer started stayed so.
+// Upstreams with full queues refuse every other request at once, which lowers the mean response
+// time. A service that was overloaded when a balancer started used to stay so.
 func TestImmediateRefusalsDoNotHideOverload(t *testing.T) {
 	a := answered(14, 5*time.Millisecond)
 	for range 16 {
--- a/internal/overload/admission/doc.go
+++ b/internal/overload/admission/doc.go
@@ -1,5 +1,5 @@
 // Package admission rejects new flows of an overloaded service. When callers send more requests
-// than the upstreams can process, every upstream has a full queue and nearly all responses miss
+// than the upstreams can process, every upstream has a full queue. Nearly all responses then miss
 // their latency objective, although the upstreams work at full speed. Rejecting the excess when
 // flows are opened keeps the queues short: admitted requests are in time, and rejected callers know
 // at once and may retry.
--- a/internal/overload/backlog/backlog.go
+++ b/internal/overload/backlog/backlog.go
@@ -3,8 +3,8 @@
 import "time"
 
 const (
-	// maxWait is how long an opening is queued. Callers retransmit it after 200 ms, and the
-	// longer it waits here, the less time is left for a retry at another balancer. maxWait is
+	// maxWait is how long an opening is queued. Callers retransmit an opening after 200 ms, and
+	// the longer the opening waits here, the less time is left for a retry at another balancer. maxWait is
 	// less than an eighth of the latency objective of uploads.
 	maxWait = 150 * time.Millisecond
 	// maxLen bounds the queue: two uploads end within maxWait, so that further openings
--- a/internal/overload/backlog/backlog_test.go
+++ b/internal/overload/backlog/backlog_test.go
@@ -38,10 +38,9 @@
 	require.Empty(t, expired)
 }
 
-// Guards against rejecting uploads that could start a moment later. Uploads arrive in bursts at
-// a link of 2 Mbit/s that carries two at once and is busy for a third of the time. When
-// openings beyond that were rejected at once, one upload in 60 was rejected by three balancers
-// in a row, although an earlier upload ended soon after.
+// Uploads arrive in bursts at a link of 2 Mbit/s that carries two at once and is busy for a third
+// of the time. When openings beyond the two were rejected at once, one upload in 60 was rejected by
+// three balancers in a row, although an earlier upload ended soon after.
 func TestQueuedUploadsAreNotRejected(t *testing.T) {
 	const (
 		uploads = 400
--- a/internal/overload/pending/pending.go
+++ b/internal/overload/pending/pending.go
@@ -28,8 +28,8 @@
 // New returns an empty buffer.
 func New[K comparable, T any]() *Buffer[K, T] { return &Buffer[K, T]{items: map[K]item[T]{}} }
 
-// Add buffers a packet that arrived at the given time and reports whether there was
-// space. A packet of the same key is replaced, and its arrival time is retained.
+// Add buffers a packet that arrived at the given time and reports whether there was space. A new
+// packet replaces the buffered packet of the same key; the earlier arrival time is retained.
 func (b *Buffer[K, T]) Add(now, arrived time.Time, key K, value T) bool {
 	old, known := b.items[key]
 	if !known && len(b.order) >= capacity {
@@ -46,8 +46,8 @@
 	return true
 }
 
-// Drain empties the buffer and passes each packet that has not expired to place, with its
-// first arrival time and in the order of these times.
+// Drain empties the buffer and calls place for each packet that has not expired. The packets are
+// passed in the order in which the first packet of each key arrived, with that arrival time.
 func (b *Buffer[K, T]) Drain(now time.Time, place func(arrived time.Time, value T)) {
 	b.expire(now)
 	order, items := b.order, b.items
--- a/internal/overload/pending/pending_test.go
+++ b/internal/overload/pending/pending_test.go
@@ -26,15 +26,15 @@
 	require.Zero(t, b.Len())
 }
 
-func TestExpiredPacketsAreNotPlaced(t *testing.T) {
+func TestExpiredPacketsAreNotDrained(t *testing.T) {
 	b := pending.New[int, string]()
 	b.Add(epoch, epoch, 1, "old")
 	b.Add(epoch.Add(900*time.Millisecond), epoch.Add(900*time.Millisecond), 2, "new")
 	require.Equal(t, []string{"new"}, drain(b, epoch.Add(1100*time.Millisecond)))
 }
 
-// Guards against packets of a flow with an unknown upstream that stay in the buffer forever.
-// Such a packet is drained, cannot be placed and is buffered again; it must keep its age.
+// A packet of a flow with an unknown upstream is drained, cannot be placed and is buffered again.
+// The packet must keep its age; otherwise it stays in the buffer forever.
 func TestPacketBufferedAgainRetainsItsAge(t *testing.T) {
 	b := pending.New[int, string]()
 	b.Add(epoch, epoch, 1, "lost")
@@ -45,7 +45,7 @@
 	require.Zero(t, b.Len())
 }
 
-func TestRemovedPacketIsNotPlaced(t *testing.T) {
+func TestRemovedPacketIsNotDrained(t *testing.T) {
 	b := pending.New[int, string]()
 	b.Add(epoch, epoch, 1, "opening")
 	b.Add(epoch, epoch, 2, "other")
--- a/internal/overload/response/response.go
+++ b/internal/overload/response/response.go
@@ -10,7 +10,7 @@
 	// the mean of response times that vary by half stays within a fifth of the true
 	// mean, and follows a change within a few responses.
 	smoothing = 0.3
-	// meanTTL is how long a mean is valid without a new response. A slow upstream then
+	// meanTTL is how long a mean is valid without a new response. After that, a slow upstream
 	// receives flows again, and its next response starts a new mean.
 	meanTTL = 2 * time.Second
 	// slowThreshold is the ratio to the median from which an upstream counts as slow:
@@ -46,8 +46,8 @@
 	return !t.updated.IsZero() && now.Sub(t.updated) < meanTTL
 }
 
-// Slowness returns the ratio of the upstream's response time to the median of its
-// service, or 1 if the ratio is unknown or below slowThreshold.
+// Slowness returns the ratio of the upstream's response time to the median of its service. It
+// returns 1 if the ratio is unknown or below slowThreshold.
 func (t *Tracker) Slowness() float64 { return max(t.slowness, 1) }
 
 // Mean returns the moving average, and whether it is still valid.
@@ -60,9 +60,9 @@
 func UpdateSlowness(now time.Time, all []*Tracker) time.Duration {
 	var buffer [stackMeans]float64
 	means := buffer[:0]
-	for _, r := range all {
-		if r.fresh(now) {
-			means = append(means, r.mean)
+	for _, t := range all {
+		if t.fresh(now) {
+			means = append(means, t.mean)
 		}
 	}
 	slices.Sort(means)
@@ -70,13 +70,13 @@
 	if len(means) > 0 {
 		median = means[(len(means)-1)/2]
 	}
-	for _, r := range all {
-		r.slowness = 1
-		if len(means) == 0 || !r.fresh(now) {
+	for _, t := range all {
+		t.slowness = 1
+		if len(means) == 0 || !t.fresh(now) {
 			continue
 		}
-		if ratio := r.mean / median; ratio >= slowThreshold {
-			r.slowness = min(ratio, maxSlowness)
+		if ratio := t.mean / median; ratio >= slowThreshold {
+			t.slowness = min(ratio, maxSlowness)
 		}
 	}
 	return time.Duration(median * float64(time.Second))
--- a/internal/overload/response/response_test.go
+++ b/internal/overload/response/response_test.go
@@ -15,11 +15,11 @@
 func upstreams(milliseconds ...int) []*response.Tracker {
 	var all []*response.Tracker
 	for _, ms := range milliseconds {
-		r := &response.Tracker{}
+		tracker := &response.Tracker{}
 		if ms > 0 {
-			r.Record(epoch, time.Duration(ms)*time.Millisecond)
+			tracker.Record(epoch, time.Duration(ms)*time.Millisecond)
 		}
-		all = append(all, r)
+		all = append(all, tracker)
 	}
 	return all
 }
@@ -27,8 +27,8 @@
 func slowness(all []*response.Tracker, now time.Time) []float64 {
 	response.UpdateSlowness(now, all)
 	var out []float64
-	for _, r := range all {
-		out = append(out, r.Slowness())
+	for _, tracker := range all {
+		out = append(out, tracker.Slowness())
 	}
 	return out
 }
--- a/internal/overload/slowstart/doc.go
+++ b/internal/overload/slowstart/doc.go
@@ -1,2 +1,2 @@
-// Package slowstart limits the rate of new flows at an upstream that has just started.
+// Package slowstart limits the rate of new flows at a cold upstream, which has just started.
 package slowstart
--- a/internal/overload/uplink/doc.go
+++ b/internal/overload/uplink/doc.go
@@ -4,6 +4,6 @@
 // Callers send an upload in windows of packets, and retransmit what is not acknowledged within 0.2
 // s. On a link of 2 Mbit/s, three concurrent uploads exceed that time in the link's own queue;
 // their retransmissions then delay short requests by hundreds of milliseconds. So the package
-// admits few uploads, sends further ones to other balancers, and paces the admitted packets, so
-// that they are queued here, where short requests can overtake them.
+// admits few uploads; further uploads go to other balancers. It paces the admitted packets, so that
+// they are queued here, where short requests can overtake them.
 package uplink
--- a/internal/overload/uplink/uplink.go
+++ b/internal/overload/uplink/uplink.go
@@ -27,9 +27,9 @@
 	// minUploadShare is reserved for admitted uploads, so that they end regardless of the
 	// other traffic, and further uploads can start.
 	maxLinkShare, minUploadShare = 0.95, 0.1
-	// If packets of no upload use maxOtherShare of the link, no further upload is admitted:
-	// its window, and the packets of requests ahead of it, would be delayed beyond the
-	// callers' retransmission timeout.
+	// If packets that belong to no upload use maxOtherShare of the link, no further upload is
+	// admitted: its window, and the packets of requests ahead of the window, would be delayed
+	// beyond the callers' retransmission timeout.
 	maxOtherShare = 0.7
 	// meterTimeConstant is the time constant of the rate of other traffic: long enough to
 	// count a few dozen packets on a link of 2 Mbit/s, and shorter than an upload.
@@ -87,8 +87,8 @@
 
 // RecordOther records the bytes of a packet that belongs to no upload.
 //
-// Uploads use only the bandwidth that such packets leave. When uploads took 95 % of the link
-// during a burst of requests, six times the usual load and 40 % of the link, a standing queue
+// Uploads use only the bandwidth that such packets leave. Uploads used to take 95 % of the link. In
+// a burst of requests of six times the usual load, which needed 40 % of the link, a standing queue
 // formed: callers retransmitted packets that were only queued, and 34,000 of 97,000 requests
 // failed.
 func (u *Pacer[K, T]) RecordOther(now time.Time, size int) { u.others.Add(now, float64(size)) }
@@ -126,7 +126,7 @@
 	return len(u.lastPacket)
 }
 
-// Admit reports whether an upload may start; an active one stays admitted.
+// Admit reports whether an upload may start; an active upload stays admitted.
 func (u *Pacer[K, T]) Admit(now time.Time, flow K) bool {
 	if _, active := u.lastPacket[flow]; !active && u.Active(now) >= u.Limit(now) {
 		return false
@@ -180,8 +180,8 @@
 	return p, true
 }
 
-// NextDelay returns how long after a Dequeue without a packet the next packet may be sent, and
-// false if the queue is empty.
+// NextDelay is called after a Dequeue without a packet. It returns how long to wait until the next
+// packet may be sent, and false if the queue is empty.
 func (u *Pacer[K, T]) NextDelay(now time.Time) (time.Duration, bool) {
 	if len(u.queue) == 0 {
 		return 0, false
--- a/internal/overload/uplink/uplink_test.go
+++ b/internal/overload/uplink/uplink_test.go
@@ -26,19 +26,17 @@
 	require.Equal(t, 1005, uplink.New[int, int](500*narrow).Limit(epoch))
 }
 
-// Guards against slow uploads on a link that is nearly idle. Bodies of 240 kB took seconds
-// over a link of 1,000 Mbit/s when they were paced as on a narrow one, where pacing keeps
-// packets out of the link's own queue.
+// Bodies of 240 kB are uploaded over a nearly idle link of 1,000 Mbit/s. They used to be paced as
+// on a narrow link, where pacing keeps packets out of the link's own queue: uploads took seconds.
 func TestWideLinksAreNotPaced(t *testing.T) {
 	require.True(t, uplink.NeedsPacing(narrow))
 	require.False(t, uplink.NeedsPacing(500*narrow))
 	require.False(t, uplink.NeedsPacing(0))
 }
 
-// Guards against congestion by concurrent uploads. When three callers upload through one
-// link of 2 Mbit/s, their windows take longer than the retransmission timeout, and the
-// retransmitted packets fill the link: uploads took seconds, and short requests through the
-// same entry VM waited a quarter of a second.
+// Three callers upload through one link of 2 Mbit/s. Their windows take longer than the
+// retransmission timeout, and the retransmitted packets fill the link: uploads used to take
+// seconds, and short requests through the same entry VM waited a quarter of a second.
 func TestThirdUploadIsRejected(t *testing.T) {
 	u := uplink.New[int, int](narrow)
 	require.True(t, u.Admit(epoch, 1))
@@ -50,10 +48,10 @@
 	require.True(t, u.Admit(epoch.Add(time.Second), 4), "inactive uploads do not count")
 }
 
-// Guards against uploads that ignore other traffic. Short requests use 100 kB/s of a link
-// of 250 kB/s, and uploads follow one after the other. When uploads took 95 % of the link
-// regardless, its queue grew, and callers retransmitted queued packets: at six times the usual
-// load nearly all requests were late, although requests took less than half of the link.
+// Short requests use 100 kB/s of a link of 250 kB/s, and uploads follow one after the other. When
+// uploads took 95 % of the link regardless of the requests, its queue grew, and callers
+// retransmitted queued packets. At six times the usual load nearly all requests were late, although
+// requests took less than half of the link.
 func TestUploadsUseRemainingBandwidth(t *testing.T) {
 	for others, limit := range map[int]int{0: 2, 100_000: 1, 150_000: 1, 200_000: 0} {
 		u := uplink.New[int, int](narrow)
--- a/internal/overload/urgency/doc.go
+++ b/internal/overload/urgency/doc.go
@@ -1,3 +1,3 @@
-// Package urgency determines which flows of a service have the best priority among those that
-// callers currently open.
+// Package urgency determines which of the flows that callers currently open at a service have the
+// best priority.
 package urgency
--- a/internal/overload/urgency/urgency.go
+++ b/internal/overload/urgency/urgency.go
@@ -24,7 +24,7 @@
 
 // Urgency measures the demand for a service by priority. It is not safe for concurrent use.
 //
-// Urgency depends on the demand and not on the configured routes. When it depended on these, 46
+// Urgency depends on the demand and not on the configured routes. When it depended on the routes, 46
 // routes of the best priority without any flow made all other flows of a service ordinary: orders
 // were rejected like the less urgent feeds.
 type Urgency struct{ demands []demand }
