--- a/internal/control/feed/feed.go
+++ b/internal/control/feed/feed.go
@@ -36,19 +36,19 @@
 // most of a voter's CPU time; a delay of 100 ms does not affect callers.
 const minWakeInterval = 100 * time.Millisecond
 
-// maxResponsesPerSecond bounds the responses with changes of upstreams; with more balancers, changes
-// are batched for longer. At 200, the responses to the 20 balancers that poll a voter in a fleet of
+// maxResponsesPerSecond bounds the responses with changes of upstreams: the more balancers poll, the
+// longer changes are batched. At 200, the responses to the 20 balancers that poll a voter in a fleet of
 // 300 took a quarter of its CPU time while upstreams changed.
 const maxResponsesPerSecond = 100
 
 // maxInlineConfiguration is the maximum size in bytes of an encoded configuration that is sent
 // together with other updates; a configuration of about 600 routes has that size. By calculation,
-// compression halves it, and a link of 2 Mbit/s transfers it in 50 ms, as long as a separate call
-// takes. A starting balancer in a tree polls one voter at a time.
+// compression halves the size, and a link of 2 Mbit/s then transfers the configuration in 50 ms, as
+// long as a separate call takes. A starting balancer in a tree polls one voter at a time.
 const maxInlineConfiguration = 24 << 10
 
-// maxDeltas is the number of missed changes up to which a balancer gets deltas. After more
-// changes it gets the whole configuration, which is then shorter.
+// maxDeltas is the number of missed changes up to which a balancer receives deltas. A balancer that
+// missed more changes receives the whole configuration, which is then shorter.
 const maxDeltas = 64
 
 // Request is a long-poll request of a balancer.
@@ -58,9 +58,10 @@
 	// Life and Version identify the state of the voter's directory that the balancer
 	// received last.
 	Life, Version uint64
-	// Recalled also requests restored upstreams: those that have not announced themselves to
-	// this voter since it restarted. A starting balancer needs them from one voter only. If
-	// every voter sent them, the links of a fleet of hundreds would be saturated.
+	// Recalled also requests restored upstreams: the voter knows them from its saved state, and
+	// they have not announced themselves to the voter since its restart. A starting balancer
+	// needs them from one voter only. If every voter sent restored upstreams, the links of a
+	// fleet of hundreds would be saturated.
 	Recalled bool
 	// Hold is how long the response may wait for updates.
 	Hold time.Duration
@@ -88,7 +89,7 @@
 type Response struct {
 	// Revision is the revision of the newest configuration.
 	Revision uint64
-	// Life changes when the voter restarts.
+	// Life identifies one run of the voter's process; a restart changes it.
 	Life    uint64
 	Version uint64
 	Notices []directory.Notice
@@ -100,14 +101,15 @@
 	Configuration cbor.RawMessage `cbor:",omitempty"`
 	// Members are the RPC addresses of all known voters.
 	Members []string
-	// Doubts lists all upstreams that leave packets unanswered. It is set only if the
-	// request carries another Life or DoubtsVersion. DoubtsVersion rises with each change.
+	// Doubts lists all suspicions of upstreams and zones. It is set only if the request's Life
+	// or Doubts differs from Life or DoubtsVersion. DoubtsVersion rises with each change of the
+	// suspicions.
 	Doubts        []evidence.Suspicion
 	DoubtsVersion uint64
 	// Zone is the voter's availability zone.
 	Zone string
-	// Fleet lists the balancers of the requester's zone, nil if the requester already has
-	// FleetVersion, which rises with each change.
+	// Fleet lists the balancers of the requester's zone. It is nil if the requester already has
+	// FleetVersion. FleetVersion rises with each change of the list.
 	Fleet        []member.Member `cbor:",omitempty"`
 	FleetVersion uint64
 	// Balancers is the number of known balancers in all zones.
@@ -124,8 +126,9 @@
 	history history.History
 	// evacuations are the evacuation orders in effect.
 	evacuations evacuation.Evacuations
-	services    map[string]bool
-	directory   *directory.Directory
+	// services holds the names of the configured services, nil while no configuration is known.
+	services  map[string]bool
+	directory *directory.Directory
 	// voterAddresses are the RPC addresses of all known voters.
 	voterAddresses []string
 	// changed is closed to complete the waiting polls.
@@ -180,7 +183,7 @@
 
 // Serve registers the feed's RPC methods on a server.
 func (f *Feed) Serve(r *rpc.Server, token string) {
-	rpc.Handle(r, SinceMethod, token, func(ctx context.Context, q Request) (Response, error) { return f.Since(ctx, q), nil })
+	rpc.Handle(r, SinceMethod, token, func(ctx context.Context, req Request) (Response, error) { return f.Since(ctx, req), nil })
 	rpc.Handle(r, ConfigurationMethod, token, func(_ context.Context, revision uint64) (cbor.RawMessage, error) {
 		return f.encodedConfiguration(revision)
 	})
@@ -188,7 +191,7 @@
 	f.serveFleet(r, token)
 }
 
-// Publish sets the configuration if it is newer than the current one.
+// Publish publishes a configuration to balancers if it is newer than the current one.
 func (f *Feed) Publish(h history.History) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -199,7 +202,7 @@
 	}
 }
 
-// PublishEvacuations sets the evacuation orders if they are newer than the current ones.
+// PublishEvacuations publishes evacuation orders to balancers if they are newer than the current ones.
 func (f *Feed) PublishEvacuations(e evacuation.Evacuations) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -224,14 +227,14 @@
 	f.voterAddresses = addresses
 }
 
-// Announce records an upstream's announcement. It reports whether that changes the directory and
-// whether it refutes a suspicion. cold is the remaining time of the upstream's slow start.
+// Announce records an upstream's announcement. It reports whether the announcement changes the
+// directory and whether it refutes a suspicion. cold is the remaining time of the upstream's slow start.
 func (f *Feed) Announce(now time.Time, u upstream.Upstream, cold time.Duration) (changed, refutesSuspicion bool) {
 	return f.AnnounceForwarded(now, handover.Announcement{Upstream: u, Cold: cold})
 }
 
 // AnnounceForwarded records an announcement that was received a.Age ago, usually by a process that
-// forwarded it.
+// forwarded the announcement. It returns the same results as Announce.
 func (f *Feed) AnnounceForwarded(now time.Time, a handover.Announcement) (changed, refutesSuspicion bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -283,6 +286,7 @@
 	return f.directory.Since(now, 0), f.directory.Version()
 }
 
+// wake completes the waiting polls. The caller holds the lock.
 func (f *Feed) wake() {
 	close(f.changed)
 	f.changed = make(chan struct{})
--- a/internal/control/feed/feed_test.go
+++ b/internal/control/feed/feed_test.go
@@ -33,9 +33,8 @@
 	}, Sequence: 1}
 }
 
-// Guards against overloaded voters that acknowledge departures late during a rolling replacement.
-// With 50 changes of upstreams a second and 290 polling balancers, each change was a separate
-// response to each balancer.
+// During a rolling replacement, 50 upstreams a second change while 290 balancers poll. One response
+// per change and balancer overloaded the voters, which acknowledged draining upstreams late.
 func TestUpstreamChangesAreBatched(t *testing.T) {
 	f := newFeed()
 	responses := make(chan feed.Response)
@@ -71,9 +70,9 @@
 	require.NotNil(t, f.Configuration(0).Whole)
 }
 
-// Guards against saturated links of voters after a power loss of all VMs. Each voter restored
-// the upstreams of all voters and sent them to every balancer, so that balancers got them once per
-// voter and announcements were acknowledged late.
+// All VMs lose power. After the restart each voter restored the upstreams of all voters and sent them
+// to every balancer, so that each balancer received them once per voter. This saturated the voters'
+// links, and announcements were acknowledged late.
 func TestRestoredUpstreamsAreSentOnRequestOnly(t *testing.T) {
 	f := newFeed()
 	f.Announce(epoch, announced(1), 0)
@@ -82,8 +81,8 @@
 	require.Len(t, f.Since(t.Context(), feed.Request{Recalled: true}).Notices, 2)
 }
 
-// Guards against balancers that each have to detect a failed upstream themselves. Two balancers
-// report unanswered packets, and a third one that polls the voter receives the suspicion.
+// Two balancers report unanswered packets, and a third balancer that polls the voter receives the
+// suspicion. Otherwise each balancer would have to detect the failed upstream itself.
 func TestSuspicionsAreReportedToAllBalancers(t *testing.T) {
 	f := newFeed()
 	f.SetProber(fixedProber(probe.Unanswered))
@@ -96,13 +95,13 @@
 	go poll(0)
 	u := announced(1)
 	u.Sequence++
-	missed := evidence.Event{Incarnation: 1, Age: 200 * time.Millisecond, Weight: 5}
-	f.Report(epoch, evidence.Report{From: "b1", Events: []evidence.Event{missed, missed}})
+	unanswered := evidence.Event{Incarnation: 1, Age: 200 * time.Millisecond, Weight: 5}
+	f.Report(epoch, evidence.Report{From: "b1", Events: []evidence.Event{unanswered, unanswered}})
 	first := <-responses
 	require.Equal(t, evidence.Subject{Incarnation: 1}, first.Doubts[0].Subject)
 	require.False(t, first.Doubts[0].Unresponsive)
 	go poll(first.DoubtsVersion)
-	f.Report(epoch, evidence.Report{From: "b2", Events: []evidence.Event{missed}})
+	f.Report(epoch, evidence.Report{From: "b2", Events: []evidence.Event{unanswered}})
 	f.Tick(epoch.Add(100 * time.Millisecond))
 	second := <-responses
 	if !second.Doubts[0].Unresponsive {
@@ -124,17 +123,17 @@
 	return probe.Outcome(p)
 }
 
-// Guards against resets of the flows of an upstream that is short of CPU time: while its host responds
-// to probes, the upstream is only suspected.
+// An upstream is short of CPU time, but its host responds to probes. If the upstream became
+// unresponsive, its flows would be reset; it must only be suspected.
 func TestUpstreamWhoseHostAnswersIsOnlySuspected(t *testing.T) {
 	for _, o := range []probe.Outcome{probe.Accepted, probe.Inconclusive} {
 		f := newFeed()
 		f.SetProber(fixedProber(o))
 		f.Announce(epoch.Add(-time.Second), announced(1), 0)
-		missed := evidence.Event{Incarnation: 1, Age: 200 * time.Millisecond, Weight: 5}
+		unanswered := evidence.Event{Incarnation: 1, Age: 200 * time.Millisecond, Weight: 5}
 		for _, from := range []string{"b1", "b2", "b3"} {
 			f.Since(t.Context(), feed.Request{From: from})
-			f.Report(epoch, evidence.Report{From: from, Events: []evidence.Event{missed, missed}})
+			f.Report(epoch, evidence.Report{From: from, Events: []evidence.Event{unanswered, unanswered}})
 		}
 		for n := range 12 {
 			f.Tick(epoch.Add(time.Duration(n) * 100 * time.Millisecond))
@@ -146,22 +145,22 @@
 	}
 }
 
-// Guards against a response to each of many balancers for every new suspicion while hundreds of
-// upstreams fail together.
+// Hundreds of upstreams fail together. One response per suspicion and balancer would overload a
+// voter that many balancers poll.
 func TestSuspicionsAreBatchedForManyBalancers(t *testing.T) {
 	f := newFeed()
 	const balancers, hold = 50, 20 * time.Millisecond
 	for i := range balancers {
 		f.Since(t.Context(), feed.Request{From: fmt.Sprint("b", i), Passing: 2})
 	}
-	missed := func(id uint64) evidence.Report {
-		e := evidence.Event{Incarnation: id, Age: 200 * time.Millisecond, Weight: 5}
+	unansweredReport := func(incarnation uint64) evidence.Report {
+		e := evidence.Event{Incarnation: incarnation, Age: 200 * time.Millisecond, Weight: 5}
 		return evidence.Report{From: "b1", Events: []evidence.Event{e, e}}
 	}
-	f.Report(epoch, missed(1))
+	f.Report(epoch, unansweredReport(1))
 	first := f.Since(t.Context(), feed.Request{From: "b1", Passing: 2})
 	require.Len(t, first.Doubts, 1, "the first suspicion is sent at once")
-	f.Report(epoch, missed(2))
+	f.Report(epoch, unansweredReport(2))
 	start := time.Now()
 	a := f.Since(t.Context(), feed.Request{Life: 1, From: "b1", Passing: 2, Doubts: first.DoubtsVersion, Version: first.Version, Hold: hold})
 	require.GreaterOrEqual(t, time.Since(start), hold)
@@ -185,8 +184,8 @@
 	require.Empty(t, f.Since(t.Context(), feed.Request{}).Fleet, "other voters need no list")
 }
 
-// Guards against high CPU use of a voter that many balancers poll. With 30 balancers, each change
-// of an upstream was sent to all of them within 100 ms.
+// 30 balancers poll a voter. Each change of an upstream was sent to all of them within 100 ms, which
+// took much of the voter's CPU time.
 func TestBatchingIntervalGrowsWithBalancers(t *testing.T) {
 	f := newFeed()
 	for n := range 30 {
@@ -233,24 +232,24 @@
 	return feed.Request{Recalled: true, Encoded: true, Self: self("b1", zone)}
 }
 
-func noticeCount(t *testing.T, f *feed.Feed, q feed.Request) int {
-	a, err := f.Since(t.Context(), q).Decoded()
+func noticeCount(t *testing.T, f *feed.Feed, req feed.Request) int {
+	a, err := f.Since(t.Context(), req).Decoded()
 	require.NoError(t, err)
 	return len(a.Notices)
 }
 
-// Guards against a starting balancer that knows only a fifth of the upstreams for a second. It
-// polls one voter, which sent only the upstreams that announce themselves to it, those of its zone.
+// A starting balancer polls one voter. The voter sent only the upstreams that announce themselves to
+// it, those of its zone, and for a second the balancer knew only a fifth of the upstreams.
 func TestStartingBalancersReceiveAllUpstreams(t *testing.T) {
 	f := newFeed()
 	f.SetRemoteSource(remoteSource{upstreams: 10, calls: new(int)})
 	f.Announce(epoch, announced(1), 0)
 	require.Equal(t, 11, noticeCount(t, f, startingRequest("a")))
-	require.Equal(t, 1, noticeCount(t, f, feed.Request{Encoded: true, Self: self("b1", "a")}), "a balancer that is not starting gets them from those voters")
+	require.Equal(t, 1, noticeCount(t, f, feed.Request{Encoded: true, Self: self("b1", "a")}), "a balancer that is not starting receives them from the other voters")
 }
 
-// Guards against a configuration that is acknowledged only after 7 s. While 300 balancers started
-// within seconds, a voter encoded and sent all 3,000 upstreams for each of them.
+// 300 balancers start within seconds. A voter encoded and sent all 3,000 upstreams for each of them,
+// and a configuration was acknowledged only after 7 s.
 func TestMassStartReusesEncodedUpstreams(t *testing.T) {
 	f, calls := newFeed(), 0
 	f.SetRemoteSource(remoteSource{upstreams: 3000, calls: &calls})
--- a/internal/control/feed/fleet.go
+++ b/internal/control/feed/fleet.go
@@ -46,14 +46,14 @@
 // attachFleet records the polling balancer and adds the balancers of its zone to the response, if
 // their list has changed. Such a change does not complete a poll: a position in the tree that is
 // out of date for a second does no harm.
-func (f *Feed) attachFleet(now time.Time, q Request, a *Response) {
-	if q.Self == nil {
+func (f *Feed) attachFleet(now time.Time, req Request, resp *Response) {
+	if req.Self == nil {
 		return
 	}
-	f.fleet.Refresh(now, members.Heartbeat{Member: *q.Self})
-	a.Balancers = f.fleet.Len()
-	a.FleetVersion = f.fleet.Version(q.Self.Zone)
-	if q.Life != f.life || q.Fleet != a.FleetVersion {
-		a.Fleet = f.fleet.Zone(q.Self.Zone)
+	f.fleet.Refresh(now, members.Heartbeat{Member: *req.Self})
+	resp.Balancers = f.fleet.Len()
+	resp.FleetVersion = f.fleet.Version(req.Self.Zone)
+	if req.Life != f.life || req.Fleet != resp.FleetVersion {
+		resp.Fleet = f.fleet.Zone(req.Self.Zone)
 	}
 }
--- a/internal/control/feed/probe.go
+++ b/internal/control/feed/probe.go
@@ -20,7 +20,7 @@
 	Check(ctx context.Context, suspect netip.AddrPort, references []netip.AddrPort) probe.Outcome
 }
 
-// SetProber sets the prober for upstreams that leave packets unanswered. Without one, no upstream
+// SetProber sets the prober for upstreams that leave packets unanswered. Without a prober, no upstream
 // is reported as unresponsive.
 func (f *Feed) SetProber(p Prober) {
 	f.mu.Lock()
--- a/internal/control/feed/remote.go
+++ b/internal/control/feed/remote.go
@@ -16,9 +16,9 @@
 	// voters and delayed the acknowledgment of a configuration to 7 s. Stale entries do no
 	// harm: departures are sent to all voters, and this voter's own state overrides the entries.
 	remoteCacheTTL = time.Second
-	// maxRemoteUpstreams is the number of upstreams of other voters up to which a starting
-	// balancer gets all of them. Above it, the balancer gets only those of its own zone and
-	// receives the rest from its parent: each upstream takes 40 bytes on a possibly slow link.
+	// maxRemoteUpstreams is the number of upstreams of other voters up to which the voter sends
+	// all of them to a starting balancer. If there are more, it sends those of the balancer's
+	// zone, and the parent sends the rest: each takes 40 bytes on a possibly slow link.
 	maxRemoteUpstreams = 500
 )
 
@@ -38,9 +38,9 @@
 	bodies map[string]cbor.RawMessage
 }
 
-// SetRemoteSource sets the source of upstreams known to other voters. They are sent to balancers
-// that have just started, so that one voter suffices. When 200 balancers started at once, the
-// median time until ready fell from 265 ms with three voters each to 121 ms with one.
+// SetRemoteSource sets the source of upstreams known to other voters. The feed sends them to a
+// starting balancer, which then needs to poll only one voter. When 200 balancers started at once,
+// the median time until ready was 265 ms if each polled three voters, and 121 ms with one voter.
 func (f *Feed) SetRemoteSource(r RemoteSource) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/control/feed/reports.go
+++ b/internal/control/feed/reports.go
@@ -10,19 +10,19 @@
 	"wasabideal/internal/wire/rpc"
 )
 
-// ReportMethod is the RPC by which balancers report packets that upstreams left unanswered, and
-// balancers and voters send liveness reports.
+// ReportMethod is the RPC by which balancers report packets that upstreams left unanswered. Balancers
+// and voters also send liveness reports by it.
 const ReportMethod = "Feed.Report"
 
 // ReportsMethod is the RPC by which a balancer forwards the reports of several balancers.
 const ReportsMethod = "Feed.Reports"
 
-// suspicionsIntervalPerBalancer is the minimum time between two responses with suspicions, per polling
-// balancer: 44 balancers get at most 500 responses a second together.
+// suspicionsIntervalPerBalancer, times the number of polling balancers, is the minimum time between
+// two rounds of responses with suspicions: 44 balancers together get at most 500 responses a second.
 const suspicionsIntervalPerBalancer = 2 * time.Millisecond
 
-// pollExpiry is how long after its last poll a balancer counts as active. It exceeds the hold time
-// of a poll.
+// pollExpiry is how long after its last poll a balancer counts as active. It exceeds the time for
+// which a voter holds a poll.
 const pollExpiry = 2 * time.Second
 
 type empty struct{}
@@ -69,9 +69,9 @@
 	return evidence.Event{Incarnation: u.Incarnation, Born: u.Born, Zone: u.Zone, Answered: true}
 }
 
-// evaluate updates the suspicions from the evidence and reports changes to balancers. It does not
-// wait for the next Tick, since during a delay of 100 ms further requests are sent on flows of an
-// unresponsive upstream.
+// evaluate updates the suspicions from the evidence and reports changes to balancers. It also runs
+// between two calls of Tick: during a delay of 100 ms, callers would send further requests on flows of
+// an unresponsive upstream.
 func (f *Feed) evaluate(now time.Time) {
 	before := f.suspicionsVersion()
 	next := f.detector.Evaluate(now, f.activeBalancers(now), f.relayHops())
@@ -125,7 +125,7 @@
 }
 
 // relayHops returns the largest number of relay hops below a polling balancer. Balancers report
-// it because a voter that has just started does not know the fleet.
+// the number because a voter that has just started does not know the fleet.
 func (f *Feed) relayHops() int {
 	hops := 0
 	for _, a := range f.lastPoll {
--- a/internal/control/feed/response.go
+++ b/internal/control/feed/response.go
@@ -12,21 +12,22 @@
 	"wasabideal/internal/upstream/directory"
 )
 
-// Since answers a long poll: at once if there are updates, otherwise on the next update or after q.Hold.
-func (f *Feed) Since(ctx context.Context, q Request) Response {
-	hold := time.NewTimer(q.Hold)
+// Since answers a long poll: at once if there are updates, otherwise on the next update, after
+// req.Hold or when ctx is done.
+func (f *Feed) Since(ctx context.Context, req Request) Response {
+	hold := time.NewTimer(req.Hold)
 	defer hold.Stop()
 	for {
-		a, hasUpdates, changed := f.respond(q)
+		resp, hasUpdates, changed := f.respond(req)
 		if hasUpdates {
-			return a
+			return resp
 		}
 		select {
 		case <-changed:
 		case <-hold.C:
-			return a
+			return resp
 		case <-ctx.Done():
-			return a
+			return resp
 		}
 	}
 }
@@ -34,22 +35,23 @@
 func (f *Feed) encodedConfiguration(revision uint64) (cbor.RawMessage, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.encodedSince(revision)
+	return f.encodedConfigurationSince(revision)
 }
 
-func (f *Feed) encodedSince(revision uint64) (cbor.RawMessage, error) {
+func (f *Feed) encodedConfigurationSince(revision uint64) (cbor.RawMessage, error) {
 	key := configurationKey{held: revision, current: f.history.Current().Revision}
-	return f.configuration.get(f.clock(), key, func() any { return f.since(revision) })
+	return f.configuration.get(f.clock(), key, func() any { return f.configurationSince(revision) })
 }
 
 // inlineConfiguration returns the encoded configuration, or nil if there is none or it exceeds
 // maxInlineConfiguration. A starting balancer outside a tree polls several voters at once, and their
-// copies of a large configuration would saturate a slow link. The balancer then fetches it separately.
+// copies of a large configuration would saturate a slow link. The balancer then fetches the
+// configuration separately.
 func (f *Feed) inlineConfiguration() cbor.RawMessage {
 	if f.history.Current().Revision == 0 {
 		return nil
 	}
-	body, err := f.encodedSince(0)
+	body, err := f.encodedConfigurationSince(0)
 	if err != nil || len(body) > maxInlineConfiguration {
 		return nil
 	}
@@ -60,10 +62,10 @@
 func (f *Feed) Configuration(revision uint64) history.Response {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.since(revision)
+	return f.configurationSince(revision)
 }
 
-func (f *Feed) since(revision uint64) history.Response {
+func (f *Feed) configurationSince(revision uint64) history.Response {
 	a := f.history.Since(revision)
 	if len(a.Deltas) > maxDeltas {
 		return f.history.Since(0)
@@ -71,8 +73,8 @@
 	return a
 }
 
-// noticesSince returns the notices that changed after a version. Restored ones are included
-// only on request.
+// noticesSince returns the notices that changed after a version. Notices of restored upstreams
+// (encoded as Recalled) are included only if restored is set.
 func (f *Feed) noticesSince(now time.Time, version uint64, restored bool) []directory.Notice {
 	notices := f.directory.Since(now, version)
 	if restored {
@@ -81,22 +83,22 @@
 	return lo.Reject(notices, func(n directory.Notice, _ int) bool { return n.Recalled })
 }
 
-// attachEncodedNotices adds all notices to a response in encoded form, cached across balancers. It
-// reports false if it adds none: the balancer requests only changes or does not accept encoded
-// notices, or encoding failed.
-func (f *Feed) attachEncodedNotices(now time.Time, q Request, version uint64, a *Response) bool {
-	if version != 0 || !q.Encoded {
+// attachEncodedNotices adds all notices to a response in encoded form, cached across balancers, and
+// reports whether it did. It adds no notices if the balancer requests only changes or does not
+// accept encoded notices, or if encoding fails.
+func (f *Feed) attachEncodedNotices(now time.Time, req Request, version uint64, resp *Response) bool {
+	if version != 0 || !req.Encoded {
 		return false
 	}
-	key := noticesKey{version: f.directory.Version(), restored: q.Recalled}
-	body, err := f.notices.get(now, key, func() any { return f.noticesSince(now, 0, q.Recalled) })
+	key := noticesKey{version: f.directory.Version(), restored: req.Recalled}
+	body, err := f.notices.get(now, key, func() any { return f.noticesSince(now, 0, req.Recalled) })
 	if err != nil {
 		return false
 	}
-	a.Encoded = body
-	if q.Recalled && q.Self != nil {
-		// If this fails, the balancer gets these upstreams later from its parent.
-		a.Elsewhere, _ = f.remoteUpstreams.body(now, q.Self.Zone)
+	resp.Encoded = body
+	if req.Recalled && req.Self != nil {
+		// If encoding fails, the balancer receives the other voters' upstreams later from its parent.
+		resp.Elsewhere, _ = f.remoteUpstreams.body(now, req.Self.Zone)
 	}
 	return true
 }
@@ -120,37 +122,39 @@
 	return r, nil
 }
 
-func (f *Feed) respond(q Request) (Response, bool, chan struct{}) {
+// respond returns the response to a poll, whether the response holds updates, and a channel that is
+// closed at the next update.
+func (f *Feed) respond(req Request) (Response, bool, chan struct{}) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	version := q.Version
-	if q.Life != f.life {
+	version := req.Version
+	if req.Life != f.life {
 		version = 0
 	}
 	now := f.clock()
-	a := Response{
+	resp := Response{
 		Revision: f.history.Current().Revision, Life: f.life, Version: f.directory.Version(), Members: f.voterAddresses,
 		DoubtsVersion: f.suspicionsVersion(), Zone: f.zone,
 	}
-	if q.Life != f.life || q.Doubts != a.DoubtsVersion {
-		a.Doubts = f.confirmedSuspicions(now)
+	if req.Life != f.life || req.Doubts != resp.DoubtsVersion {
+		resp.Doubts = f.confirmedSuspicions(now)
 	}
-	f.attachFleet(now, q, &a)
-	if q.From != "" {
-		f.lastPoll[q.From] = lastPoll{at: now, relayHops: q.Passing}
+	f.attachFleet(now, req, &resp)
+	if req.From != "" {
+		f.lastPoll[req.From] = lastPoll{at: now, relayHops: req.Passing}
 	}
-	if f.evacuations.Revision > q.Evacuations {
+	if f.evacuations.Revision > req.Evacuations {
 		e := f.evacuations
-		a.Evacuations = &e
+		resp.Evacuations = &e
 	}
-	if q.Unconfigured {
-		a.Configuration = f.inlineConfiguration()
+	if req.Unconfigured {
+		resp.Configuration = f.inlineConfiguration()
 	}
-	if !f.attachEncodedNotices(now, q, version, &a) {
-		a.Notices = f.noticesSince(now, version, q.Recalled)
+	if !f.attachEncodedNotices(now, req, version, &resp) {
+		resp.Notices = f.noticesSince(now, version, req.Recalled)
 	}
 	// Batched changes of upstreams do not complete the poll yet, but are sent with other updates.
-	hasUpdates := q.Life != f.life || a.Revision > q.Revision || a.Evacuations != nil || a.Version > version && !f.pending ||
-		a.DoubtsVersion != q.Doubts && !f.suspicionsPacer.Pending()
-	return a, hasUpdates, f.changed
+	hasUpdates := req.Life != f.life || resp.Revision > req.Revision || resp.Evacuations != nil || resp.Version > version && !f.pending ||
+		resp.DoubtsVersion != req.Doubts && !f.suspicionsPacer.Pending()
+	return resp, hasUpdates, f.changed
 }
--- a/internal/control/upstreams/doc.go
+++ b/internal/control/upstreams/doc.go
@@ -1,3 +1,3 @@
-// Package upstreams receives the announcements of upstreams at a voter, and
-// acknowledges a departure only once a majority of the voters holds it.
+// Package upstreams receives the announcements of upstreams at a voter. It acknowledges a departure,
+// as defined in package upstream, only once a majority of the voters has stored the announcement.
 package upstreams
--- a/internal/control/upstreams/upstreams.go
+++ b/internal/control/upstreams/upstreams.go
@@ -35,7 +35,8 @@
 // rejectedLogsPerSecond limits the log lines about rejected announcements.
 const rejectedLogsPerSecond = 10
 
-// UnsharedError reports that fewer voters than a majority hold a departure.
+// UnsharedError reports that no majority of the voters has stored a departure: Holders voters have
+// stored it, Needed is the majority.
 type UnsharedError struct{ Holders, Needed int }
 
 func (e *UnsharedError) Error() string {
@@ -50,8 +51,8 @@
 	return "this voter holds no list of voters yet and cannot count a majority; announce the departure again or elsewhere"
 }
 
-// UnknownServiceError rejects an announcement of a service that is not configured. An announcement
-// with a mistyped service would otherwise take over the address of a serving upstream.
+// UnknownServiceError rejects an announcement of a service that is not configured. Otherwise an
+// announcement with a mistyped service would take over the address of a serving upstream.
 type UnknownServiceError struct{ Service string }
 
 func (e *UnknownServiceError) Error() string {
@@ -64,9 +65,9 @@
 	Clock func() time.Time
 	// Self is this voter's RPC address.
 	Self string
-	// Known returns the RPC addresses of all voters that receive announcements, and
-	// VotingPeers those of the voters of which a majority must hold a departure. Both may
-	// include this voter. VotingPeers is empty while there is no list of voters.
+	// Known returns the RPC addresses of all voters that receive announcements. VotingPeers
+	// returns the addresses of the voters that are not learners: a majority of them must store a
+	// departure. It returns none while there is no list of voters. Both may include this voter.
 	Known, VotingPeers func() []string
 	// Shape is the shape of the balancer trees to which upstreams are referred.
 	Shape tree.Shape
@@ -123,8 +124,8 @@
 }
 
 // receiveForwarded records an announcement that a balancer or voter forwarded. Departures are
-// accepted only from the upstream itself, since forwarded announcements are acknowledged without
-// waiting until a majority holds them.
+// accepted only from the upstream itself, since a forwarded announcement is acknowledged before a
+// majority has stored it.
 func (u *Receiver) receiveForwarded(now time.Time, a handover.Announcement) {
 	if a.Upstream.State != upstream.Ready || !u.feed.Configured(a.Upstream.Service) {
 		u.logRejected(now, a.Upstream)
@@ -205,10 +206,10 @@
 }
 
 // Announce handles an upstream's announcement and returns once it may be
-// acknowledged. A departure must first be stored by a majority of the voters: if
-// only this voter had it and failed, balancers would still send new flows to an
-// upstream whose departure was acknowledged. A departure that is not acknowledged is
-// published to balancers all the same.
+// acknowledged. A majority of the voters must first store a departure: if only this voter
+// had stored an acknowledged departure and then failed, balancers would still send new
+// flows to the upstream. A departure is published to balancers even if it cannot be
+// acknowledged.
 func (u *Receiver) Announce(ctx context.Context, a upstream.Upstream, cold time.Duration) error {
 	if a.State != upstream.Withdrawn && !u.feed.Configured(a.Service) {
 		return &UnknownServiceError{Service: a.Service}
@@ -224,8 +225,8 @@
 	return u.share(ctx, sharedAnnouncement{Upstream: a, Cold: cold})
 }
 
-// reportAlive reports to the other voters that a suspected upstream is alive, since they
-// do not receive its announcements.
+// reportAlive reports to the other voters that a suspected upstream is alive, since those voters
+// do not receive the upstream's announcements.
 func (u *Receiver) reportAlive(a upstream.Upstream) {
 	r := evidence.Report{Events: []evidence.Event{feed.LivenessEvent(a)}}
 	for _, address := range lo.Without(u.settings.Known(), u.settings.Self) {
@@ -239,12 +240,13 @@
 	}
 }
 
-// share sends an announcement to the other voters and waits until a majority holds it.
+// share sends an announcement to the other voters and waits until a majority has stored it.
 func (u *Receiver) share(ctx context.Context, s sharedAnnouncement) error {
 	others, voting := lo.Without(u.settings.Known(), u.settings.Self), u.settings.VotingPeers()
 	needed := len(voting)/2 + 1
 	// The other voters must receive the announcement even if the caller disconnects.
 	ctx = context.WithoutCancel(ctx)
+	// acceptedBy receives the address of each voter that stored the announcement, or "" for a failure.
 	acceptedBy := make(chan string, len(others))
 	for _, address := range others {
 		go func() {
--- a/internal/control/upstreams/upstreams_test.go
+++ b/internal/control/upstreams/upstreams_test.go
@@ -31,7 +31,7 @@
 	upstreams *upstreams.Receiver
 }
 
-// voters starts n voters; those at the end of the list, as many as unreachable, do not listen.
+// voters returns n voters. The last of them, as many as unreachable says, do not listen.
 func voters(t *testing.T, n, unreachable int) []voter {
 	var addresses []string
 	var listeners []rpctest.Server
@@ -70,9 +70,8 @@
 	return upstream.Upstream{Identity: upstream.Identity{Service: "orders", Incarnation: 7}, Sequence: 3, State: upstream.Draining}
 }
 
-// Guards against new flows to an upstream seconds after its departure was acknowledged:
-// if only one voter has the departure and loses power before any balancer receives it,
-// the departure is lost.
+// A voter acknowledges a departure and loses power before any balancer receives it. If no other
+// voter had stored the departure, balancers would send new flows to the upstream for seconds.
 func TestDepartureIsStoredByMajorityBeforeAcknowledgement(t *testing.T) {
 	vs := voters(t, 3, 1)
 	require.NoError(t, vs[0].upstreams.Announce(t.Context(), drainingUpstream(), 0))
@@ -89,9 +88,9 @@
 	require.Len(t, notices, 1, "reachable balancers still receive it")
 }
 
-// Guards against an acknowledged departure that no other voter has. A voter that has
-// started with an empty disk and received no message from another voter knows only
-// itself, and must not count itself as the majority.
+// A voter starts with an empty disk and receives no message from another voter, so that it knows only
+// itself. If it counted itself as the majority, it would acknowledge a departure that no other voter
+// has stored.
 func TestVoterWithoutVoterListRejectsDeparture(t *testing.T) {
 	address := rpctest.Listen(t).Address()
 	f := feed.New(1, directory.New(directory.Settings{SilentAfter: time.Minute, ForgetAfter: time.Hour}), time.Now)
@@ -108,9 +107,9 @@
 	require.NoError(t, u.Announce(t.Context(), ready, 0), "a ready upstream needs no majority")
 }
 
-// Guards against an acknowledged departure that is lost when two of five voters fail,
-// which must be tolerated. Two learners and one voter hold the departure, and two voters do
-// not; learners must not count towards the majority.
+// Two learners and one voting member store a departure, and two voting members do not respond. If
+// learners counted towards the majority, the departure would be acknowledged, and lost if two of the
+// five fail, which must be tolerated.
 func TestLearnersDoNotCountTowardsTheMajority(t *testing.T) {
 	vs := voters(t, 5, 2)
 	known := vs[0].known
@@ -124,9 +123,8 @@
 	require.Equal(t, upstreams.UnsharedError{Holders: 1, Needed: 2}, *unshared)
 }
 
-// Guards against a serving upstream that is repeatedly marked as replaced. Another announcer
-// uses the upstream's address for a service that is not configured, and the last announcement
-// of an address wins.
+// Another announcer uses the address of a serving upstream for a service that is not configured.
+// The last announcement of an address wins, so the serving upstream was repeatedly marked as replaced.
 func TestUpstreamOfUnknownServiceDoesNotTakeOverAddress(t *testing.T) {
 	v := voters(t, 1, 0)[0]
 	v.feed.Publish(history.History{}.With(configuration.Configuration{
@@ -137,7 +135,7 @@
 	}
 	require.NoError(t, v.upstreams.Announce(t.Context(), serving, 0))
 	other := serving
-	other.Service, other.Incarnation = "nobody", 8
+	other.Service, other.Incarnation = "unconfigured", 8
 	var unknown *upstreams.UnknownServiceError
 	require.ErrorAs(t, v.upstreams.Announce(t.Context(), other, 0), &unknown)
 	notices, _ := v.feed.Notices(time.Now())
@@ -165,9 +163,9 @@
 	return len(all)
 }
 
-// Guards against six notices per upstream to each balancer of a large fleet after all
-// balancers restarted. Upstreams whose balancer ended announce themselves to any voter; each
-// of these voters would publish the upstream and later publish that it lost contact.
+// All balancers of a large fleet restart, and their upstreams announce themselves to any voter. Each
+// of these voters published the upstream and later that it lost contact, so that each balancer
+// received six notices per upstream.
 func TestAnnouncementIsForwardedToVoterOfItsZone(t *testing.T) {
 	all := voters(t, 2, 0)
 	withBalancers(all[1], 9)
@@ -198,7 +196,7 @@
 	require.Empty(t, all[1].upstreams.Refer(upstreamInZoneA()))
 }
 
-// A departure forwarded by a balancer would be acknowledged before a majority holds it.
+// A departure forwarded by a balancer would be acknowledged before a majority has stored it.
 func TestDepartureForwardedByBalancerIsRejected(t *testing.T) {
 	all := voters(t, 1, 0)
 	client := rpc.NewClient(all[0].known[0], "group")
