--- a/internal/control/feed/cache.go
+++ b/internal/control/feed/cache.go
@@ -20,7 +20,7 @@
 }
 
 // get returns the cached response, or builds and encodes a new one if the key differs or the cached
-// one has expired.
+// response has expired.
 func (e *responseCache[K]) get(now time.Time, key K, build func() any) (cbor.RawMessage, error) {
 	if e.body != nil && e.key == key && now.Sub(e.at) < encodedTTL {
 		return e.body, nil
--- a/internal/control/feed/feed_test.go
+++ b/internal/control/feed/feed_test.go
@@ -239,7 +239,7 @@
 }
 
 // A starting balancer polls one voter. The voter sent only the upstreams that announce themselves to
-// it, those of its zone, and for a second the balancer knew only a fifth of the upstreams.
+// that voter, the upstreams of its zone. For a second the balancer knew only a fifth of the upstreams.
 func TestStartingBalancersReceiveAllUpstreams(t *testing.T) {
 	f := newFeed()
 	f.SetRemoteSource(remoteSource{upstreams: 10, calls: new(int)})
