--- a/internal/control/upstreams/upstreams_test.go
+++ b/internal/control/upstreams/upstreams_test.go
@@ -164,8 +164,8 @@
 }
 
 // All balancers of a large fleet restart, and their upstreams announce themselves to any voter. Each
-// of these voters published the upstream and later that it lost contact, so that each balancer
-// received six notices per upstream.
+// of these voters published the upstream, and later published that it had lost contact with the
+// upstream. Each balancer received six notices per upstream.
 func TestAnnouncementIsForwardedToVoterOfItsZone(t *testing.T) {
 	all := voters(t, 2, 0)
 	withBalancers(all[1], 9)
