--- a/internal/control/agreement/agreement.go
+++ b/internal/control/agreement/agreement.go
@@ -31,7 +31,7 @@
 	// InitialElectionTimeout is the maximum election timeout after a start; 0 means that
 	// Election applies from the start. After a power loss of all voters there is no leader,
 	// and a longer timeout prolongs the outage. If there is a leader, the other voters
-	// reject the early pre-vote.
+	// reject the early pre-vote, so that a short timeout does no harm.
 	InitialElectionTimeout time.Duration
 }
 
--- a/internal/control/agreement/durable.go
+++ b/internal/control/agreement/durable.go
@@ -9,7 +9,7 @@
 const (
 	// Command is a change to the replicated state machine.
 	Command EntryKind = iota
-	// Voters is a new list of voters.
+	// Voters is a membership change: it holds the new list of voters.
 	Voters
 	// NoOp is written by a new leader to commit the entries of earlier terms.
 	NoOp
--- a/internal/control/agreement/election.go
+++ b/internal/control/agreement/election.go
@@ -66,8 +66,8 @@
 func (a *Node) receive(now time.Time, m Message) {
 	if m.To != a.settings.Self.Id && m.To != a.settings.Self.Name {
 		// A voter whose disk was replaced remains in the list under its former id
-		// and the same address. Without this check, such a voter that leads would
-		// treat its own messages to the former id as those of another leader.
+		// and the same address. Without this check, if such a voter became the leader, it
+		// would treat its own messages to the former id as those of another leader.
 		return
 	}
 	switch m.Kind {
@@ -283,9 +283,9 @@
 }
 
 // receiveRequestVote grants votes even if this voter's own log lists it as a learner or not
-// at all: the candidate's list of voters decides. Otherwise an election could never succeed
-// that needs the vote of a voter just promoted, which has not received the new list yet.
-// A voter with a replaced disk has a new id, so its vote never counts as the former one's.
+// at all: the candidate's list of voters decides. Otherwise an election could fail forever if
+// it needs the vote of a voter that was just promoted and has not received the new list yet.
+// A voter with a replaced disk has a new id, so its vote never counts for the former id.
 func (a *Node) receiveRequestVote(now time.Time, m Message) {
 	canGrant := a.vote.For == "" || a.vote.For == m.From
 	if !canGrant || !a.isUpToDate(m) || a.role == Leader {
--- a/internal/control/agreement/failures_test.go
+++ b/internal/control/agreement/failures_test.go
@@ -30,8 +30,8 @@
 	return ns
 }
 
-// Guards against a healthy leader that is deposed when a partitioned voter
-// returns. Without pre-votes, that voter raises its term with each election.
+// A voter is partitioned and returns. Without pre-votes it would raise its term with
+// each election, and depose a healthy leader on its return.
 func TestPartitionedVoterNeitherCommitsNorDeposesLeader(t *testing.T) {
 	c := bootstrappedCluster(t)
 	leader := c.leader()
@@ -62,9 +62,9 @@
 	}
 }
 
-// Guards against the loss of an acknowledged change. A partitioned leader may acknowledge
-// a change while the others elect a new leader, if it commits without a majority or if its
-// lease is longer than their election timeout.
+// A leader is partitioned, and the others elect a new leader. If the former leader committed
+// without a majority, or if its lease were longer than the election timeout, it could
+// acknowledge a change that is lost.
 func TestPartitionedLeaderLosesLease(t *testing.T) {
 	c := bootstrappedCluster(t)
 	former := c.leader()
@@ -81,10 +81,10 @@
 	require.Equal(t, uint64(1), former.ledger.Current().Revision)
 }
 
-// Guards against the loss of a committed change. Voters 1 and 2 store a change while 3 is
-// partitioned; then 1 crashes, the disk of 2 is replaced and 3 returns. Voters 2 and 3 are
-// a majority by name, but 2 has lost the change. A voter with an empty disk therefore has
-// a new id, and no vote until it is promoted in the list of voters.
+// Voters 1 and 2 store a change while 3 is partitioned. Then 1 crashes, the disk of 2 is
+// replaced and 3 returns. Voters 2 and 3 are a majority by name, but 2 has lost the committed
+// change. A voter with an empty disk therefore has a new id, and no vote until it is promoted
+// in the list of voters.
 func TestReplacedDiskHasNoVote(t *testing.T) {
 	c := bootstrappedCluster(t)
 	one := c.leader()
@@ -103,9 +103,9 @@
 	require.Equal(t, uint64(2), two.ledger.Current().Revision)
 }
 
-// Guards against a cluster without a leader after the disks of voters 2 and 3
-// were replaced in turn. A replaced voter must be removed, added as a learner
-// and promoted before the next disk may be replaced.
+// The disks of voters 2 and 3 are replaced in turn. A voter whose disk was replaced must be
+// removed, added as a learner and promoted before the next disk is replaced. Otherwise
+// the two cannot elect a leader when voter 1 fails.
 func TestTwoDisksReplacedInTurn(t *testing.T) {
 	c := bootstrappedCluster(t)
 	for _, name := range c.names[1:] {
@@ -124,10 +124,9 @@
 	require.Equal(t, uint64(1), c.leader().ledger.Current().Revision)
 }
 
-// Guards against two changes that both become revision 2, and against different answers
-// to one change key. Two changes based on revision 1 race, and both are resent after a
-// compaction, a restart of all voters and a change of leader. An answer that is stored
-// outside the replicated state is lost by then.
+// Two changes based on revision 1 race. Both are resent after a compaction, a restart of all
+// voters and a change of leader, by which an answer stored outside the replicated state is
+// lost. Only one change may become revision 2, and each change key has one answer.
 func TestConcurrentAndRetriedChangesGetOneAnswerEach(t *testing.T) {
 	c := bootstrappedCluster(t)
 	leader := c.leader()
@@ -155,8 +154,8 @@
 	require.Equal(t, "b", leader.ledger.Current().InForce)
 }
 
-// Guards against a change that is committed although the disks of two of three
-// voters failed: a voter whose sync failed must not count towards the majority.
+// The disks of two of three voters fail. A voter whose sync failed must not count
+// towards the majority: otherwise a change would be committed.
 func TestFailedDisksCommitNothing(t *testing.T) {
 	c := bootstrappedCluster(t)
 	leader := c.leader()
@@ -172,8 +171,8 @@
 	}
 }
 
-// Guards against election timeouts so long that changes wait for more than five seconds
-// after a crash of the leader.
+// The leader crashes. With too long election timeouts, changes would wait for more than
+// five seconds.
 func TestNewLeaderWithinFiveSeconds(t *testing.T) {
 	c := bootstrappedCluster(t)
 	c.leader().crash()
--- a/internal/control/agreement/lease.go
+++ b/internal/control/agreement/lease.go
@@ -23,8 +23,8 @@
 }
 
 // ConfirmedSince reports whether this voter was still the leader at the time since: a majority
-// has acknowledged a message that it sent then or later. A lease alone does not make reads
-// safe, since a voter on a suspended VM does not notice that its lease expired.
+// has acknowledged a message that this voter sent at that time or later. A lease alone does not
+// make reads safe, since a voter on a suspended VM does not notice that its lease expired.
 func (a *Node) ConfirmedSince(now, since time.Time) bool {
 	return a.role == Leader && a.commit >= a.termStartIndex && !a.quorumAckTime(now).Before(since)
 }
@@ -42,8 +42,8 @@
 // Commit returns the highest index known to be committed.
 func (a *Node) Commit() uint64 { return a.commit }
 
-// quorumAckTime returns the latest time such that a majority has acknowledged messages sent
-// then or later.
+// quorumAckTime returns the latest time such that a majority has acknowledged messages sent at
+// that time or later.
 func (a *Node) quorumAckTime(now time.Time) time.Time {
 	times := lo.FilterMap(a.voters, func(v Voter, _ int) (time.Time, bool) {
 		switch p := a.progress[v.Id]; {
--- a/internal/control/agreement/members.go
+++ b/internal/control/agreement/members.go
@@ -91,8 +91,8 @@
 const removeAfterElections = 5
 
 // removeUnreachable removes the voter that has been unreachable the longest, so
-// that a deleted VM does not count towards the majority forever. The voter is added
-// again if it returns. The list keeps enough voters to retain a majority after
+// that a deleted VM does not count towards the majority forever. A removed voter that
+// returns is added again. Enough voters stay in the list to retain a majority after
 // Tolerate losses: while two of six voters are partitioned for some seconds, the
 // loss of two disks among the other four must not be fatal.
 func (a *Node) removeUnreachable(now time.Time) {
--- a/internal/control/agreement/members_test.go
+++ b/internal/control/agreement/members_test.go
@@ -28,9 +28,9 @@
 	return names
 }
 
-// Guards against a cluster that accepts no changes although two of three VMs run.
-// Each VM in turn is replaced by an empty one at another address. If the old voters stayed
-// in the list, they would count towards the majority: in the end two of five would respond.
+// Each of three VMs in turn is replaced by an empty VM at another address. If the old voters
+// stayed in the list, they would count towards the majority. In the end two of five voters
+// would respond, and the cluster would accept no changes although two of three VMs run.
 func TestUnreachableVotersAreRemoved(t *testing.T) {
 	c := bootstrappedCluster(t)
 	for _, step := range []struct{ removed, replacement string }{{"v1", "v4"}, {"v2", "v5"}, {"v3", "v6"}} {
@@ -45,9 +45,8 @@
 	require.Equal(t, uint64(1), c.leader().ledger.Current().Revision)
 }
 
-// Guards against voters that never vote again after a partition. A voter that was
-// removed during the partition still has the old list, and requests votes that no
-// other voter grants.
+// A voter is removed during a partition and returns. It still has the old list and
+// requests votes, which no other voter grants, and would never vote again.
 func TestPartitionedVotersRejoinAfterRemoval(t *testing.T) {
 	c := bootstrappedCluster(t)
 	c.add("v4")
@@ -65,9 +64,9 @@
 	require.Len(t, votersOf(c), 5)
 }
 
-// Guards against a stale read. The leader's VM is suspended, the others elect a
-// new leader, and the first leader resumes. Its clock did not advance, so its lease
-// seems to hold.
+// The leader's VM is suspended, the others elect a new leader, and the first leader
+// resumes. Its clock did not advance, so its lease seems to hold, and a read that
+// relied on the lease would be stale.
 func TestSuspendedLeaderDoesNotConfirmReads(t *testing.T) {
 	c := bootstrappedCluster(t)
 	former := c.leader()
@@ -86,9 +85,9 @@
 	}, time.Minute, time.Microsecond)
 }
 
-// Guards against a partitioned zone without a configuration after a restart of
-// all VMs. If no disk records the commit index, a voter that restarts alone
-// cannot determine which entries are committed.
+// All VMs restart while a zone is partitioned. If no disk records the commit index, a
+// voter that restarts alone cannot determine which entries are committed, and its zone
+// has no configuration.
 func TestRestartedVoterRestoresCommitIndex(t *testing.T) {
 	c := bootstrappedCluster(t)
 	require.NoError(t, c.propose(c.leader(), "kept", 1, "b"))
@@ -105,8 +104,8 @@
 	require.Nil(t, c.leader())
 }
 
-// Guards against a second without commits at each planned stop of the leader.
-// Without a leadership transfer, the others wait for the election timeout.
+// The leader is stopped as planned. Without a leadership transfer, the others wait for
+// the election timeout, a second without commits.
 func TestStoppingLeaderTransfersLeadership(t *testing.T) {
 	c := bootstrappedCluster(t)
 	former := c.leader()
@@ -119,10 +118,9 @@
 	require.Equal(t, uint64(2), former.ledger.Current().Revision, "the former leader stays a follower until it stops")
 }
 
-// Guards against a cluster that elects no leader after a lost disk (soak, seed 227).
-// A voter with a replaced disk is promoted, and the leader fails before that voter
-// receives the new list. The others need its vote, although the list in its own log
-// has it as a learner.
+// A voter with a replaced disk is promoted, and the leader fails before that voter receives
+// the new list. The others need the voter's vote, although its own log lists it as a
+// learner. Otherwise the cluster elects no leader (soak, seed 227).
 func TestPromotedVoterVotesBeforeReceivingNewList(t *testing.T) {
 	c := bootstrappedCluster(t)
 	leader := c.leader()
@@ -157,9 +155,9 @@
 	require.NotNil(t, c.leader())
 }
 
-// Guards against a crash with "at most one leader per term" (soak, seed 211). A
-// voter with a replaced disk becomes the leader while its former id, at the same
-// address, is still in the list, and so receives its own messages to that id.
+// A voter with a replaced disk becomes the leader while its former id, at the same address,
+// is still in the list. The leader receives its own messages to that id, and crashed with
+// "at most one leader per term" (soak, seed 211).
 func TestMessageToFormerIdIsIgnored(t *testing.T) {
 	c := bootstrappedCluster(t)
 	leader := c.leader()
--- a/internal/control/agreement/replication.go
+++ b/internal/control/agreement/replication.go
@@ -169,8 +169,8 @@
 }
 
 // replicateCommit sends missing entries and the new commit index to followers at once.
-// If they received the commit index only with the next heartbeat, the balancers that
-// poll them would get changes up to a quarter of a second late.
+// If the followers received the commit index only with the next heartbeat, the balancers
+// that poll them would receive changes up to a quarter of a second late.
 func (a *Node) replicateCommit(now time.Time) {
 	for _, v := range a.peers() {
 		p := a.progressOf(v.Id)
