--- a/internal/control/ledger/evacuate.go
+++ b/internal/control/ledger/evacuate.go
@@ -16,8 +16,8 @@
 func (l *Ledger) Evacuations() evacuation.Evacuations { return l.evacuations }
 
 // evacuate applies an evacuation order. It rejects an order if the zone's state changed after a
-// voter received the order: operators' calls carry no sequence number, so an order delayed by a
-// stalled voter or a partition would otherwise undo a later one. An order that matches the current
+// voter received the order. Operators' calls carry no sequence number, so an order delayed by a
+// stalled voter or a partition would otherwise undo a later order. An order that matches the current
 // state is accepted for any expected revision, since operators resend an order whose response was lost.
 func (l *Ledger) evacuate(c Change) Answer {
 	x := *c.Evacuate
--- a/internal/control/ledger/evacuate_test.go
+++ b/internal/control/ledger/evacuate_test.go
@@ -22,10 +22,10 @@
 	return answer
 }
 
-// Guards against a zone without flows after its evacuation ended. An evacuation order waits
-// in a stalled voter. The operator resends the order to another voter and later ends the
-// evacuation, and then the stalled voter proposes the first order. Orders carry no sequence
-// number, so without the expected revision the last one to arrive would apply.
+// An evacuation order waits in a stalled voter. The operator resends the order to another voter
+// and later ends the evacuation; then the stalled voter proposes the first order. Orders carry no
+// sequence number, so without the expected revision the order would apply, and the zone would
+// receive no flows after its evacuation ended.
 func TestDelayedOrderDoesNotUndoLaterOne(t *testing.T) {
 	l := ledger.New()
 	require.Equal(t, ledger.Accepted, applyEvacuation(t, l, "again", "a", true, 0).Verdict)
@@ -57,8 +57,8 @@
 	require.Equal(t, l.Evacuations().Revision, restored.Evacuations().Revision)
 }
 
-// Guards against a voter that does not start after an upgrade because the snapshot on its
-// disk was written by a version without evacuations and is shorter.
+// A voter is upgraded. The snapshot on its disk was written by a version without evacuations and is
+// shorter. The voter must still start.
 func TestRestoreSnapshotOfEarlierVersion(t *testing.T) {
 	type ledgerSnapshot struct {
 		_       struct{} `cbor:",toarray"`
@@ -76,7 +76,7 @@
 }
 
 // Checks that delayed, repeated and concurrent orders leave a zone in the state of the last
-// accepted order. An order issued before that one was applied must not be accepted after it.
+// accepted order. An order issued before the last accepted order was applied must not be accepted afterwards.
 func TestAcknowledgedOrdersAreNotUndoneByOlderOnes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := ledger.New()
--- a/internal/control/ledger/ledger.go
+++ b/internal/control/ledger/ledger.go
@@ -125,14 +125,14 @@
 	return *l.cachedSummary
 }
 
-// storedAnswer is one answer in a snapshot.
+// storedAnswer is a change key and its answer, as encoded in a snapshot.
 type storedAnswer struct {
 	_      struct{} `cbor:",toarray"`
 	Key    string
 	Answer Answer
 }
 
-// Ledger is the replicated state; it is not safe for concurrent use.
+// Ledger is the replicated state machine; it is not safe for concurrent use.
 type Ledger struct {
 	current  configuration.Configuration
 	answers  map[string]Answer
@@ -152,14 +152,15 @@
 // Current returns the configuration in force.
 func (l *Ledger) Current() configuration.Configuration { return l.current }
 
-// StoredAnswer returns the stored answer for a change key.
+// StoredAnswer returns the answer to an earlier change with the same change key, the idempotency
+// key of a configuration change, and whether there is one.
 func (l *Ledger) StoredAnswer(key string) (Answer, bool) {
 	a, ok := l.answers[key]
 	return a, ok
 }
 
-// RosterChange replaces the list of balancers that store idempotency keys, or
-// marks the move of the keys from the previous list as settled.
+// RosterChange replaces the list of balancers that store the idempotency keys of requests, or
+// records that the transfer of these keys from the previous list is complete.
 type RosterChange struct {
 	ExpectVersion uint64
 	Members       []roster.Member
@@ -190,7 +191,7 @@
 func (l *Ledger) Roster() roster.Roster { return l.roster }
 
 // applyRoster applies a change that is based on the current version. The second
-// of two concurrent changes has no effect; the roster manager then proposes a new one.
+// of two concurrent changes has no effect; the roster manager then proposes a new change.
 func (l *Ledger) applyRoster(c RosterChange) {
 	switch {
 	case c.ExpectVersion != l.roster.Version:
@@ -293,7 +294,7 @@
 		next = *c.Apply
 		if current.InForce != "" {
 			// Applying a configuration keeps the preset in force, even if the
-			// configuration names another one or none.
+			// configuration names another preset or none.
 			next = next.WithPreset(current.InForce)
 		}
 	}
