--- a/internal/control/rostermanager/rostermanager.go
+++ b/internal/control/rostermanager/rostermanager.go
@@ -108,10 +108,10 @@
 	return true
 }
 
-// slotSettled reports whether one slot, stored by the given replicas of the previous list, is
-// settled. This is so once a majority of them has copied its records: then no claim can succeed
+// slotSettled reports whether one slot is settled, given its replicas in the previous list. A slot
+// is settled once a majority of the replicas has copied its records: then no claim can succeed
 // under the old epoch, and every record that a majority held is copied. A slot is also settled
-// once each replica has copied its records or ended at least KeyRetention ago: the records of
+// once each replica has copied the records or ended at least KeyRetention ago: the records of
 // ended replicas are unreachable and have expired by then.
 func (mgr *Manager) slotSettled(now time.Time, epoch uint64, replicas []roster.Member) bool {
 	moved, expiredCount := 0, 0
