--- a/internal/control/referral/referral.go
+++ b/internal/control/referral/referral.go
@@ -33,9 +33,9 @@
 
 // Choose returns the announcement address of a balancer in the upstream's zone, or "" if the
 // upstream stays with the voter, as in zones with few balancers. A hash of incarnation and sequence
-// number selects two candidates, and the one with fewer referred upstreams is chosen. Because of
-// the sequence number, an upstream whose balancer did not respond is likely to get another one when
-// it announces itself to a voter again. Root balancers are excluded: they forward the others' reports.
+// number selects two candidates, and Choose returns the candidate with fewer referred upstreams. The
+// sequence number makes another balancer likely if the first balancer did not respond and the upstream
+// announces itself to a voter again. Root balancers are excluded: they forward the others' reports.
 func (r *Referral) Choose(now time.Time, u upstream.Upstream, zone []member.Member) string {
 	candidates := r.candidates(zone)
 	if len(candidates) == 0 {
--- a/internal/control/referral/referral_test.go
+++ b/internal/control/referral/referral_test.go
@@ -56,8 +56,8 @@
 	}
 }
 
-// Guards against an upstream that loses half of its announcements: its balancer has lost
-// power, and a voter that has not detected this refers the upstream to it repeatedly.
+// An upstream's balancer has lost power, and a voter has not detected this. The voter referred the
+// upstream to that balancer repeatedly, and the upstream lost half of its announcements.
 func TestReturningUpstreamIsReferredToAnotherBalancer(t *testing.T) {
 	r := referral.New(shape)
 	referred := map[string]bool{}
@@ -67,9 +67,9 @@
 	require.Greater(t, len(referred), 3)
 }
 
-// Guards against a balancer whose link is saturated by the announcements of 190 upstreams:
-// after a restart, all voters knew only nine balancers of a zone and referred all upstreams
-// to the only one that was not a root. Here it is one of five.
+// After a restart, all voters knew only nine balancers of a zone, and only one of the nine was not a
+// root. They referred all upstreams to that balancer, and the announcements of 190 upstreams saturated
+// its link. This test has five balancers.
 func TestReferralsPerBalancerAreLimited(t *testing.T) {
 	r, referred := referral.New(shape), 0
 	for i := range uint64(200) {
