--- a/internal/control/voter/disk.go
+++ b/internal/control/voter/disk.go
@@ -17,8 +17,8 @@
 )
 
 // recoverDisk reloads the voter from its disk after a failed write, as a restart would. If
-// the voter stayed read-only until an operator restarted it, the majority would lack its vote
-// long after the disk has space again.
+// the voter stayed read-only until an operator restarted the process, the majority would lack
+// its vote long after the disk has space again.
 func (v *Voter) recoverDisk() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/internal/control/voter/operator.go
+++ b/internal/control/voter/operator.go
@@ -32,7 +32,8 @@
 	return ledger.Answer{}, &UnknownError{ChangeKey: c.ChangeKey}
 }
 
-// propose appends a change to the log, or returns the recorded answer if its key was already applied.
+// propose appends a change to the log, or returns the stored answer if a change
+// with the same key was already applied.
 func (v *Voter) propose(c ledger.Change) (chan ledger.Answer, ledger.Answer, error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/internal/control/voter/publish.go
+++ b/internal/control/voter/publish.go
@@ -60,8 +60,8 @@
 	return v.ledger.Current()
 }
 
-// Read returns the newest committed configuration. The read is linearizable: a majority must
-// confirm the leader after the call began, or Read returns an error.
+// Read returns the newest committed configuration. The read is linearizable: Read returns an error
+// unless a majority confirms the leader after the call began.
 func (v *Voter) Read(ctx context.Context) (configuration.Configuration, error) {
 	return callLeader(ctx, v, empty{}, ReadMethod, v.readLocal)
 }
@@ -145,8 +145,8 @@
 	return configuration.Configuration{}, UnconfirmedError{}
 }
 
-// completeReads completes the reads that a majority has confirmed and drops those that have
-// timed out. The caller holds the lock.
+// completeReads completes the reads that a majority has confirmed and drops the reads that
+// have timed out. The caller holds the lock.
 func (v *Voter) completeReads() {
 	if len(v.reads) == 0 {
 		return
--- a/internal/control/voter/voter_test.go
+++ b/internal/control/voter/voter_test.go
@@ -92,8 +92,8 @@
 	require.Eventually(t, f, 20*time.Second, 10*time.Millisecond)
 }
 
-// Guards against a voter that stays read-only until a restart after one failed write. The disk
-// is full for some seconds and then has space again.
+// A disk is full for some seconds and then has space again. After one failed write, the voter
+// stayed read-only until a restart.
 func TestVoterRecoversWhenDiskHasSpaceAgain(t *testing.T) {
 	disk := &lockedFolder{Folder: fault.New(1)}
 	v := startSingleVoter(t, disk)
@@ -125,9 +125,8 @@
 	require.Equal(t, uint64(5), v.AppliedConfiguration().Revision)
 }
 
-// Guards against a slow start after a power loss of all VMs. A voter that started with a
-// log of 60 changes of 600 routes published a delta for each of them, and balancers had no
-// configuration for 0.8 s.
+// All VMs lose power, and a voter starts with a log of 60 changes of 600 routes. It published a
+// delta for each change, and balancers had no configuration for 0.8 s.
 func TestReplayPublishesOnlyFinalConfiguration(t *testing.T) {
 	disk := &lockedFolder{Folder: fault.New(1)}
 	var published []uint64
@@ -148,8 +147,8 @@
 
 func evacuated(v *voter.Voter) []string { return v.Evacuations().EvacuatedZones() }
 
-// Guards against evacuated zones that get flows again after a power loss of all VMs. The
-// voter restarts first from its log and later from a snapshot.
+// After a power loss of all VMs, a voter restarts first from its log and later from a snapshot.
+// An evacuated zone must not receive flows again.
 func TestEvacuationSurvivesRestart(t *testing.T) {
 	disk := &lockedFolder{Folder: fault.New(1)}
 	v, run := newVoter(t, disk, nil)
@@ -176,9 +175,8 @@
 	eventually(t, func() bool { return len(evacuated(v)) == 1 && evacuated(v)[0] == "b" })
 }
 
-// Guards against an outdated evacuation order that overrides a newer one. The order reaches a
-// stalled voter, its caller times out and sends a contrary order to another voter, and the
-// first voter resumes.
+// An evacuation order reaches a stalled voter. Its caller times out and sends a contrary order to
+// another voter; then the first voter resumes. The outdated order must not override the newer order.
 func TestAbandonedOrderIsNotProposed(t *testing.T) {
 	v := startSingleVoter(t, &lockedFolder{Folder: fault.New(1)})
 	eventually(t, func() bool { return publish(v, 1) == nil })
