--- a/internal/daemon/balancer/balancer.go
+++ b/internal/daemon/balancer/balancer.go
@@ -47,8 +47,8 @@
 	// MaxKeys and KeyWindow limit the number and the age of stored request keys.
 	MaxKeys   int
 	KeyWindow time.Duration
-	// SaveConfiguration saves the configuration in force to disk. SavedConfiguration is the one
-	// saved before the start, if any. Both are nil without a disk.
+	// SaveConfiguration saves the configuration in force to disk. SavedConfiguration is the
+	// configuration saved before the start, if any. Both are nil without a disk.
 	SaveConfiguration  func(configuration.Configuration) error
 	SavedConfiguration *configuration.Configuration
 }
