--- a/internal/daemon/control/control.go
+++ b/internal/daemon/control/control.go
@@ -67,7 +67,7 @@
 	// AnnounceInterval is the time between two announcements of an upstream.
 	AnnounceInterval time.Duration
 	// SilentAfter is the time without an announcement after which an upstream counts as
-	// silent.
+	// silent (see package directory).
 	SilentAfter time.Duration
 }
 
--- a/internal/daemon/control/control_test.go
+++ b/internal/daemon/control/control_test.go
@@ -121,10 +121,9 @@
 	}, timeout, pollInterval)
 }
 
-// Guards against new voters that never get a vote. The leader adds a voter that is not a
-// founder, or that lost its disk, as a learner and sends it the log; the learner has no list
-// of voters yet and could not address its responses to the leader. After two lost disks there
-// was no leader, and configurations were older than those acknowledged.
+// A voter that is not a founder, or that lost its disk, becomes a learner. It had no list of voters
+// by which to address its responses to the leader, and never got a vote. After two lost disks there
+// was no leader, and configurations were older than the acknowledged ones.
 func TestNewVotersRespondToLeader(t *testing.T) {
 	f := newCluster(t, 3)
 	f.waitForVoters(3)
@@ -141,8 +140,8 @@
 	require.Equal(t, uint64(6), c.Revision)
 }
 
-// Guards against acknowledging a departure that no other voter has stored: a voter with an
-// empty disk that reaches no other voter knew only itself and counted as a majority.
+// A voter with an empty disk reaches no other voter. It knew only itself, counted as a majority, and
+// acknowledged a departure that no other voter had stored.
 func TestVoterWithEmptyDiskRejectsDeparture(t *testing.T) {
 	f := newCluster(t, 1)
 	f.waitForVoters(1)
@@ -154,9 +153,8 @@
 	require.ErrorAs(t, f.running[l.Addr().String()].Upstreams().Announce(t.Context(), u, 0), &unlisted)
 }
 
-// Guards against balancers that have no upstreams for a second after a site-wide power loss:
-// restarted voters knew no upstream until it announced itself again, which upstreams do every
-// 1.2 s.
+// After a site-wide power loss, restarted voters knew no upstream until its next announcement, and
+// upstreams announce themselves every 1.2 s. For a second, balancers had no upstreams.
 func TestRestartedVoterRestoresUpstreams(t *testing.T) {
 	f := newCluster(t, 1)
 	f.waitForVoters(1)
@@ -179,9 +177,9 @@
 	require.False(t, a.Notices[0].Silent)
 }
 
-// Guards against first flows that are placed on a third of the upstreams after a site-wide
-// power loss: each voter had saved only the upstreams that announced to it, and the first
-// voter to restart was the only one that responded to balancers.
+// After a site-wide power loss, only the first voter to restart responds to balancers. Each voter had
+// saved only the upstreams that announced themselves to it, so the first flows were placed on a third
+// of the upstreams.
 func TestRestartedVoterRestoresRemoteUpstreams(t *testing.T) {
 	f := newCluster(t, 3)
 	f.waitForVoters(3)
@@ -204,9 +202,8 @@
 	require.Equal(t, u.Identity, a.Notices[0].Upstream.Identity)
 }
 
-// Guards against saved upstreams that are out of date in a large fleet. In a common file,
-// whose save interval grows with its size, a voter's own upstreams were saved only as often
-// as those of all others.
+// A voter saved its own upstreams and those of all other voters in one file, whose save interval
+// grows with its size. In a large fleet, the saved state of its own upstreams was out of date.
 func TestLocalAndRemoteUpstreamsAreSavedSeparately(t *testing.T) {
 	f := newCluster(t, 3)
 	f.waitForVoters(3)
@@ -230,8 +227,8 @@
 	require.False(t, holds("upstreams-elsewhere", "orders"))
 }
 
-// Guards against balancers that receive a departure seconds late: the goroutine that saved
-// upstreams also published batched updates, and waited for a hanging disk.
+// A disk hangs. The goroutine that saved upstreams also published batched updates and waited for
+// the disk, and balancers received a departure seconds late.
 func TestHangingDiskDoesNotDelayUpdates(t *testing.T) {
 	f := newCluster(t, 1)
 	f.waitForVoters(1)
--- a/internal/daemon/control/persistence.go
+++ b/internal/daemon/control/persistence.go
@@ -17,12 +17,12 @@
 )
 
 const (
-	// upstreamsFile holds the upstreams that announce to this voter, remoteUpstreamsFile
-	// those that announce to others.
+	// upstreamsFile holds the upstreams that announce themselves to this voter,
+	// remoteUpstreamsFile the upstreams that announce themselves to other voters.
 	upstreamsFile       = "upstreams"
 	remoteUpstreamsFile = "upstreams-elsewhere"
-	// forgetAfter is how long silent and withdrawn upstreams stay known, which is longer
-	// than any flow may stay open.
+	// forgetAfter is how long silent and withdrawn upstreams stay known. It exceeds the time
+	// that any flow may stay open.
 	forgetAfter = 90 * time.Second
 	// saveInterval is the minimum time between two writes of a file of upstreams, and
 	// saveIntervalPerUpstream is added for each upstream in the file. Encoding 3,000 upstreams
@@ -72,9 +72,9 @@
 
 // saveUpstreams saves this voter's upstreams and those of the other voters when they change,
 // so that balancers have upstreams after all voters restart at once. It runs in its own
-// goroutine, because a hanging disk must not delay updates to balancers. This voter's
-// upstreams are a small part of a large fleet. Since they have a file of their own, it is
-// written often and is recent after a site-wide power loss.
+// goroutine, because a hanging disk must not delay updates to balancers. In a large fleet,
+// this voter's own upstreams are few: their separate file is written often, and is recent
+// after a site-wide power loss.
 func (c *Control) saveUpstreams(ctx context.Context) {
 	t := time.NewTicker(tickInterval)
 	defer t.Stop()
--- a/internal/daemon/control/remote.go
+++ b/internal/daemon/control/remote.go
@@ -16,9 +16,9 @@
 	"wasabideal/internal/upstream/view"
 )
 
-// remoteUpstreams holds the upstreams that other voters report. They are saved to disk:
-// usually balancers receive them from those voters, but after a site-wide power loss the first
-// voter to respond has to know all upstreams.
+// remoteUpstreams holds the upstreams that other voters report. Usually balancers receive these
+// upstreams from the other voters. They are saved to disk because after a site-wide power loss
+// the first voter to respond has to know all upstreams.
 type remoteUpstreams struct {
 	mu   sync.Mutex
 	view *view.View
@@ -36,8 +36,8 @@
 	return configuration.Configuration{Revision: math.MaxUint64}
 }
 
-// HasUpstreams returns true, so that other voters do not send the upstreams that they only
-// restored from disk: restored upstreams would never expire here.
+// HasUpstreams returns true, so that other voters do not send restored upstreams, which would never
+// expire here.
 func (o *remoteUpstreams) HasUpstreams() bool { return true }
 
 // OnConfiguration ignores a configuration.
