--- a/internal/daemon/cookie/announcements.go
+++ b/internal/daemon/cookie/announcements.go
@@ -8,8 +8,8 @@
 	"wasabideal/internal/upstream/handover"
 )
 
-// DepartureError rejects a departure that was announced to a balancer; only voters accept
-// departures.
+// DepartureError rejects a departure (state draining or withdrawn) that was announced to a balancer.
+// Only voters accept departures.
 type DepartureError struct{}
 
 func (*DepartureError) Error() string { return "balancers take no departures; announce it to a voter" }
--- a/internal/daemon/cookie/buffer.go
+++ b/internal/daemon/cookie/buffer.go
@@ -34,9 +34,8 @@
 	b.unplaced.Add(now, arrived, e.key(), e)
 }
 
-// placeBuffered tries to place the packets of a buffer. It is called for unplaced when more
-// state is known, and for awaitingCapacity when upstreams may have capacity again. The caller
-// holds the lock.
+// placeBuffered tries to place the packets of a buffer: those of unplaced when more state is known,
+// those of awaitingCapacity when upstreams may have capacity again. The caller holds the lock.
 func (b *Balancer) placeBuffered(now time.Time, buffered *pending.Buffer[packetKey, bufferedPacket]) {
 	if buffered.Len() == 0 {
 		return
@@ -48,8 +47,8 @@
 	}
 }
 
-// placeOrDefer places a buffered packet, or moves it to awaitingCapacity if its upstream
-// has no capacity for it.
+// placeOrDefer places a buffered packet, or moves it to awaitingCapacity if the upstream
+// chosen for the packet has no capacity.
 func (b *Balancer) placeOrDefer(now, arrived time.Time, e bufferedPacket) {
 	if b.router.MayPlace(now, e.packet) {
 		b.routePacket(now, arrived, e.packet, e.data)
--- a/internal/daemon/cookie/cookie.go
+++ b/internal/daemon/cookie/cookie.go
@@ -39,18 +39,18 @@
 }
 
 const (
-	// unconfirmedTTL is how long an unconfirmed notice stays valid: three announcement
-	// intervals, within which a restarted voter receives an announcement from each live
-	// upstream.
+	// unconfirmedTTL is how long an unconfirmed notice (see package view) stays valid: three
+	// announcement intervals. Within this time, a restarted voter receives an announcement
+	// from each live upstream.
 	unconfirmedTTL = 4 * time.Second
 	// forgetAfter is how long a silent upstream stays known, for flows that may still
 	// be open there.
 	forgetAfter = 90 * time.Second
 	// tickInterval is the interval of the router's housekeeping.
 	tickInterval = 100 * time.Millisecond
-	// drainQuietPeriod is the time without a packet that ends a planned stop, and
-	// minDrainTime is the minimum duration of a planned stop: the fabric removes a balancer
-	// from rotation after two failed checks, half a second apart.
+	// drainQuietPeriod is the time without a packet that ends a planned stop. minDrainTime is
+	// the minimum duration of a planned stop: the fabric removes a balancer from rotation
+	// after two failed checks, half a second apart.
 	drainQuietPeriod = 600 * time.Millisecond
 	minDrainTime     = 1500 * time.Millisecond
 	// minSuspicionInterval is the minimum time between two updates of the router's
@@ -58,7 +58,7 @@
 	// them within some tenths of a second.
 	minSuspicionInterval = 20 * time.Millisecond
 	// livenessReportInterval is how often liveness reports on suspected upstreams are
-	// repeated: if one is lost, a live upstream would count as unresponsive. Over three levels
+	// repeated: if a report is lost, a live upstream would count as unresponsive. Over three levels
 	// of balancers, a report and the resulting update take less than this interval.
 	livenessReportInterval = 300 * time.Millisecond
 	// readErrorDelay prevents a socket that fails repeatedly from filling the log.
@@ -75,8 +75,8 @@
 	Sources []string
 	Zone    string
 	Token   string
-	// Rpc is the address for RPCs of other balancers, empty if none may follow this one, and
-	// Announcements the address that upstreams announce to.
+	// Rpc is the address for RPCs of other balancers; it is empty if none may follow this
+	// balancer. Announcements is the address to which upstreams announce themselves.
 	Rpc, Announcements string
 	// AnnounceInterval is the time between two announcements of an upstream.
 	AnnounceInterval time.Duration
--- a/internal/daemon/cookie/cookie_test.go
+++ b/internal/daemon/cookie/cookie_test.go
@@ -101,9 +101,9 @@
 	notes  = netip.MustParseAddrPort("198.18.0.2:443")
 )
 
-func publish(t *testing.T, c *control.Control) {
+func publish(t *testing.T, voter *control.Control) {
 	require.Eventually(t, func() bool {
-		_, err := c.Voter().Publish(t.Context(), configuration.Configuration{
+		_, err := voter.Voter().Publish(t.Context(), configuration.Configuration{
 			Revision: 3,
 			Services: []configuration.Service{{Name: "orders", Protocol: configuration.TCP}},
 			Routes: []configuration.Route{
@@ -115,11 +115,11 @@
 	}, 20*time.Second, 10*time.Millisecond)
 }
 
-func announce(t *testing.T, c *control.Control, at netip.AddrPort) {
+func announce(t *testing.T, voter *control.Control, at netip.AddrPort) {
 	u := upstream.Upstream{
 		Identity: upstream.Identity{Service: "orders", Address: at, Incarnation: 77}, Zone: "a", Slots: 2, Sequence: 1,
 	}
-	require.NoError(t, c.Upstreams().Announce(t.Context(), u, 0))
+	require.NoError(t, voter.Upstreams().Announce(t.Context(), u, 0))
 }
 
 func send(t *testing.T, caller *net.UDPConn, b *cookie.Balancer, p router.Packet) {
@@ -133,9 +133,9 @@
 	require.NoError(t, err)
 }
 
-// Guards against dropping an opening that reaches a balancer before any voter has responded
-// to it. After a site-wide power loss callers waited up to 1.6 s for their next
-// retransmission, although all processes were running.
+// After a site-wide power loss, an opening reaches a balancer before any voter has responded to the
+// balancer. The opening was dropped, and callers waited up to 1.6 s for their next retransmission,
+// although all processes were running.
 func TestEarlyOpeningIsPlacedWithConfiguration(t *testing.T) {
 	voter, backend, caller := startVoter(t), listenUDP(t), listenUDP(t)
 	b := startBalancer(t, voter.Address())
@@ -164,9 +164,8 @@
 	require.Contains(t, w.Body.String(), "wasabideal_revision 3\n")
 }
 
-// Guards against a planned stop that breaks requests. The fabric sends packets to a stopping
-// balancer until two readiness checks have failed, and the balancer exited or stopped
-// forwarding before that.
+// The fabric sends packets to a stopping balancer until two readiness checks have failed. The balancer
+// exited or stopped forwarding before that, which broke requests.
 func TestPlannedStopForwardsUntilTrafficEnds(t *testing.T) {
 	voter, backend, caller := startVoter(t), listenUDP(t), listenUDP(t)
 	b := startBalancer(t, voter.Address())
@@ -203,9 +202,8 @@
 	}, 20*time.Second, 5*time.Millisecond)
 }
 
-// Guards against uploads that fail because three balancers in a row reject them. A third
-// upload over a link with capacity for two was rejected at once, although one of the first
-// two ended shortly afterwards.
+// A link has capacity for two uploads. A third upload was rejected at once, although one of the first
+// two ended shortly afterwards, and uploads failed because three balancers in a row rejected them.
 func TestThirdUploadWaitsForCapacity(t *testing.T) {
 	voter, backend := startVoter(t), listenUDP(t)
 	b := startOnLink(t, voter.Address(), 250_000)
@@ -231,21 +229,21 @@
 	}, 60*time.Second, time.Second)
 }
 
-// Guards against callers that wait until their deadlines for an upstream that lost power,
-// also on idle flows. Flows were reset only once the upstream was known to have ended, which
-// is later than when balancers report that it leaves packets unanswered.
+// An upstream loses power. Its flows were reset only once the upstream was known to have ended, later
+// than balancers report that it leaves packets unanswered. Callers waited until their deadlines, also
+// on idle flows.
 func TestFlowOfUnresponsiveUpstreamIsReset(t *testing.T) {
-	c := startVoter(t)
-	publish(t, c)
+	voter := startVoter(t)
+	publish(t, voter)
 	caller, backend := listenUDP(t), listenUDP(t)
-	announce(t, c, addressOf(backend))
-	b := startBalancer(t, c.Address())
+	announce(t, voter, addressOf(backend))
+	b := startBalancer(t, voter.Address())
 	t.Cleanup(b.Stop)
 	require.Eventually(t, b.Ready, 5*time.Second, 5*time.Millisecond)
 	send(t, caller, b, router.Packet{Opening: true})
 	_, ok := receive(backend, 5*time.Second)
 	require.True(t, ok)
-	client := rpc.NewClient(c.Address(), "group")
+	client := rpc.NewClient(voter.Address(), "group")
 	t.Cleanup(client.Close)
 	report := evidence.Report{From: "another", Events: []evidence.Event{
 		{Incarnation: 77, Zone: "a", Weight: 7}, {Incarnation: 77, Zone: "a", Weight: 7}, {Incarnation: 77, Zone: "a", Weight: 7},
@@ -275,15 +273,15 @@
 	return lo.Filter(all, func(b *cookie.Balancer, _ int) bool { return b.FollowerStatus().Parent != "" })
 }
 
-// Tests the fan-out end to end with three balancers of a zone, one of which follows the
-// voters. Upstreams, configurations and evacuations reach all of them, a follower rejects a
-// departure, and after the root is killed the others still receive updates.
+// One of three balancers of a zone, the root, follows the voters. Upstreams, configurations and
+// evacuations must reach all three, a follower must reject a departure, and the others must still
+// receive updates after the root is killed.
 func TestBalancersFollowEachOther(t *testing.T) {
-	c := startVoter(t)
-	publish(t, c)
+	voter := startVoter(t)
+	publish(t, voter)
 	caller, backend := listenUDP(t), listenUDP(t)
-	announce(t, c, addressOf(backend))
-	all := []*cookie.Balancer{startInTree(t, c.Address()), startInTree(t, c.Address()), startInTree(t, c.Address())}
+	announce(t, voter, addressOf(backend))
+	all := []*cookie.Balancer{startInTree(t, voter.Address()), startInTree(t, voter.Address()), startInTree(t, voter.Address())}
 	for _, b := range all {
 		t.Cleanup(b.Kill)
 	}
@@ -311,7 +309,7 @@
 	require.ErrorAs(t, follower.Announce(t.Context(), u, 0), &departure, "only voters accept departures")
 
 	// A configuration change reaches the followers.
-	_, err := c.Voter().Publish(t.Context(), configuration.Configuration{
+	_, err := voter.Voter().Publish(t.Context(), configuration.Configuration{
 		Revision: 9, Services: []configuration.Service{{Name: "orders", Protocol: configuration.TCP}},
 		Routes: []configuration.Route{{Name: "r", Address: orders, Service: "orders", Timeout: 2 * time.Second}},
 	}, "second", "test")
@@ -322,7 +320,7 @@
 
 	// The start and the end of a zone's evacuation reach all balancers.
 	for _, on := range []bool{true, false} {
-		_, err = c.Voter().Evacuate(t.Context(), "a", on, "test")
+		_, err = voter.Voter().Evacuate(t.Context(), "a", on, "test")
 		require.NoError(t, err)
 		for _, b := range all {
 			require.Eventually(t, func() bool { return b.Evacuations().Evacuated("a") == on }, 20*time.Second, 10*time.Millisecond)
@@ -333,7 +331,7 @@
 	root, _ := lo.Find(all, func(b *cookie.Balancer) bool { return b.FollowerStatus().Parent == "" })
 	rest := lo.Without(all, root)
 	root.Kill()
-	require.NoError(t, c.Upstreams().Announce(t.Context(), upstream.Upstream{
+	require.NoError(t, voter.Upstreams().Announce(t.Context(), upstream.Upstream{
 		Identity: upstream.Identity{Service: "orders", Address: addressOf(listenUDP(t)), Incarnation: 79}, Zone: "a", Slots: 2, Sequence: 1,
 	}, 0))
 	for _, b := range rest {
--- a/internal/daemon/cookie/decisionlog.go
+++ b/internal/daemon/cookie/decisionlog.go
@@ -12,10 +12,10 @@
 const (
 	// summaryInterval is the time between two summaries of decisions.
 	summaryInterval = time.Second
-	// maxPlacedLines and maxUnforwardedLines limit the lines per interval on flows that
-	// were placed and on packets that were not forwarded, so that a burst of packets
-	// cannot fill the log or delay packets. maxResetLines limits the lines on resets of
-	// flows that may be open.
+	// maxPlacedLines limits the lines per interval on flows that were placed,
+	// maxUnforwardedLines the lines on packets that were not forwarded, and maxResetLines
+	// the lines on resets of flows that may be open. Without limits, a burst of packets
+	// could fill the log and delay packets.
 	maxPlacedLines      = 40
 	maxUnforwardedLines = 40
 	maxResetLines       = 40
--- a/internal/daemon/cookie/fanout.go
+++ b/internal/daemon/cookie/fanout.go
@@ -33,8 +33,8 @@
 	maxDeltas = 64
 	// maxConfigurationBytes limits the configuration response to a follower. At 3 kB, eight
 	// followers use a 2 Mbit/s link for a tenth of a second. A change of 1,400 routes would
-	// take two seconds at each level; followers fetch it from the voters instead, which have
-	// more bandwidth.
+	// take two seconds at each level; followers fetch such a change from the voters, which
+	// have more bandwidth.
 	maxConfigurationBytes = 3 << 10
 	// followerHeadroom is the ratio of accepted followers to the average number: hashing
 	// spreads balancers unevenly, and some balancers of the same level may have failed.
@@ -194,7 +194,8 @@
 	return empty{}, nil
 }
 
-// FollowerStatus returns the balancer's position in the tree and the age of its state.
+// FollowerStatus returns the balancer's position in the tree and the age of the voter state that it
+// holds.
 func (b *Balancer) FollowerStatus() follower.Status { return b.follower.Status(b.settings.Clock()) }
 
 // Upstreams returns the number of known upstreams.
--- a/internal/daemon/cookie/stall_test.go
+++ b/internal/daemon/cookie/stall_test.go
@@ -29,8 +29,8 @@
 	return s.jsonCodec.Decode(b)
 }
 
-// Guards against the reset of an open flow. While the first opening waited in the socket queue
-// of a balancer without CPU time, its retransmission opened the flow through another balancer.
+// An opening waits in the socket queue of a balancer without CPU time, and its retransmission opens
+// the flow through another balancer. When the first balancer read the opening, the open flow was reset.
 func TestQueuedOpeningDoesNotResetFlow(t *testing.T) {
 	voter, backend, caller := startVoter(t), listenUDP(t), listenUDP(t)
 	blocked := &sync.Mutex{}
--- a/internal/daemon/cookie/stop.go
+++ b/internal/daemon/cookie/stop.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Stop stops the process gracefully: readiness fails first, and packets are forwarded until
-// the fabric no longer sends any.
+// Stop stops the process gracefully: first the readiness check fails, then packets are forwarded
+// until the fabric sends no more.
 func (b *Balancer) Stop() {
 	b.leaving.Store(true)
 	if b.fanout != nil {
--- a/internal/daemon/cookie/suspicions.go
+++ b/internal/daemon/cookie/suspicions.go
@@ -9,8 +9,9 @@
 	"wasabideal/internal/silence/suspicions"
 )
 
-// scheduleSuspicions calls applySuspicions at once, or minSuspicionInterval after the last
-// call, together with the reports that arrive until then. The caller holds the lock.
+// scheduleSuspicions calls applySuspicions at once if the last call was at least
+// minSuspicionInterval ago. Otherwise it schedules one call for the end of that interval, which
+// also covers the reports that arrive until then. The caller holds the lock.
 func (b *Balancer) scheduleSuspicions(now time.Time) {
 	at, schedule := b.suspicionPacer.Schedule(now, minSuspicionInterval)
 	switch {
@@ -45,7 +46,8 @@
 	b.sendReports()
 }
 
-// logUnresponsive logs the subjects that became unresponsive and those that ceased to be.
+// logUnresponsive logs the upstreams and zones that became unresponsive, a zone with incarnation 0.
+// It logs as "tried again" each of them that is no longer unresponsive, for whatever reason.
 func (b *Balancer) logUnresponsive(now time.Time, all map[evidence.Subject]suspicions.Suspicion, resets int) {
 	for s, suspicion := range all {
 		if suspicion.Unresponsive && !b.unresponsive[s] {
--- a/internal/daemon/cookie/uploads.go
+++ b/internal/daemon/cookie/uploads.go
@@ -31,7 +31,7 @@
 }
 
 // busyLinkShare is the share of the link's bandwidth used by unpaced packets above which the
-// usage is logged. Above it, uploads get less bandwidth.
+// usage is logged. Above that share, uploads get less bandwidth.
 const busyLinkShare = 0.3
 
 // admitInterval is how often queued openings are checked for admission.
@@ -59,8 +59,8 @@
 }
 
 // routeOrQueue routes a packet. If the link is busy with other uploads, an upload's opening is
-// queued briefly. It is rejected if the link stays busy, and the caller's next attempt reaches
-// another balancer.
+// queued briefly. If the link stays busy, the opening is rejected, and the caller's next attempt
+// reaches another balancer.
 func (b *Balancer) routeOrQueue(now time.Time, p router.Packet, data []byte) router.Verdict {
 	if b.uploads == nil || b.router.Class(p.Address) != configuration.Upload {
 		return b.router.Route(now, p)
@@ -75,8 +75,8 @@
 	return b.router.Route(now, p)
 }
 
-// recordUnpaced records the size of a forwarded packet that is not paced: uploads get the
-// remaining bandwidth.
+// recordUnpaced records the size of a forwarded packet that is not paced. Uploads get the bandwidth
+// that such packets leave.
 func (b *Balancer) recordUnpaced(now time.Time, length int) {
 	if b.uploads != nil {
 		b.uploads.link.RecordOther(now, length+forwardedOverhead)
@@ -103,8 +103,8 @@
 	return v
 }
 
-// admitWaiting admits the queued openings that the link has capacity for, and rejects those
-// that waited too long.
+// admitWaiting admits the queued openings that the link has capacity for, and rejects the
+// openings that waited too long.
 func (b *Balancer) admitWaiting(now time.Time) {
 	if b.uploads.backlog.Len() == 0 {
 		return
@@ -120,7 +120,7 @@
 	}
 }
 
-// enqueueUpload queues an upload's packet for pacing, and reports whether it did.
+// enqueueUpload queues a packet for pacing if it belongs to an upload, and reports whether it did.
 func (b *Balancer) enqueueUpload(now time.Time, p router.Packet, v router.Verdict, data []byte) bool {
 	if b.uploads == nil || p.Length == 0 || b.router.Class(p.Address) != configuration.Upload {
 		return false
