--- a/internal/daemon/cookie/buffer.go
+++ b/internal/daemon/cookie/buffer.go
@@ -47,8 +47,8 @@
 	}
 }
 
-// placeOrDefer places a buffered packet, or moves it to awaitingCapacity if the upstream
-// chosen for the packet has no capacity.
+// placeOrDefer places a buffered packet, or moves it to awaitingCapacity if the packet's
+// upstream has no capacity.
 func (b *Balancer) placeOrDefer(now, arrived time.Time, e bufferedPacket) {
 	if b.router.MayPlace(now, e.packet) {
 		b.routePacket(now, arrived, e.packet, e.data)
