--- a/internal/silence/accrual/accrual.go
+++ b/internal/silence/accrual/accrual.go
@@ -10,21 +10,23 @@
 )
 
 const (
-	// suspectThreshold is the evidence at which an upstream is suspected and its responses
-	// are requested from balancers: two packets at a loss rate of one in a hundred.
+	// suspectThreshold is the evidence at which an upstream is suspected and balancers are asked
+	// to report its responses: two packets at a loss rate of one in a hundred.
 	suspectThreshold = 8
 	// unresponsiveThreshold is the evidence at which an upstream counts as unresponsive: a
 	// false positive rate of one in a million, three packets at a loss of one in a hundred.
 	unresponsiveThreshold = 13.5
-	// zoneUnresponsiveThreshold is the same for a whole zone, which has many more flows:
-	// five packets.
+	// zoneUnresponsiveThreshold is the evidence at which a zone counts as unresponsive: five
+	// packets at a loss rate of one in a hundred. It is higher, since a zone has many more flows
+	// than an upstream.
 	zoneUnresponsiveThreshold = 20
 	// zoneSuspectThreshold is the evidence at which a zone is suspected.
 	zoneSuspectThreshold = 16
 	// refutedStep is the share by which each refuted suspicion raises the suspect thresholds, and
-	// maxRefutedFactor limits their factor. While uploads fill links of 2 Mbit/s, most suspicions are
-	// false, and for each of them the liveness reports of all balancers compete with the uploads.
-	// With 71 balancers, 0.4 % of the requests were not served, against 0.06 % without suspicions.
+	// maxRefutedFactor limits their factor. While uploads fill links of 2 Mbit/s, most suspicions
+	// are false, and the liveness reports that each causes at all balancers compete with the
+	// uploads. With 71 balancers, 0.4 % of the requests were not served, against 0.06 % without
+	// suspicions.
 	refutedStep      = 0.5
 	maxRefutedFactor = 6
 	// refutedDecay is the time constant with which refuted suspicions stop counting.
@@ -32,22 +34,23 @@
 	// minZoneUpstreams is how many upstreams of a zone must have left packets unanswered before
 	// the zone counts as unresponsive.
 	minZoneUpstreams = 2
-	// refutationTimeout is the time allowed for balancers to report a response, and for each
-	// retransmitted packet to be answered: several round trips to the farthest zone, the
-	// processing of a usual request, and the scheduling delay of a slow VM.
+	// refutationTimeout is how long balancers may take to report a response, and how long the
+	// response to a retransmitted packet may take. It covers several round trips to the farthest
+	// zone, the processing of a usual request, and the scheduling delay of a slow VM.
 	refutationTimeout = 60 * time.Millisecond
-	// refutationTimeoutPerHop is added for each balancer that relays the suspicion and forwards its
-	// refutation. A balancer on the way collects the suspicions of several voters, sends reports
-	// every 20 ms, and adds another narrow link. Without this addition, flows of live upstreams
-	// were reset where links were full and two balancers relayed.
+	// refutationTimeoutPerHop is added for each balancer that relays the suspicion and forwards
+	// its refutation. Such a balancer collects the suspicions of several voters, sends reports
+	// only every 20 ms, and has a narrow link of its own. Without this addition, flows of live
+	// upstreams were reset where links were full and two balancers relayed.
 	refutationTimeoutPerHop = 120 * time.Millisecond
-	// evidenceTTL is how long a packet counts as evidence: as long as its caller waits.
+	// evidenceTTL is how long an unanswered packet counts as evidence. Its caller waits as long.
 	evidenceTTL = 1500 * time.Millisecond
-	// unresponsiveTTL is how long a subject stays unresponsive without new evidence. By then
-	// its announcements are overdue if it is down; otherwise balancers try it again.
+	// unresponsiveTTL is how long a subject stays unresponsive without new evidence. If the
+	// subject is down, its announcements are overdue by then; otherwise balancers send flows to
+	// it again.
 	unresponsiveTTL = 2500 * time.Millisecond
 	// maxSuspicions bounds the subjects reported to balancers at once, at 25 bytes each. Zones
-	// come first, so that a failed zone is reported even if many of its upstreams are suspected, too.
+	// come first, so that a failed zone is reported even if many of its upstreams are suspected.
 	maxSuspicions = 64
 	// maxMissed bounds the unanswered packets kept for a subject; more do not change the result.
 	maxMissed = 32
@@ -60,7 +63,8 @@
 	reporter string
 	// upstream is the destination of the packet.
 	upstream evidence.Subject
-	// sent is when the packet was first sent, reported when its retransmission was reported.
+	// sent is when the packet was first sent, and reported is when its retransmission was
+	// reported.
 	sent, reported time.Time
 	weight         float64
 }
@@ -70,11 +74,13 @@
 	missed []missedPacket
 	// lastResponse is the time of the latest reported response.
 	lastResponse time.Time
-	// suspectedAt and unresponsiveAt are when these states began, zero outside of them.
+	// suspectedAt and unresponsiveAt are when the subject became suspected and unresponsive, or
+	// zero.
 	suspectedAt, unresponsiveAt time.Time
 	// firstSent is when the earliest packet behind the suspicion was sent.
 	firstSent time.Time
-	// implicated are up to maxImplicated upstreams that left those packets unanswered.
+	// implicated are up to maxImplicated upstreams that left the packets behind the suspicion
+	// unanswered.
 	implicated []evidence.Subject
 }
 
@@ -98,7 +104,7 @@
 	return [2]evidence.Subject{{Incarnation: e.Incarnation, Born: e.Born}, {Zone: e.Zone}}
 }
 
-// Record records an event that a balancer or voter reported.
+// Record records an event and its reporter, a balancer or voter.
 func (d *Detector) Record(now time.Time, reporter string, e evidence.Event) {
 	at := now.Add(-e.Age)
 	for _, s := range subjects(e) {
@@ -151,9 +157,10 @@
 	}
 }
 
-// Evaluate evaluates the evidence. balancers is how many balancers poll this voter, relayHops
-// the length of the longest chain of balancers that relay its responses. It returns when it must
-// be called again even without further evidence, or zero.
+// Evaluate updates which subjects are suspected and unresponsive. balancers is the number of
+// balancers that poll this voter, and relayHops the length of the longest chain of balancers that
+// relay its responses. The result is when Evaluate must be called again even without further
+// evidence, or zero.
 func (d *Detector) Evaluate(now time.Time, balancers, relayHops int) time.Time {
 	var nextTimeout time.Time
 	timeout := refutationTimeout + time.Duration(relayHops)*refutationTimeoutPerHop
@@ -173,8 +180,8 @@
 	return nextTimeout
 }
 
-// nextTimeout returns when a suspected subject may become unresponsive without further
-// evidence, or zero.
+// nextTimeout returns when a suspected subject may become unresponsive without further evidence,
+// or zero if it cannot.
 func (r *record) nextTimeout(now time.Time, timeout time.Duration) time.Time {
 	if r.suspectedAt.IsZero() || !r.unresponsiveAt.IsZero() {
 		return time.Time{}
@@ -233,7 +240,8 @@
 	d.version++
 }
 
-// recordImplicated keeps the upstreams behind a suspicion, longer than their packets.
+// recordImplicated adds the upstreams behind a suspicion. They are kept after their packets have
+// expired.
 func (r *record) recordImplicated() {
 	if r.suspectedAt.IsZero() {
 		return
--- a/internal/silence/accrual/accrual_test.go
+++ b/internal/silence/accrual/accrual_test.go
@@ -26,8 +26,8 @@
 	return evidence.Event{Incarnation: incarnation, Zone: "a", Age: age, Answered: true}
 }
 
-// suspicions encodes the suspected subjects: u is an upstream, z a zone; U and Z are
-// unresponsive ones.
+// suspicions encodes the suspected subjects: u is an upstream and z a zone; U and Z are
+// unresponsive.
 func suspicions(a *accrual.Detector, now time.Time) string {
 	out := ""
 	for _, d := range a.Suspicions(now) {
@@ -43,8 +43,8 @@
 	return out
 }
 
-// Guards against requests that wait until their deadlines for an upstream that lost power:
-// one unanswered packet per balancer is too little evidence unless reports are combined.
+// An upstream loses power, and each balancer sees one unanswered packet. Reports were not
+// combined, and one packet is too little evidence, so requests waited until their deadlines.
 func TestReportsOfSeveralBalancersAreCombined(t *testing.T) {
 	a := accrual.New()
 	a.Record(at(0), "b1", unanswered(1, missedWeight))
@@ -67,8 +67,8 @@
 	require.Empty(t, suspicions(a, at(2700)), "expires without new evidence")
 }
 
-// Guards against resets of flows to live upstreams: a balancer whose link drops all outgoing
-// packets gets no answer from any upstream.
+// The link of a balancer drops all outgoing packets, so no upstream answers it. Flows to live
+// upstreams must not be reset.
 func TestReportsOfOneBalancerAreNotEnough(t *testing.T) {
 	a := accrual.New()
 	for i := range 20 {
@@ -100,8 +100,8 @@
 	require.Empty(t, suspicions(a, at(100)), "packets sent before the response are ignored")
 }
 
-// Guards against resets of flows on lossy links: at a loss rate of one in three, three
-// unanswered packets in a row are common.
+// At a loss rate of one in three, three unanswered packets in a row are common. Flows on such
+// links must not be reset.
 func TestLossyLinksNeedMoreEvidence(t *testing.T) {
 	a := accrual.New()
 	for i, from := range []string{"b1", "b2", "b3", "b4", "b5", "b6"} {
@@ -112,8 +112,8 @@
 	require.Empty(t, suspicions(a, at(100)))
 }
 
-// Guards against requests that wait until their deadlines for a partitioned zone: each of its
-// upstreams has too few flows from other zones to be suspected alone.
+// A zone is partitioned, and each of its upstreams has too few flows from other zones to be
+// suspected alone. Requests to the zone waited until their deadlines.
 func TestEvidenceOfAZoneIsCombined(t *testing.T) {
 	a := accrual.New()
 	for i := range 5 {
@@ -126,8 +126,8 @@
 	require.Empty(t, suspicions(a, at(110)), "one of its upstreams responds")
 }
 
-// Guards against resets of flows to a live zone: balancers that were stalled report packets
-// after a later response has already refuted the suspicion. The response must be kept.
+// Balancers that were stalled report packets after a later response has refuted the suspicion.
+// Unless the response is kept, flows to a live zone are reset.
 func TestPacketsSentBeforeAResponseAreIgnored(t *testing.T) {
 	a := accrual.New()
 	a.Record(at(0), "b1", unanswered(1, 2*missedWeight))
@@ -192,9 +192,9 @@
 	require.Equal(t, "a", all[0].Zone, "the zone is reported first")
 }
 
-// Guards against refutations that fill narrow links: uploads on links of 2 Mbit/s cause
-// retransmissions all the time, and all balancers send liveness reports for each suspicion. One
-// request in 250 was rejected, and one in 1,600 without suspicions.
+// Uploads on links of 2 Mbit/s cause retransmissions all the time, and all balancers send
+// liveness reports for each suspicion. These reports filled the links: one request in 250 was
+// rejected, against one in 1,600 without suspicions.
 func TestRefutedSuspicionsRaiseTheThreshold(t *testing.T) {
 	a := accrual.New()
 	raised := 0
--- a/internal/silence/confirmation/confirmation.go
+++ b/internal/silence/confirmation/confirmation.go
@@ -8,14 +8,14 @@
 )
 
 const (
-	// probeInterval is the time between two probes of an upstream, retryInterval the time
-	// after an inconclusive one.
+	// probeInterval is the time between two probes of an upstream. retryInterval replaces it
+	// after an inconclusive probe.
 	probeInterval = time.Second
 	retryInterval = 100 * time.Millisecond
 	// maxRunning bounds the concurrent probes.
 	maxRunning = 64
-	// zoneProbes is how many upstreams of a zone are probed, minZoneDown how many of them must be
-	// down for the zone to be unresponsive.
+	// zoneProbes is how many upstreams of a zone are probed. The zone is unresponsive only if at
+	// least minZoneDown of them are down.
 	zoneProbes  = 4
 	minZoneDown = 2
 	// forgetAfter is how long an outcome is kept after the upstream was last suspected.
@@ -32,7 +32,7 @@
 // hostState is the probe state of the host of one upstream.
 type hostState struct {
 	running bool
-	// startedAt and endedAt are the times of the last finished probe, outcome is its result.
+	// startedAt and endedAt are the times of the last finished probe, and outcome is its result.
 	startedAt, endedAt time.Time
 	outcome            probe.Outcome
 	// suspectedAt is when the upstream was last suspected.
@@ -78,7 +78,8 @@
 	return due
 }
 
-// due reports whether to probe a host for a suspicion whose earliest packet was sent at firstSent.
+// due reports whether to probe a host now. firstSent is when the earliest packet behind the
+// suspicion was sent.
 func (h *hostState) due(now, firstSent time.Time) bool {
 	switch {
 	case h.running:
@@ -117,8 +118,9 @@
 	return out
 }
 
-// confirmed reports whether probes since the earliest unanswered packet found the upstream down,
-// or enough upstreams of the zone and none of them up.
+// confirmed reports whether probes since the earliest unanswered packet confirm a suspicion. None
+// of the upstreams may be up. A suspected upstream must be down, and so must at least minZoneDown
+// upstreams of a suspected zone.
 func (c *Confirmer) confirmed(now time.Time, s Candidate) bool {
 	down := 0
 	for _, u := range s.targets() {
--- a/internal/silence/confirmation/confirmation_test.go
+++ b/internal/silence/confirmation/confirmation_test.go
@@ -47,8 +47,8 @@
 	}
 }
 
-// Guards against confirming a suspicion by a probe that started before the first unanswered
-// packet was sent.
+// A probe starts before the first unanswered packet is sent. Its outcome must not confirm the
+// suspicion.
 func TestProbeBeforeTheSuspicionIsIgnored(t *testing.T) {
 	c := confirmation.New()
 	all := unresponsive(at(0), evidence.Subject{Incarnation: 1}, upstreams(1))
@@ -59,7 +59,7 @@
 	require.Equal(t, upstreams(1), c.NextProbes(at(1000), all))
 }
 
-// Guards against an upstream that stays unresponsive after its host has recovered.
+// A host recovers after a probe has found it down. The upstream must not stay unresponsive.
 func TestRecoveredHostIsNoLongerUnresponsive(t *testing.T) {
 	c := confirmation.New()
 	all := unresponsive(at(0), evidence.Subject{Incarnation: 1}, upstreams(1))
--- a/internal/silence/evaluators/evaluators.go
+++ b/internal/silence/evaluators/evaluators.go
@@ -5,12 +5,13 @@
 	"wasabideal/internal/silence/evidence"
 )
 
-// replicas is how many voters receive the evidence against one upstream, since one of them may have
-// just restarted or be partitioned.
+// replicas is how many voters receive the evidence against one upstream. One voter is not enough,
+// since it may have just restarted or be partitioned.
 const replicas = 2
 
-// Assign returns the events to send to each voter. Liveness reports go to all voters, since any
-// of them may suspect the upstream's zone.
+// Assign returns the events to send to each voter: unanswered packets to the voters that evaluate
+// the upstream, and liveness reports to all voters, since any of them may suspect the upstream's
+// zone. A balancer with a parent passes the parent in place of the voters.
 func Assign(voters []string, events []evidence.Event) map[string][]evidence.Event {
 	nodes := rendezvous.New(voters)
 	shares := make(map[string][]evidence.Event, len(voters))
--- a/internal/silence/evaluators/evaluators_test.go
+++ b/internal/silence/evaluators/evaluators_test.go
@@ -22,8 +22,8 @@
 	return out
 }
 
-// Guards against unresponsive upstreams that are never reported to balancers: of 430 upstreams,
-// each voter reported the same 64.
+// Of 430 unresponsive upstreams, each voter reported the same 64 to balancers. The others were
+// never reported.
 func TestAllOfManyUnresponsiveUpstreamsAreReported(t *testing.T) {
 	const failed = 430
 	all := map[string]*accrual.Detector{}
--- a/internal/silence/evidence/evidence.go
+++ b/internal/silence/evidence/evidence.go
@@ -10,21 +10,22 @@
 	Zone              string
 }
 
-// Event is an observation of an upstream by a balancer or voter: a packet that had to be
-// retransmitted without any response since it was first sent, or a response or announcement
-// of a suspected upstream.
+// Event is an observation of an upstream by a balancer or voter. It is either a packet that was
+// retransmitted because no response had arrived since it was first sent, or a response or
+// announcement of a suspected upstream.
 type Event struct {
 	_                 struct{} `cbor:",toarray"`
 	Incarnation, Born uint64
 	// Zone is the upstream's availability zone.
 	Zone string
-	// Age is the time since the packet was first sent or the response was received. It is
-	// relative, since the clocks of VMs differ but do not drift within some hundred milliseconds.
+	// Age is the time since the packet was first sent or the response was received. It is not an
+	// absolute time, since the clocks of VMs differ. Their drift within some hundred milliseconds
+	// is negligible.
 	Age time.Duration
-	// Weight is the negative logarithm of the probability of the event while the upstream is
-	// alive, and 0 for a response.
+	// Weight is 0 for a response. For an unanswered packet it is the negative logarithm of the
+	// probability that a live upstream leaves the packet unanswered.
 	Weight float64
-	// Answered reports whether the event is a response.
+	// Answered reports whether the event is a response or an announcement.
 	Answered bool
 }
 
@@ -35,14 +36,15 @@
 	Events []Event
 }
 
-// Suspicion is a voter's report to balancers that a subject has left packets of some of them
-// unanswered.
+// Suspicion is the suspicion of one subject as a voter reports it to balancers.
 type Suspicion struct {
 	_ struct{} `cbor:",toarray"`
 	Subject
-	// Age is the time since the earliest of these packets was sent.
+	// Age is the time since the earliest unanswered packet was sent.
 	Age time.Duration
-	// Unresponsive reports whether the evidence suffices and, in what voters send to balancers,
-	// whether probes confirm it. Until then, responses of the subject are requested from balancers.
+	// Unresponsive has two meanings. In the result of accrual.Detector.Suspicions it reports
+	// whether the evidence suffices. In the result of confirmation.Confirmer.Confirm, which
+	// voters send to balancers, it also requires that probes confirm the evidence. Until then,
+	// balancers are asked to report responses of the subject.
 	Unresponsive bool
 }
--- a/internal/silence/probe/probe.go
+++ b/internal/silence/probe/probe.go
@@ -14,8 +14,8 @@
 
 // The outcomes.
 const (
-	// Inconclusive means that the host did not answer, and that no reference answered throughout or
-	// this process stalled.
+	// Inconclusive means that the host did not answer, but that this says nothing about the host:
+	// this process stalled, or no reference answered throughout.
 	Inconclusive Outcome = iota
 	// Accepted means that the host is up and listens on the port.
 	Accepted
@@ -38,8 +38,8 @@
 	Timeout = 500 * time.Millisecond
 	// attempts is the number of handshakes started within Timeout, since packets may be lost.
 	attempts = 3
-	// maxStall is by how much a probe may exceed its planned duration before this process counts
-	// as stalled. drain is the final wait for answers that have already arrived.
+	// maxStall is how much longer than planned a probe may take before this process counts as
+	// stalled. drain is the final wait for answers that have already arrived.
 	maxStall = 100 * time.Millisecond
 	drain    = 20 * time.Millisecond
 )
@@ -97,7 +97,7 @@
 	return Unanswered
 }
 
-// dialSuspect starts one handshake and sends its outcome, if there is one.
+// dialSuspect starts one handshake and sends its outcome if the host answers.
 func (p *Prober) dialSuspect(ctx context.Context, suspect netip.AddrPort, answers chan<- Outcome) {
 	go func() {
 		switch err := p.dial(ctx, suspect.String()); {
--- a/internal/silence/probe/probe_test.go
+++ b/internal/silence/probe/probe_test.go
@@ -53,7 +53,7 @@
 	require.Equal(t, probe.Inconclusive, probe.New(time.Now, hosts{}.dial).Check(t.Context(), suspect, nil))
 }
 
-// Guards against mistaking a stall of the probing process for a host that does not answer.
+// The probing process stalls. That must not count as a host that does not answer.
 func TestStalledProberIsInconclusive(t *testing.T) {
 	var mu sync.Mutex
 	offset := time.Duration(0)
@@ -79,8 +79,8 @@
 	require.Equal(t, probe.Inconclusive, p.Check(t.Context(), suspect, references))
 }
 
-// Guards against an upstream that counts as down while its process waits for a CPU: the kernel
-// completes handshakes on its behalf.
+// The process of an upstream waits for a CPU, while the kernel completes handshakes on its
+// behalf. The upstream must not count as down.
 func TestHostOfStalledProcessAccepts(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/internal/silence/sample/sample.go
+++ b/internal/silence/sample/sample.go
@@ -7,18 +7,19 @@
 )
 
 const (
-	// window is the time over which the events of one upstream are counted: the time after
-	// which a caller retransmits a packet.
+	// window is the time over which the events of one upstream are counted. Callers retransmit a
+	// packet after this time.
 	window = 200 * time.Millisecond
 	// maxMissed bounds the unanswered packets of an upstream forwarded per window, and
-	// maxMissedPerBalancer those of one balancer. Three packets of two balancers suffice as
-	// evidence; the rest is a margin for packets that are answered late.
+	// maxMissedPerBalancer those that one balancer reported. Three packets from two balancers
+	// suffice as evidence; the rest is a margin for packets that are answered late.
 	maxMissed            = 6
 	maxMissedPerBalancer = 3
-	// minAnswered is how many liveness reports are always forwarded per window: one refutes the
-	// earlier evidence, a second covers the loss of a report. Further ones are
-	// forwarded if they are at least answeredInterval apart. Packets count as unanswered only
-	// after a much longer time, and by then another liveness report has been forwarded.
+	// minAnswered is how many liveness reports of an upstream are always forwarded per window:
+	// the first refutes the earlier evidence, and the second covers the loss of a report. Further
+	// liveness reports are forwarded if they are at least answeredInterval apart. Packets count
+	// as unanswered only after a much longer time, and by then another liveness report has been
+	// forwarded.
 	minAnswered      = 2
 	answeredInterval = 20 * time.Millisecond
 )
--- a/internal/silence/sample/sample_test.go
+++ b/internal/silence/sample/sample_test.go
@@ -22,8 +22,8 @@
 	return evidence.Event{Incarnation: incarnation, Zone: "a", Age: age, Answered: true}
 }
 
-// Guards against voters overloaded with reports when some upstreams lose power: each of 80
-// balancers reports ten unanswered packets for each of twenty upstreams.
+// Some upstreams lose power, and each of 80 balancers reports ten unanswered packets for each of
+// twenty upstreams. Without the limit, the reports overload the voters.
 func TestFewReportsPerUpstreamAreForwarded(t *testing.T) {
 	s := sample.New()
 	forwarded := 0
@@ -54,8 +54,8 @@
 	require.Len(t, a.Suspicions(epoch), 2)
 }
 
-// Guards against resets of flows to a live upstream: balancers receive responses one after
-// another, packets to it are lost in between, and the later liveness reports are dropped.
+// Balancers receive responses of a live upstream one after another, and packets to it are lost in
+// between. If the later liveness reports were dropped, its flows would be reset.
 func TestLaterLivenessReportsAreForwarded(t *testing.T) {
 	s := sample.New()
 	now := epoch
--- a/internal/silence/suspicions/doc.go
+++ b/internal/silence/suspicions/doc.go
@@ -1,3 +1,2 @@
-// Package suspicions merges the suspicions of several voters at a balancer: the upstreams and
-// zones that leave packets unanswered.
+// Package suspicions merges at a balancer the suspicions that several voters report.
 package suspicions
--- a/internal/silence/suspicions/suspicions.go
+++ b/internal/silence/suspicions/suspicions.go
@@ -8,17 +8,18 @@
 
 // Suspicion is the merged suspicion of one subject, with times of the balancer's own clock.
 type Suspicion struct {
-	// First is when the first of the unanswered packets was sent.
+	// First is when the earliest unanswered packet was sent.
 	First time.Time
-	// Unresponsive reports whether a voter has confirmed the suspicion.
+	// Unresponsive reports whether a voter reports the subject as unresponsive, that is,
+	// confirmed by probes.
 	Unresponsive bool
-	// Voter is the voter that has confirmed it, empty if none has.
+	// Voter is a voter that reports the subject as unresponsive, or empty.
 	Voter string
 }
 
 // report is the latest report of one voter.
 type report struct {
-	// at is when the report arrived, contact when the voter was last reachable.
+	// at is when the report arrived, and contact is when the voter was last reachable.
 	at, contact time.Time
 	suspicions  []evidence.Suspicion
 	// expired reports whether the voter's lease has expired.
@@ -31,7 +32,8 @@
 	reports map[string]report
 }
 
-// New returns an empty set. A voter's report expires after the lease without contact.
+// New returns an empty set. The report of a voter expires if there is no contact with the voter
+// for the duration of the lease.
 func New(lease time.Duration) *Set { return &Set{lease: lease, reports: map[string]report{}} }
 
 // Update replaces the report of a voter that is reachable now, and returns whether All may
@@ -40,7 +42,7 @@
 	return s.UpdateRelayed(now, now, voter, all)
 }
 
-// UpdateRelayed is Update for a relayed report; contact is when the voter was last reachable.
+// UpdateRelayed is Update for a relayed report. contact is when the voter was last reachable.
 func (s *Set) UpdateRelayed(now, contact time.Time, voter string, all []evidence.Suspicion) bool {
 	before := s.reports[voter]
 	if len(all) == 0 {
@@ -69,8 +71,8 @@
 	return false
 }
 
-// Expire updates which reports have expired because their voter has not answered for the
-// lease, and returns whether any expired or became valid again.
+// Expire updates which reports have expired, because there was no contact with their voter for
+// the duration of the lease. It returns whether any report expired or became valid again.
 func (s *Set) Expire(now time.Time) bool {
 	changed := false
 	for voter, r := range s.reports {
--- a/internal/silence/suspicions/suspicions_test.go
+++ b/internal/silence/suspicions/suspicions_test.go
@@ -25,8 +25,8 @@
 	require.False(t, d.All()[one].Unresponsive)
 }
 
-// Guards against a recovered upstream that gets no flow because a voter suspected it and then
-// lost power: the last report of that voter must expire.
+// A voter suspects an upstream and then loses power, and the upstream recovers. Unless the
+// voter's last report expires, the upstream gets no flow.
 func TestReportOfAnUnreachableVoterExpires(t *testing.T) {
 	d := suspicions.New(3 * time.Second)
 	d.Update(epoch, "v1", []evidence.Suspicion{{Subject: evidence.Subject{Zone: "a"}}})
