--- a/internal/upstream/directory/directory.go
+++ b/internal/upstream/directory/directory.go
@@ -11,8 +11,9 @@
 	"wasabideal/internal/model/upstream"
 )
 
-// withdrawnGrace is how long a withdrawn upstream may still serve its open flows: it ends once its
-// deregistration is acknowledged, or some seconds later if no acknowledgement reaches it.
+// withdrawnGrace is how long a withdrawn upstream may still serve its open flows. The upstream
+// ends once its deregistration is acknowledged, or some seconds later if no acknowledgement
+// reaches it.
 const withdrawnGrace = 10 * time.Second
 
 // Settings configures a directory.
@@ -30,13 +31,14 @@
 	Upstream upstream.Upstream
 	// Cold is the remaining time of the slow start of the upstream.
 	Cold time.Duration
-	// Silent reports whether announcements are overdue here. A withdrawn upstream is marked
-	// silent when it is assumed to have ended.
+	// Silent has two meanings. For a ready or draining upstream, it reports that announcements to
+	// this voter are overdue. For a withdrawn upstream, it reports that the upstream is assumed
+	// to have ended, since withdrawnGrace has passed.
 	Silent bool
-	// Replaced reports whether another incarnation has announced itself at the address since. For
-	// a silent upstream, that incarnation must also be alive.
+	// Replaced reports whether another incarnation has since announced itself at the address. If
+	// the upstream is silent, Replaced also requires that the other incarnation is alive.
 	Replaced bool
-	// Age is the time since the last announcement.
+	// Age is the time since the upstream's last announcement.
 	Age time.Duration
 	// Recalled reports whether the upstream is restored: another voter had received its
 	// announcements, and this voter knows it only from the state that it saved before its restart.
@@ -50,10 +52,10 @@
 	lastAnnounced time.Time
 	silent        bool
 	replaced      bool
-	// successorAlive reports whether the incarnation that replaced it is alive.
+	// successorAlive reports whether the incarnation that replaced this one is alive.
 	successorAlive bool
 	restored       bool
-	// returned reports whether a replaced upstream has announced itself once since.
+	// returned reports whether the upstream has announced itself once since it was replaced.
 	returned bool
 	// changed is the directory's version at the last change to publish.
 	changed uint64
@@ -76,8 +78,9 @@
 // Version increases with each change that Since returns.
 func (d *Directory) Version() uint64 { return d.version }
 
-// Announce stores an announcement. It returns whether it is a change to publish, and whether
-// it is newer than the stored one; delayed and repeated announcements are not.
+// Announce stores an announcement; cold is the remaining time of the upstream's slow start. It
+// returns whether the announcement is a change to publish, and whether it is newer than the
+// stored one. Delayed and repeated announcements are not newer.
 func (d *Directory) Announce(now time.Time, u upstream.Upstream, cold time.Duration) (publish, newer bool) {
 	old := d.entries[u.Incarnation]
 	if old != nil && u.State == upstream.Withdrawn && (u.Born == 0 || u.Born >= old.Born) {
@@ -108,9 +111,9 @@
 }
 
 // Restore adds an upstream of another voter from this voter's saved state, unless the same or a
-// later instance of it is known. A restored upstream that does not announce itself here is removed
-// without a notice. Otherwise, seconds after a power loss of all VMs, each voter would publish
-// thousands of silent upstreams to every balancer.
+// later instance of the upstream is known. If a restored upstream does not announce itself here,
+// it is removed without a notice. Otherwise, seconds after a power loss of all VMs, each voter
+// would publish thousands of silent upstreams to every balancer.
 func (d *Directory) Restore(now time.Time, u upstream.Upstream, cold time.Duration) {
 	if old := d.entries[u.Incarnation]; old != nil && u.Born <= old.Born {
 		return
@@ -122,8 +125,9 @@
 }
 
 // supersedes reports whether an announcement is later than the stored one. A withdrawn instance
-// stays withdrawn: otherwise a delayed announcement would revive it. A later start with the same
-// incarnation is a new instance and supersedes regardless of its sequence.
+// stays withdrawn, so that a delayed announcement does not revive it. A later start with the same
+// incarnation is a new instance, and its announcements supersede the stored one whatever their
+// sequence.
 func supersedes(u, stored upstream.Upstream) bool {
 	if u.Born != stored.Born {
 		return u.Born > stored.Born
@@ -137,11 +141,11 @@
 	return a == b
 }
 
-// maybeDelayed reports whether the announcement of a replaced upstream may have been sent
-// before its successor started: it is the first one since, and the successor still announces
-// itself. Accepting it would take the address from a live upstream and send new flows to a
-// dead one until the next announcement. A second announcement shows that the replaced upstream
-// is alive.
+// maybeDelayed reports whether the announcement of a replaced upstream may have been sent before
+// its successor started. This is so for the first announcement since the replacement, while the
+// successor still announces itself. Accepting it would take the address from a live upstream and
+// send new flows to a dead one until the next announcement. A second announcement shows that the
+// replaced upstream is alive.
 func (d *Directory) maybeDelayed(now time.Time, u upstream.Upstream, old *entry) bool {
 	if old == nil || !old.replaced || old.returned || u.Born != old.Born {
 		return false
@@ -150,8 +154,8 @@
 	return holder != nil && holder.State != upstream.Withdrawn && now.Sub(holder.lastAnnounced) <= d.settings.SilentAfter
 }
 
-// releaseAddress releases the former address of an upstream that has moved. Otherwise it would
-// count as replaced by any upstream that starts at that address later.
+// releaseAddress releases the former address of an upstream that has moved. Otherwise the
+// upstream would count as replaced once another upstream starts at that address.
 func (d *Directory) releaseAddress(u upstream.Upstream, old *entry) {
 	if old != nil && old.Address != u.Address && d.holders[old.Address] == u.Incarnation {
 		delete(d.holders, old.Address)
@@ -182,7 +186,7 @@
 	e.changed = d.version
 }
 
-// Tick marks silent upstreams and forgets old ones, and returns whether there is a change to
+// Tick marks silent upstreams and forgets old ones. It returns whether there is a change to
 // publish.
 func (d *Directory) Tick(now time.Time) bool {
 	before := d.version
@@ -208,8 +212,8 @@
 }
 
 // hasLiveSuccessor reports whether the current holder of an entry's address has announced itself
-// some time after the entry's last announcement. A single announcement right after it may be a
-// delayed one of a dead upstream.
+// at least half of SilentAfter later than the entry. A single announcement right after the
+// entry's last one may be a delayed announcement of a dead upstream.
 func (d *Directory) hasLiveSuccessor(e *entry) bool {
 	holder := d.entries[d.holders[e.Address]]
 	return holder != nil && holder.Incarnation != e.Incarnation && holder.lastAnnounced.Sub(e.lastAnnounced) >= d.settings.SilentAfter/2
@@ -222,7 +226,8 @@
 	return d.settings.SilentAfter
 }
 
-// Since returns the upstreams that changed after a version, sorted by incarnation.
+// Since returns the upstreams that changed after a version of the directory, sorted by
+// incarnation.
 func (d *Directory) Since(now time.Time, version uint64) []Notice {
 	if version == d.version {
 		// Most requests find no change, and iterating over all upstreams costs 30 ns per
@@ -239,7 +244,7 @@
 	return out
 }
 
-// Address returns the address of one instance of an upstream, if known.
+// Address returns the address of one instance of an upstream, and whether it is known.
 func (d *Directory) Address(incarnation, born uint64) (netip.AddrPort, bool) {
 	e := d.entries[incarnation]
 	if e == nil || e.Born != born || !e.Address.IsValid() {
--- a/internal/upstream/directory/directory_test.go
+++ b/internal/upstream/directory/directory_test.go
@@ -64,8 +64,8 @@
 	require.Empty(t, d.Since(epoch.Add(2*time.Minute), 0))
 }
 
-// Guards against flows to a crashed upstream instead of its live successor at the same address:
-// a delayed announcement of the first must not take the address back.
+// An upstream crashes, and a successor starts at its address. Then a delayed announcement of the
+// crashed one arrives. It must not take the address back, or flows go to the crashed upstream.
 func TestOneDelayedAnnouncementTakesNoAddressBack(t *testing.T) {
 	d := newDirectory()
 	d.Announce(epoch, announced(1, 1, upstream.Ready), 0)
@@ -79,8 +79,8 @@
 	require.True(t, publish, "a departure is published whichever upstream holds the address")
 }
 
-// Guards against a live upstream that gets no flow because a dead one keeps its address: the
-// voter knows only delayed announcements of the dead one, or receives two of them.
+// A voter knows only delayed announcements of a dead upstream, or receives two of them. The live
+// upstream at the same address must take the address back, or it gets no flow.
 func TestLiveUpstreamTakesItsAddressBack(t *testing.T) {
 	d := newDirectory()
 	d.Announce(epoch, announced(2, 1, upstream.Ready), 0)
@@ -94,7 +94,7 @@
 	require.Equal(t, []bool{true, false}, replaced(d))
 }
 
-// A replaced upstream takes its address back with one announcement if its successor is silent.
+// If the successor is silent, a replaced upstream takes its address back with one announcement.
 func TestReplacedUpstreamTakesTheAddressOfASilentOneAtOnce(t *testing.T) {
 	d := newDirectory()
 	d.Announce(epoch, announced(1, 1, upstream.Ready), 0)
@@ -103,8 +103,8 @@
 	require.Equal(t, []bool{false, true}, replaced(d))
 }
 
-// Guards against resets of flows to a live upstream: a delayed announcement of an earlier one at
-// its address arrives, and then its own announcements are delayed for seconds.
+// A delayed announcement of an earlier upstream at the same address arrives, and then the live
+// upstream's own announcements are delayed for seconds. Its flows must not be reset.
 func TestSilentUpstreamWithoutLiveSuccessorIsNotReplaced(t *testing.T) {
 	d := newDirectory()
 	d.Announce(epoch, announced(1, 1, upstream.Ready), 0)
@@ -114,7 +114,8 @@
 	require.Equal(t, []bool{false, false}, replaced(d))
 }
 
-// Guards against flows that wait for an upstream whose address a live successor has taken.
+// A live successor takes the address of an upstream, which becomes silent. Unless it counts as
+// replaced, flows wait for the silent upstream.
 func TestSilentUpstreamWithLiveSuccessorIsReplaced(t *testing.T) {
 	for _, after := range []time.Duration{2500 * time.Millisecond, 4500 * time.Millisecond} {
 		d := newDirectory()
@@ -163,9 +164,9 @@
 	return out
 }
 
-// Guards against load peaks after a power loss of all VMs: each voter restores 3,000 upstreams, of
-// which most announce themselves to other voters, and publishes each as silent. Voters sent
-// megabytes to each of 290 balancers, and upstreams that timed out all switched to one voter.
+// All VMs lose power. Each voter restores 3,000 upstreams, most of which announce themselves to
+// other voters, and published each as silent. Voters sent megabytes to each of 290 balancers, and
+// upstreams that timed out all switched to one voter.
 func TestSilenceOfRestoredUpstreamIsNotPublished(t *testing.T) {
 	d := newDirectory()
 	d.Restore(epoch, announced(1, 7, upstream.Ready), 0)
@@ -194,8 +195,8 @@
 	return u
 }
 
-// Guards against an upstream that gets no flow for minutes after a restart: it keeps its
-// incarnation but restarts its sequence, so that its announcements look like delayed ones.
+// An upstream restarts with the same incarnation and a new sequence. Its announcements look
+// delayed; if they were ignored, it would get no flow for minutes.
 func TestRestartedUpstreamIsPublishedAtOnce(t *testing.T) {
 	for _, before := range []upstream.State{upstream.Ready, upstream.Draining, upstream.Withdrawn} {
 		d := newDirectory()
@@ -210,8 +211,8 @@
 	}
 }
 
-// Guards against a restarted upstream that loses its flows or gets none because announcements
-// of its earlier instance arrive late.
+// An upstream restarts, and announcements of its earlier instance arrive late. They must not end
+// its flows or keep new ones from it.
 func TestDelayedAnnouncementsOfAnEarlierInstanceAreIgnored(t *testing.T) {
 	for _, s := range []upstream.State{upstream.Ready, upstream.Draining, upstream.Withdrawn} {
 		d := newDirectory()
@@ -235,8 +236,8 @@
 	require.False(t, newer, "a delayed announcement does not revive an instance")
 }
 
-// Guards against an upstream that counts as replaced after it has restarted at another address
-// and another upstream has started at its former one.
+// An upstream restarts at another address, and another upstream starts at its former one. The
+// first upstream must not count as replaced.
 func TestUpstreamThatMovedIsNotReplacedAtItsFormerAddress(t *testing.T) {
 	d := newDirectory()
 	d.Announce(epoch, startedAt(100, 1, upstream.Ready), 0)
--- a/internal/upstream/handover/handover.go
+++ b/internal/upstream/handover/handover.go
@@ -10,20 +10,21 @@
 
 // The batch delays, as shares of the announcement interval, which is usually 1.2 s. An upstream
 // announces itself again only after the acknowledgement, or after waiting a second for it. Down
-// to the fourth level the delays add up to 0.7 of the interval. With one eighth at every level,
-// the roots of a zone of 60 received a hundred batches per second.
+// to the fourth level, the delays add up to 0.7 of the interval. When the share was one eighth at
+// every level, the roots of a zone of 60 received a hundred batches per second.
 const (
-	// rootShare applies at the roots of a zone, and to direct announcements one level below.
+	// rootShare applies at the roots of a zone, and one level below to announcements that
+	// upstreams send directly.
 	rootShare = 1.0 / 4
-	// directShare applies to direct announcements of upstreams at lower levels.
+	// directShare applies at lower levels to announcements that upstreams send directly.
 	directShare = 1.0 / 6
-	// forwardedShare applies to announcements that other balancers forward, below the roots.
+	// forwardedShare applies below the roots to announcements that other balancers forward.
 	forwardedShare = 1.0 / 12
 )
 
-// BatchDelay returns the batch delay at a level of the balancer tree for announcements with an
-// interval. direct means that upstreams send them to the balancer; other balancers forward the
-// rest to it.
+// BatchDelay returns the batch delay at a level of the balancer tree; level 0 are the roots.
+// interval is the announcement interval. direct is true for announcements that upstreams send to
+// this balancer, and false for those that other balancers forward to it.
 func BatchDelay(interval time.Duration, level int, direct bool) time.Duration {
 	share := forwardedShare
 	switch {
@@ -35,8 +36,8 @@
 	return time.Duration(share * float64(interval))
 }
 
-// sendTimeout bounds one call. An upstream waits a second for the acknowledgement, and a batch delay
-// of rootShare leaves this part of it.
+// sendTimeout bounds one call. An upstream waits a second for the acknowledgement, of which a
+// batch delay of rootShare leaves this part.
 const sendTimeout = 700 * time.Millisecond
 
 // Announcement is the announcement of one upstream, with the time since it was received.
@@ -51,7 +52,7 @@
 // batch holds announcements to send together, by incarnation.
 type batch struct {
 	pending map[uint64]pending
-	// due is when the batch is sent at the latest.
+	// due is the latest time at which the batch is sent.
 	due  time.Time
 	done chan struct{}
 	err  error
@@ -77,8 +78,8 @@
 	return &Batcher{clock: clock, send: send}
 }
 
-// Add adds announcements to the next batch, which is sent after the delay at the latest, and
-// returns once it has been sent.
+// Add adds announcements to the next batch and returns once that batch has been sent. The batch
+// is sent after the delay at the latest.
 func (h *Batcher) Add(ctx context.Context, delay time.Duration, all ...Announcement) error {
 	b := h.join(delay, all)
 	select {
@@ -114,7 +115,7 @@
 func (h *Batcher) flush(b *batch) {
 	h.mu.Lock()
 	if h.next != b {
-		// The batch was already sent: a later announcement had a shorter delay.
+		// An announcement with a shorter delay joined later, so the batch was already sent.
 		h.mu.Unlock()
 		return
 	}
--- a/internal/upstream/handover/handover_test.go
+++ b/internal/upstream/handover/handover_test.go
@@ -15,8 +15,8 @@
 
 const delay = 150 * time.Millisecond
 
-// Guards against upstreams that announce themselves again because the acknowledgement arrives too
-// late, that is, after a second or after the announcement interval.
+// An upstream announces itself again if the acknowledgement takes longer than a second or than
+// the announcement interval. The batch delays must not add up to that.
 func TestBatchDelaysAddUpToLessThanASecond(t *testing.T) {
 	const interval = 1200 * time.Millisecond
 	for level := range 5 {
@@ -57,8 +57,7 @@
 	w.Wait()
 }
 
-// Guards against voters that answer late because they receive a call for each announcement of
-// 3,000 upstreams.
+// 3,000 upstreams announce themselves. With a call for each announcement, voters answer late.
 func TestAnnouncementsAreSentInBatches(t *testing.T) {
 	s := &sent{}
 	h := handover.New(time.Now, s.send)
@@ -91,8 +90,8 @@
 	require.GreaterOrEqual(t, s.batches[0][0].Age, 100*time.Millisecond, "the age includes the batch delay")
 }
 
-// Guards against an upstream that counts as silent although its announcements are acknowledged:
-// its balancer acknowledges them without reaching a voter.
+// A balancer cannot send announcements to any voter. If it acknowledged them all the same, the
+// upstream would count as silent.
 func TestAnnouncementsThatCannotBeSentAreNotAcknowledged(t *testing.T) {
 	failed := errors.New("no voter answers")
 	h := handover.New(time.Now, (&sent{err: failed}).send)
--- a/internal/upstream/owner/owner.go
+++ b/internal/upstream/owner/owner.go
@@ -12,9 +12,9 @@
 // Voter is a reachable voter.
 type Voter struct{ Address, Zone string }
 
-// Of returns the address of the voter that owns an upstream, or "" if none is reachable. It uses
-// rendezvous hashing: if a voter fails, only its upstreams move. Upstreams of one address have
-// the same owner, which thus detects that one of them replaces another.
+// Of returns the address of the voter that owns an upstream, or "" if no voter is reachable. It
+// uses rendezvous hashing: if a voter fails, only its upstreams move. All upstreams of one
+// address have the same owner, so the owner detects that one upstream replaces another.
 func Of(u upstream.Upstream, voters []Voter) string {
 	candidates := lo.Filter(voters, func(v Voter, _ int) bool { return v.Zone == u.Zone })
 	if len(candidates) == 0 {
--- a/internal/upstream/owner/owner_test.go
+++ b/internal/upstream/owner/owner_test.go
@@ -20,9 +20,9 @@
 	require.Empty(t, owner.Of(announcement(1), nil))
 }
 
-// Guards against callers that wait for a replaced upstream: its successor at the same address
-// announces itself to another voter, so that the old one stays live until its announcements are
-// overdue.
+// An upstream is replaced, and its successor at the same address announces itself to another
+// voter. The replaced upstream stayed live until its announcements were overdue, and callers
+// waited for it.
 func TestUpstreamsOfOneAddressHaveOneVoter(t *testing.T) {
 	all := []owner.Voter{{Address: "v1", Zone: "a"}, {Address: "v2", Zone: "a"}, {Address: "v3", Zone: "a"}, {Address: "v4", Zone: "b"}}
 	assigned := map[string]int{}
@@ -36,8 +36,8 @@
 	require.Len(t, assigned, 3)
 }
 
-// Guards against republishing all upstreams of a zone to all balancers when one of its three
-// voters fails, because all upstreams are reassigned.
+// One of the three voters of a zone fails. If all upstreams of the zone were reassigned, all of
+// them would be published to all balancers again.
 func TestOnlyTheUpstreamsOfAFailedVoterMove(t *testing.T) {
 	all := []owner.Voter{{Address: "v1", Zone: "a"}, {Address: "v2", Zone: "a"}, {Address: "v3", Zone: "a"}}
 	assigned := map[string]int{}
--- a/internal/upstream/registry/gossip.go
+++ b/internal/upstream/registry/gossip.go
@@ -41,8 +41,9 @@
 	return fixedSize + len(u.Service) + len(u.Zone) + len(u.Door)
 }
 
-// Payload returns a gossip payload of at most budget bytes: changes, least often gossiped first,
-// then renewals, and an old announcement in rotation if there is no change and space is left.
+// Payload returns a gossip payload of at most budget bytes. Changes come first, the least often
+// gossiped ones before the others, then renewals. If there is no change and space is left, an old
+// announcement is repeated in rotation.
 func (r *Registry) Payload(_ time.Time, budget int) []byte {
 	entries := r.sorted()
 	if len(entries) == 0 {
--- a/internal/upstream/registry/registry.go
+++ b/internal/upstream/registry/registry.go
@@ -22,12 +22,12 @@
 	Lease time.Duration
 	// Tombstone is how long a withdrawn upstream is kept.
 	Tombstone time.Duration
-	// Quarantine is how long an address that changes service gets no new flow, so that every
-	// balancer has received the change before the first packet.
+	// Quarantine is how long an address gets no new flow after it has changed service, so that
+	// every balancer has received the change before the first packet.
 	Quarantine time.Duration
 }
 
-// RefusedError reports why an announcement was refused.
+// RefusedError reports why an announcement was rejected.
 type RefusedError struct {
 	Address netip.AddrPort
 	Service string
@@ -53,8 +53,8 @@
 	firstSeen time.Time
 	// usableAt is when the quarantine of the address ends.
 	usableAt time.Time
-	// gossiped counts the transmissions of the full announcement, renewalGossiped those of its
-	// latest renewal.
+	// gossiped counts the transmissions of the full announcement, and renewalGossiped those of
+	// its latest renewal.
 	gossiped, renewalGossiped int
 }
 
@@ -66,7 +66,7 @@
 	version       uint64
 	// rotation is the index of the last announcement that Payload repeated.
 	rotation int
-	// urgent reports whether there is a change to push at once; see TakeUrgent.
+	// urgent reports whether there is a change that TakeUrgent has not returned yet.
 	urgent bool
 	// reachableZones are the zones with a reachable balancer.
 	reachableZones map[string]bool
@@ -81,8 +81,9 @@
 	return &Registry{settings: s, entries: map[netip.AddrPort]*entry{}, knownZones: map[string]bool{}}
 }
 
-// SetEvacuations sets the evacuated availability zones; older revisions are ignored. Upstreams
-// of an evacuated zone get no new flows or requests and keep their open flows.
+// SetEvacuations sets the evacuated availability zones, unless the revision is older than the
+// current one. Upstreams of an evacuated zone get no new flows or requests and keep their open
+// flows.
 func (r *Registry) SetEvacuations(e evacuation.Evacuations) {
 	if e.Revision > r.evacuations.Revision {
 		r.evacuations = e
@@ -93,10 +94,10 @@
 // Evacuations returns the evacuations in effect.
 func (r *Registry) Evacuations() evacuation.Evacuations { return r.evacuations }
 
-// SetReachableZones sets the zones with a reachable balancer, and returns whether they changed. A zone
-// whose balancers have all become unreachable gets no new flows, even while its leases are
-// valid: the first packet of a flow would be lost, and its retransmission may open the flow a
-// second time on the other side of a partition.
+// SetReachableZones sets the zones with a reachable balancer, and returns whether they changed.
+// Once all balancers of a zone are unreachable, the zone gets no new flows, even while its leases
+// are valid. Otherwise the first packet of a flow would be lost, and its retransmission might
+// open the flow a second time on the other side of a partition.
 func (r *Registry) SetReachableZones(zones map[string]bool) bool {
 	if maps.Equal(zones, r.reachableZones) {
 		return false
@@ -109,13 +110,15 @@
 	return true
 }
 
+// reachable reports whether a zone has a reachable balancer. Zones that never had a reachable
+// balancer count as reachable.
 func (r *Registry) reachable(zone string) bool { return r.reachableZones[zone] || !r.knownZones[zone] }
 
 const (
 	// changeTransmissions is how often each balancer gossips a change.
 	changeTransmissions = 8
-	// renewalTransmissions is how often it gossips a renewal. It is lower, since the next
-	// renewal makes up for a lost one and renewals are most of the traffic.
+	// renewalTransmissions is how often each balancer gossips a renewal. It is lower, since the
+	// next renewal makes up for a lost one and renewals are most of the traffic.
 	renewalTransmissions = 4
 )
 
@@ -136,8 +139,8 @@
 	r.version++
 }
 
-// Announce stores an announcement that an upstream sent, with the digest of its service token, or
-// returns a RefusedError.
+// Announce checks and stores an announcement that an upstream sent; tokenSha256 is the digest of
+// the service token that came with it. It returns a RefusedError if it rejects the announcement.
 func (r *Registry) Announce(now time.Time, u upstream.Upstream, tokenSha256 string) error {
 	reject := func(reason string) error {
 		return &RefusedError{Address: u.Address, Service: u.Service, Reason: reason}
@@ -159,7 +162,7 @@
 	return nil
 }
 
-// merge stores an announcement if it is newer than the known one.
+// merge stores an announcement if it is newer than the one known for its address.
 func (r *Registry) merge(now time.Time, u upstream.Upstream) {
 	old := r.entries[u.Address]
 	if old != nil && !u.Newer(old.Upstream) {
@@ -216,8 +219,8 @@
 	}
 }
 
-// warming reports whether an entry is in its slow start, or was until a second ago, so that its
-// share may have changed.
+// warming reports whether the share of an entry may have changed: it is in its slow start, or was
+// until a second ago.
 func (r *Registry) warming(now time.Time, e *entry) bool {
 	return now.Sub(e.firstSeen) <= time.Duration(r.configuration.Preset().ColdStartSeconds+1)*time.Second
 }
@@ -242,8 +245,8 @@
 	return us
 }
 
-// Share returns the load that the address should get relative to a warm upstream, between 0
-// and 1. It rises during the slow start.
+// Share returns the load that the upstream at an address should get relative to a warm one,
+// between 0 and 1. The share rises during the slow start.
 func (r *Registry) Share(now time.Time, a netip.AddrPort) float64 {
 	if e := r.entries[a]; e != nil {
 		return r.share(now, e)
@@ -260,9 +263,10 @@
 	return us
 }
 
-// serving returns the entries of a service that get new flows, which need a valid lease. If this
-// balancer's zone has several of them and all their leases have expired, the fault is probably local,
-// and they are kept: an empty pool would reject callers that can still be served.
+// serving returns the entries of a service that get new flows. They need a valid lease, with one
+// exception: if this balancer's zone has several entries and all their leases have expired, the
+// fault is probably local, and these entries are kept. An empty pool would reject callers that
+// can still be served.
 func (r *Registry) serving(now time.Time, service string) []*entry {
 	var live, expired []*entry
 	localLive := false
--- a/internal/upstream/view/fleet_test.go
+++ b/internal/upstream/view/fleet_test.go
@@ -78,7 +78,7 @@
 	}
 }
 
-// BenchmarkFleetContact measures the short unreachability of one voter.
+// BenchmarkFleetContact measures a voter that becomes unreachable for a short time.
 func BenchmarkFleetContact(b *testing.B) {
 	for _, n := range []int{150, 3000, 10000, 20000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/internal/upstream/view/record.go
+++ b/internal/upstream/view/record.go
@@ -14,8 +14,8 @@
 	receivedAt time.Time
 	// life and version are those of the voter when it sent the notice; see Update.
 	life, version uint64
-	// expiresAt is when a notice expires that the voter has not confirmed since its restart, zero
-	// for a confirmed one.
+	// expiresAt is when the notice expires if the voter has not confirmed it since its restart.
+	// It is zero for a confirmed notice.
 	expiresAt time.Time
 }
 
@@ -24,9 +24,9 @@
 	return t.Silent || t.Replaced || t.Upstream.State == upstream.Withdrawn || !t.expiresAt.IsZero()
 }
 
-// lastValid returns the last time at which the notice was known to be valid: on receipt, or at its
-// expiry if that is later. By its receipt alone, an old notice from before the voter's restart would
-// be forgotten at once.
+// lastValid returns the last time at which the notice was known to be valid: its receipt, or its
+// expiry if that is later. If only the receipt counted, an old notice from before the voter's
+// restart would be forgotten at once.
 func (t *voterNotice) lastValid() time.Time {
 	if t.expiresAt.After(t.receivedAt) {
 		return t.expiresAt
@@ -40,12 +40,12 @@
 	notice *voterNotice
 }
 
-// record holds the notices on one incarnation. Usually only one voter has sent any; after a
-// withdrawal all voters have.
+// record holds the notices of all voters on one incarnation. Usually only one voter has sent a
+// notice; after a withdrawal all voters have.
 type record struct {
 	byVoter []sourcedNotice
 	// born is the latest start in any notice. A voter that missed that start may still send
-	// notices on an earlier instance for a while; they are ignored.
+	// notices on an earlier instance for a while; these notices are ignored.
 	born uint64
 }
 
@@ -76,7 +76,7 @@
 	return len(r.byVoter) != before
 }
 
-// target merges the notices of one upstream, and returns whether there are any on its latest
+// target merges the notices on one upstream, and returns whether there are any on its latest
 // instance. While no voter is reachable, the last notices of all voters stay valid.
 func (r *record) target(now time.Time, anyReachable bool) (Target, bool) {
 	var m merger
@@ -103,13 +103,14 @@
 }
 
 // add merges one notice. The latest announcement counts, but a withdrawal is final whatever the
-// sequences.
+// sequences, as in directory.Directory.Announce.
 func (m *merger) add(now time.Time, t *voterNotice, reachable bool) {
 	withdrawn := t.Upstream.State == upstream.Withdrawn
 	if !m.withdrawn && (m.latest.receivedAt.IsZero() || withdrawn || t.Upstream.Later(m.latest.Upstream)) {
 		m.latest = *t
 	}
 	m.withdrawn = m.withdrawn || withdrawn
+	// On a withdrawn upstream, Silent means that it is assumed to have ended.
 	m.ended = m.ended || withdrawn && t.Silent
 	m.replaced = m.replaced || t.Replaced
 	announced := !t.Silent && (t.expiresAt.IsZero() || now.Before(t.expiresAt))
@@ -120,9 +121,10 @@
 func (m *merger) target() Target {
 	return Target{
 		Upstream: m.latest.Upstream, ColdUntil: m.latest.receivedAt.Add(m.latest.Cold), Live: m.live && !m.withdrawn,
-		// A withdrawn upstream serves its open flows until it has ended. A replaced one counts
-		// as ended only once its announcements are overdue: otherwise a delayed announcement of
-		// an earlier incarnation would reset the flows of an upstream that still serves.
+		// A withdrawn upstream serves its open flows until it has ended. Replaced alone does not
+		// mean ended: a delayed announcement of an earlier incarnation can mark a running
+		// upstream as replaced, and its flows would be reset. It counts as ended only once its
+		// own announcements are overdue.
 		Ended: m.ended || m.replaced && !m.announced,
 	}
 }
--- a/internal/upstream/view/source.go
+++ b/internal/upstream/view/source.go
@@ -14,19 +14,20 @@
 type source struct {
 	life    uint64
 	contact time.Time
-	// reachable reports whether the contact lease was valid at the last call of View.expire.
+	// reachable reports whether the voter's contact lease was valid at the last call of
+	// View.expire.
 	reachable bool
 	// changes are the latest changes since the voter started, for followers of this balancer.
 	changes []change
-	// unconfirmedUntil is when unconfirmed notices expire: those from before the voter's restart,
-	// and restored ones.
+	// unconfirmedUntil is when unconfirmed notices expire. These are notices from before the
+	// voter's restart, and restored ones.
 	unconfirmedUntil time.Time
 	// hasUnconfirmed reports whether there may be unconfirmed notices that have not expired.
 	hasUnconfirmed bool
 	notices        map[uint64]*voterNotice
 }
 
-// change records that a notice on an incarnation arrived with a version of the voter.
+// change records the version of the voter with which a notice on an incarnation arrived.
 type change struct{ version, incarnation uint64 }
 
 func newSource(life uint64) *source { return &source{life: life, notices: map[uint64]*voterNotice{}} }
@@ -40,9 +41,10 @@
 	}
 }
 
-// addRestored records a restored notice and returns when it expires. The notice must expire here,
-// since the voter sends none when it forgets a restored upstream that has not announced itself. All
-// unconfirmed notices of a voter expire together, since only one expiry time is tracked per voter.
+// addRestored records a restored notice and returns when the notice expires. It must expire here,
+// since the voter sends no notice when it forgets a restored upstream that has not announced
+// itself. All unconfirmed notices of a voter expire together, since only one expiry time is
+// tracked per voter.
 func (s *source) addRestored(now, expiresAt time.Time) time.Time {
 	if !s.unconfirmedUntil.After(now) {
 		s.unconfirmedUntil = expiresAt
@@ -67,7 +69,7 @@
 	}
 }
 
-// changedSince returns the distinct incarnations with a notice after a version.
+// changedSince returns the distinct incarnations on which a notice arrived after a version.
 func (s *source) changedSince(version uint64) []uint64 {
 	first := len(s.changes)
 	if first == 0 {
--- a/internal/upstream/view/view.go
+++ b/internal/upstream/view/view.go
@@ -13,8 +13,8 @@
 type Settings struct {
 	// ContactLease is how long the notices of a voter stay valid without contact.
 	ContactLease time.Duration
-	// UnconfirmedTTL is how long an unconfirmed notice stays valid: one from before the voter's
-	// restart, or a restored one.
+	// UnconfirmedTTL is how long an unconfirmed notice stays valid. A notice is unconfirmed if it
+	// dates from before the voter's restart or is restored.
 	UnconfirmedTTL time.Duration
 	// ForgetAfter is how long an obsolete notice is kept.
 	ForgetAfter time.Duration
@@ -63,9 +63,10 @@
 	return &View{settings: s, sources: map[string]*source{}, records: map[uint64]*record{}, changed: map[uint64]bool{}, allChanged: true}
 }
 
-// ApplyNotices applies notices that a voter sent just now. If the voter has restarted, its earlier
-// notices stay valid for Settings.UnconfirmedTTL, since it has not yet received the announcements
-// of all its upstreams.
+// ApplyNotices applies notices that a voter sent just now; life identifies the run of its
+// process. If the voter has restarted, its earlier notices stay valid for
+// Settings.UnconfirmedTTL, since the voter has not yet received the announcements of all its
+// upstreams.
 func (v *View) ApplyNotices(now time.Time, voter string, life uint64, notices []directory.Notice) {
 	v.Apply(now, Update{Voter: voter, Life: life, Contact: now, Notices: notices})
 }
@@ -99,8 +100,8 @@
 	v.limitChanged()
 }
 
-// limitChanged bounds the memory of a view whose Changes is never called: it would otherwise keep
-// the incarnations of all past upstreams.
+// limitChanged bounds the memory of a view whose Changes is never called. Otherwise the view
+// would keep the incarnations of all past upstreams.
 func (v *View) limitChanged() {
 	if len(v.changed) > len(v.records) {
 		v.allChanged = true
@@ -129,8 +130,8 @@
 }
 
 // Since returns the notices that a voter has sent in the given life and after a version, as the
-// voter would send them now. Restored notices are left out, since their expiry depends on
-// the receiver's clock.
+// voter would send them now. Restored notices are left out, since their expiry depends on the
+// receiver's clock.
 func (v *View) Since(now time.Time, voter string, life, version uint64) []directory.Notice {
 	s := v.sources[voter]
 	if s == nil || s.life != life {
@@ -225,7 +226,7 @@
 
 // expire marks the upstreams whose state changes without a notice: those of voters that became
 // unreachable or reachable, and those with expired unconfirmed notices. One voter among many has
-// few of them, and the others need not be merged again.
+// only a few such upstreams, and the others need not be merged again.
 func (v *View) expire(now time.Time) {
 	reachable := 0
 	for _, s := range v.sources {
--- a/internal/upstream/view/view_test.go
+++ b/internal/upstream/view/view_test.go
@@ -42,9 +42,9 @@
 	require.Equal(t, uint64(7), v.Targets(epoch)[0].Sequence)
 }
 
-// Guards against new flows to a draining or withdrawn upstream after one voter has acknowledged the
-// departure: a notice of another voter reaches the balancer later. A drain is undone only by a notice
-// with a higher sequence; a withdrawal is final whatever the sequences.
+// One voter has acknowledged a departure, and a notice of another voter reaches the balancer
+// later. The upstream must get no new flows: a drain is undone only by a notice with a higher
+// sequence, and a withdrawal is final whatever the sequences.
 func TestLaterNoticeDoesNotUndoADeparture(t *testing.T) {
 	v := newView()
 	v.ApplyNotices(epoch, "v1", 1, []directory.Notice{notice(9, upstream.Draining)})
@@ -56,7 +56,7 @@
 	require.False(t, v.Targets(after(3))[0].Live)
 }
 
-// Guards against resets of flows that a withdrawn upstream still serves.
+// A withdrawn upstream still serves its open flows. They must not be reset before it ends.
 func TestWithdrawnUpstreamKeepsItsFlowsUntilItEnds(t *testing.T) {
 	v := newView()
 	d := directory.New(directory.Settings{SilentAfter: 4 * time.Second, ForgetAfter: time.Minute})
@@ -78,8 +78,8 @@
 	require.True(t, next(after(11)).Ended)
 }
 
-// Guards against a balancer without upstreams for seconds after the only reachable voter has
-// restarted: its first response is empty and must not replace the earlier notices.
+// The only reachable voter restarts, and its first response is empty. Unless the earlier notices
+// are kept, the balancer has no upstreams for seconds.
 func TestRestartedVoterRemovesNoUpstreamAtOnce(t *testing.T) {
 	v := newView()
 	v.ApplyNotices(epoch, "v1", 1, []directory.Notice{notice(1, upstream.Ready)})
@@ -100,9 +100,9 @@
 	require.True(t, v.Targets(after(20))[0].Live, "while no voter is reachable, the last notices stay valid")
 }
 
-// Guards against resets of open flows to a live upstream that has replaced a crashed one at the same
-// address. A delayed announcement of the crashed one reaches the only voter that knows the live one,
-// which then counts as replaced. It must not end while its own announcements are recent.
+// A live upstream has replaced a crashed one at the same address. A delayed announcement of the
+// crashed one reaches the only voter that knows the live one, and the live one counts as
+// replaced. Its flows must not be reset while its own announcements are recent.
 func TestReplacedIncarnationEndsOnlyOnceItIsSilentAtAllVoters(t *testing.T) {
 	v := newView()
 	replaced := notice(1, upstream.Ready)
@@ -133,8 +133,8 @@
 	require.True(t, v.Targets(after(7))[0].Live)
 }
 
-// Guards against an expired upstream that stays in the pool of a balancer: a voter restores
-// another upstream shortly after it, and expiry is only checked at the later time.
+// A voter restores an upstream, and shortly afterwards another one. If expiry is checked only at
+// the later time, the first upstream stays in the pool of a balancer after its expiry.
 func TestRestoredUpstreamsOfAVoterExpireTogether(t *testing.T) {
 	v := newView()
 	first, second := notice(1, upstream.Ready), notice(1, upstream.Ready)
@@ -180,8 +180,8 @@
 	require.Equal(t, map[uint64]bool{1: false}, changedLiveness(v, after(9)), "the notices from before v1's restart have expired")
 }
 
-// Guards against packets delayed by hundreds of ms at a balancer that merges all upstreams of the
-// fleet again whenever one voter is unreachable.
+// One voter is unreachable for a short time. The balancer merged all upstreams of the fleet
+// again, which delayed packets by hundreds of ms.
 func TestUnreachableVoterChangesOnlyItsUpstreams(t *testing.T) {
 	v := newView()
 	const voters = 25
@@ -208,8 +208,8 @@
 	require.False(t, c.Targets[0].Live)
 }
 
-// Guards against upstreams that get no flow for a second after the only voter has restarted:
-// their notices are minutes old, and were forgotten at once because of their age.
+// The only voter restarts, and its notices are minutes old. They were forgotten at once because
+// of their age, and upstreams got no flow for a second.
 func TestOldNoticeIsKeptAfterARestart(t *testing.T) {
 	v := newView()
 	v.ApplyNotices(epoch, "v1", 1, []directory.Notice{notice(1, upstream.Ready)})
@@ -289,8 +289,8 @@
 	})
 }
 
-// Guards against a restarted upstream that gets no flow or whose flows are reset: one voter
-// knows the new instance, while others still send notices on the earlier one, before or after.
+// An upstream restarts. One voter knows the new instance, while others still send notices on the
+// earlier one, before or after. The upstream must get flows, and its flows must not be reset.
 func TestNoticesOnAnEarlierInstanceAreIgnored(t *testing.T) {
 	before := notice(90, upstream.Withdrawn)
 	before.Upstream.Born, before.Replaced, before.Silent = 100, true, true
@@ -308,7 +308,7 @@
 	}
 }
 
-// The voter that knows the new instance restarts and receives no announcement: notices of another
+// The voter that knows the new instance restarts and receives no announcement. Notices of another
 // voter on the earlier instance are still ignored.
 func TestEarlierInstanceIsNotRevived(t *testing.T) {
 	v := newView()
@@ -359,8 +359,8 @@
 	require.Equal(t, []uint64{1, 3}, incarnations(v.Since(after(2), "v1", 1, 5)))
 }
 
-// Guards against followers that take notices from before a voter's restart for current ones,
-// because a balancer relays both together.
+// A balancer relays notices from before and after a voter's restart together. Followers would
+// take the earlier ones for current.
 func TestOnlyNoticesOfTheCurrentLifeAreRelayed(t *testing.T) {
 	v := newView()
 	apply(v, epoch, 1, 5, numbered(1, 1))
@@ -383,8 +383,8 @@
 	require.Zero(t, v.Since(after(9), "v1", 1, 0)[0].Cold)
 }
 
-// Guards against memory that grows with every past upstream, at a voter that keeps a view only to
-// save it to disk and never calls Changes.
+// A voter keeps a view only to save it to disk and never calls Changes. Its memory must not grow
+// with every past upstream.
 func TestUncollectedChangesAreBounded(t *testing.T) {
 	v := newView()
 	for n := range 100 {
@@ -407,8 +407,8 @@
 	require.Len(t, v.Since(epoch, "v1", 1, 4995), 5)
 }
 
-// Guards against upstreams of a partitioned zone that stay live: a balancer relays older updates
-// of a voter there, which must not count as contact with that voter.
+// A zone is partitioned, and a balancer relays older updates of a voter there. They must not
+// count as contact with that voter, or the zone's upstreams stay live.
 func TestRelayedUpdateDoesNotCountAsContact(t *testing.T) {
 	v := newView()
 	v.Apply(epoch, view.Update{Voter: "v2", Life: 1, Version: 1, Contact: epoch})
