--- a/internal/flow/choice/choice.go
+++ b/internal/flow/choice/choice.go
@@ -8,14 +8,15 @@
 	Seed uint64
 	// Zone is the upstream's availability zone.
 	Zone string
-	// Share is the weight of the upstream: 1, or less during its slow start.
+	// Share is the weight of the upstream. It is 1, or less during the upstream's slow start.
 	Share float64
 }
 
 // pair holds the indices of the candidates with the two highest scores, or -1.
 type pair [2]int
 
-// offer adds candidate i if its score is among the two highest; scores holds those of the pair.
+// offer adds candidate i if its score is among the two highest. scores holds the scores of the
+// pair.
 func (p *pair) offer(i int, score uint64, scores *[2]uint64) {
 	switch {
 	case p[0] < 0 || score > scores[0]:
@@ -26,7 +27,8 @@
 	}
 }
 
-// lessLoaded returns the candidate with the lower load per weight, or -1.
+// lessLoaded returns the pool index of the candidate with the lower load per weight, or -1 if
+// there is none.
 func (p pair) lessLoaded(pool []Candidate, loads []int32) int {
 	if p[0] < 0 || p[1] < 0 {
 		return p[0]
--- a/internal/flow/choice/doc.go
+++ b/internal/flow/choice/doc.go
@@ -1,2 +1,3 @@
-// Package choice selects the upstream of a new flow.
+// Package choice selects the upstream of a new flow: a zone by capacity, and the less loaded of
+// two upstreams in the zone.
 package choice
--- a/internal/flow/choice/plan.go
+++ b/internal/flow/choice/plan.go
@@ -11,9 +11,11 @@
 )
 
 // Plan distributes the new flows of one service at one balancer over zones and upstreams. It is
-// immutable. Flows arrive at zones in proportion to the slots that their balancers own. A zone
-// keeps its flows up to its capacity and spills the excess to zones with spare capacity. Plans do not
-// use load reports, which are seconds old. Balancers that all act on the same reports overshoot (max
+// immutable.
+//
+// Flows arrive at zones in proportion to the slots that their balancers own. A zone keeps its
+// flows up to its capacity and spills the excess to zones with spare capacity. Plans do not use
+// load reports, which are seconds old: balancers that all act on the same reports overshoot (max
 // over mean 1.09 to 1.20 at 3,000 new flows a second).
 type Plan struct {
 	pool []Candidate
@@ -27,7 +29,7 @@
 
 // spillZone is a zone that receives spilled flows.
 type spillZone struct {
-	// upTo is the cumulative share of spilled flows that go to this zone and those before it.
+	// upTo is the cumulative share of spilled flows that go to this zone and the zones before it.
 	upTo    float64
 	indices []int
 }
@@ -36,8 +38,9 @@
 // of this size exactly.
 const fractionBits = 53
 
-// NewPlan returns the plan of a balancer in the local zone; arrivals is the share of flows that
-// the balancers of each zone own.
+// NewPlan returns the plan of a balancer in the local zone. arrivals is the share of flows that
+// the balancers of each zone own. spillPercent is by how many percent the flows of a zone may
+// exceed its capacity before the zone spills the excess.
 func NewPlan(pool []Candidate, local string, arrivals map[string]float64, spillPercent int) Plan {
 	p := Plan{pool: pool, localShare: 1}
 	zones := map[string][]int{}
@@ -100,8 +103,8 @@
 // fraction maps a hash to the interval [0, 1).
 func fraction(x uint64) float64 { return float64(x>>(64-fractionBits)) / (1 << fractionBits) }
 
-// lessLoaded returns the less loaded of the flow's two best-ranked candidates, as in the power
-// of two choices (Mitzenmacher, 2001). Loads count only the flows that this balancer owns. These
+// lessLoaded returns the less loaded of the flow's two best-ranked candidates, as in the power of
+// two choices (Mitzenmacher, 2001). loads counts only the flows that this balancer owns. These
 // counts are exact, and the flows of each balancer are a representative sample of all flows.
 func (p Plan) lessLoaded(hash uint64, indices []int, loads []int32) int {
 	best := pair{-1, -1}
--- a/internal/flow/ownership/ownership.go
+++ b/internal/flow/ownership/ownership.go
@@ -14,7 +14,7 @@
 	slotBits = 12
 	// Slots is the number of hash slots.
 	Slots = 1 << slotBits
-	// maxLookups bounds the members that are queried for a flow that the owner does not store.
+	// maxLookups bounds the members that are queried if the owner does not store a flow.
 	maxLookups = 8
 	// replicaCount is the number of replicas of a slot.
 	replicaCount = 3
@@ -27,7 +27,7 @@
 	Address netip.AddrPort
 	// Start distinguishes the incarnations of a balancer: a restarted balancer stores no flows.
 	Start uint64
-	// Passive members are joining or leaving: they may store flows, but are not replicas.
+	// Passive members are joining or leaving. They may store flows, but are not replicas.
 	Passive bool
 }
 
@@ -36,12 +36,13 @@
 	members []Member
 	self    int
 	slots   []ranking
-	// zoneShares is computed once, because every change of a pool needs it.
+	// zoneShares holds, by zone, the share of the slots that the zone's members own. It is
+	// computed once, because every change of a pool needs it.
 	zoneShares map[string]float64
 }
 
-// ranking holds the indices of the members to query for a slot's flows; the first of them, as many
-// as replicas counts, are the slot's replicas.
+// ranking ranks the members for one slot. members[:length] are the indices of the members to
+// query for a flow, in order, and members[:replicas] those of the slot's replicas.
 type ranking struct {
 	members  [maxLookups]uint16
 	length   uint8
@@ -76,8 +77,9 @@
 
 func (s score) above(o score) bool { return !o.known || s.value > o.value }
 
-// builder ranks the slots one by one without further allocations. It finds the best members in
-// one pass: when it sorted all of them, a membership change in a group of 178 took 164 ms.
+// builder ranks the members for one slot after another without further allocations. It finds the
+// best members in one pass: when it sorted all members, a membership change in a group of 178
+// took 164 ms.
 type builder struct {
 	members []Member
 	seeds   []uint64
@@ -118,7 +120,8 @@
 	return r
 }
 
-// scan finds the best members of all zones, of each zone, and of the passive ones.
+// scan finds the best members of all zones, the best member of each zone, and the best passive
+// member.
 func (b *builder) scan(mixed uint64) {
 	clear(b.zoneBest)
 	b.top = [replicaCount]score{}
@@ -156,8 +159,8 @@
 	r.length++
 }
 
-// addReplicas adds the best members. If they are all in one zone, the best member of another
-// zone replaces the last.
+// addReplicas adds the three best members. If they are all in one zone, the best member of
+// another zone replaces the third.
 func (b *builder) addReplicas(r *ranking) {
 	for _, s := range b.top[:replicaCount-1] {
 		r.add(s)
@@ -198,13 +201,13 @@
 // Members returns all members, ordered by name.
 func (o *Ownership) Members() []Member { return o.members }
 
-// Replicas returns the indices of the slot's replicas, the owner first.
+// Replicas returns the indices of the slot's replicas. The owner is the first.
 func (o *Ownership) Replicas(slot int) []uint16 {
 	r := &o.slots[slot]
 	return r.members[:r.replicas]
 }
 
-// LookupOrder returns the indices of the members to query for a flow, the replicas first.
+// LookupOrder returns the indices of the members to query for a flow. The replicas come first.
 func (o *Ownership) LookupOrder(slot int) []uint16 {
 	r := &o.slots[slot]
 	return r.members[:r.length]
@@ -241,7 +244,8 @@
 	return shares
 }
 
-// SameReplicas reports whether a slot has the same incarnations of the same replicas in o and p.
+// SameReplicas reports whether a slot has the same replicas in o and p, and none of them has
+// restarted in between.
 func (o *Ownership) SameReplicas(p *Ownership, slot int) bool {
 	a, b := o.Replicas(slot), p.Replicas(slot)
 	if len(a) != len(b) {
@@ -257,8 +261,9 @@
 }
 
 // MustRepair reports whether the local balancer copies the slot's flows to its new replicas. The
-// first former replica in the new lookup order does so. If that order has no former replica, all
-// former replicas do, because lookups would not find the flows that only they store.
+// first former replica in the new lookup order copies them. If that order has no former replica,
+// all former replicas copy them, because lookups would not find the flows that only these members
+// store.
 func (o *Ownership) MustRepair(before *Ownership, slot int) bool {
 	for _, i := range o.LookupOrder(slot) {
 		m := o.members[i]
--- a/internal/flow/router/configure.go
+++ b/internal/flow/router/configure.go
@@ -12,8 +12,9 @@
 	"wasabideal/internal/model/upstream"
 )
 
-// SetIsolated sets whether at least half of the members are unreachable. Packets of unknown flows are
-// then dropped, because a member on the other side of the partition probably stores the flow.
+// SetIsolated sets whether at least half of the members are unreachable. If so, packets of
+// unknown flows are dropped, because a member on the other side of the partition probably stores
+// the flow.
 func (r *Router) SetIsolated(isolated bool) { r.isolated = isolated }
 
 // JoinStage is the stage of a balancer that joins its group.
@@ -33,7 +34,8 @@
 func (r *Router) SetJoinStage(j JoinStage) { r.joinStage = j }
 
 // mayOpen reports whether flows of the slot may be opened here. A balancer that has not yet
-// discovered the other members must not open flows: those members would never query it for them.
+// discovered the other members must not open flows. The other members do not know it and would
+// not query it, so they might open the same flow again.
 func (r *Router) mayOpen(slot int) bool {
 	return r.joinStage == Joined || r.joinStage == Provisional && len(r.ownership.Replicas(slot)) > 1
 }
@@ -143,8 +145,8 @@
 	}
 	for slot := range ownership.Slots {
 		if r.repair.isDirty(slot) {
-			// Unacknowledged batches are discarded with the old ranking, and their
-			// flows must be collected again.
+			// Unacknowledged batches are discarded with the old ranking, so their flows must be
+			// collected again.
 			r.versions[slot]++
 		}
 	}
@@ -164,7 +166,8 @@
 	}
 }
 
-// countsLoad reports whether this balancer counts the flow as load: only the owner does.
+// countsLoad reports whether this balancer counts the flow as load. Only the owner of a flow
+// does.
 func (r *Router) countsLoad(e *table.Entry) bool {
 	return r.ownership.IsOwner(ownership.Slot(e.Key.Hash()))
 }
--- a/internal/flow/router/doc.go
+++ b/internal/flow/router/doc.go
@@ -1,10 +1,11 @@
 // Package router decides where each packet of a flow goes.
 //
-// Every flow has an owner and replicas (package ownership). A balancer that stores the flow
-// sends its packets to the upstream; any other relays them to the owner. Packets replicate the
-// flow: an opening is relayed through all replicas before the upstream receives it. So when the
-// caller acknowledges the upstream's response, the replicas store the flow. After a
-// membership change, packets and background repair within a byte budget create the missing copies.
+// Every flow has an owner and replicas (package ownership). A balancer that stores the flow sends
+// its packets to the upstream; any other balancer relays them to the owner. Packets replicate the
+// flow: an opening is relayed through all replicas before the upstream receives it. When the
+// caller acknowledges the upstream's response, the replicas therefore store the flow. After a
+// membership change, packets create the missing copies, and so does background repair within a
+// byte budget.
 //
 // An opening is the first packet of a flow (a SYN) and its unfinished handshake. A UDP flow is an
 // opening until two of its packets have been relayed through the replicas.
--- a/internal/flow/router/relayed.go
+++ b/internal/flow/router/relayed.go
@@ -40,7 +40,7 @@
 	c := record{key: r.parser.Key, state: table.State(h.State), target: h.Target, fromOwner: r.isOwner(slot, h.Origin)}
 	e := r.store(now, c, hash, slot)
 	if e == nil {
-		// The table is full: the flow has one copy fewer.
+		// The table is full, so the flow has one copy fewer.
 		r.forward(h, r.targets.intern(h.Target), packet, out)
 		return
 	}
@@ -71,8 +71,8 @@
 	return e
 }
 
-// merge resolves a conflict between two copies of a flow: the owner's copy prevails.
-// Otherwise, an established flow replaces an opening, and a new opening replaces a closed flow.
+// merge resolves a conflict between two copies of a flow. The owner's copy prevails. Otherwise,
+// an established flow replaces an opening, and a new opening replaces a closed flow.
 func (r *Router) merge(e *table.Entry, c record, index uint32) {
 	if e.Upstream == index {
 		if c.state > e.State {
@@ -109,7 +109,8 @@
 	reopens := e != nil && r.parser.Opening && e.State == table.Closing
 	unconfirmed := e != nil && r.unconfirmed(e, slot, now) && !h.PathEmpty()
 	if unconfirmed && !h.HasFlag(relay.FlagStale) {
-		// Another member may have a newer entry; otherwise this one is used.
+		// Another member may have a newer entry and is queried first. If no other member stores
+		// the flow, the lookup returns here, and this entry is used.
 		h.Flags |= relay.FlagStale
 		h.AddHop(r.settings.Address)
 	}
--- a/internal/flow/router/repair.go
+++ b/internal/flow/router/repair.go
@@ -136,7 +136,8 @@
 	}
 }
 
-// collect adds a flow to the batches of its other replicas, unless packets have copied it.
+// collect adds a flow to the batches of its other replicas, unless enough packets have already
+// copied the flow.
 func (r *Router) collect(now time.Time, e *table.Entry, out *effect.List) {
 	slot := ownership.Slot(e.Key.Hash())
 	if !r.repair.isDirty(slot) {
@@ -225,7 +226,7 @@
 // expiryTicks is the number of ticks in which the whole table is scanned for expired flows.
 const expiryTicks = 64
 
-// expire removes flows that have timed out, and those of which this balancer is no longer a
+// expire removes flows that have timed out, and flows of which this balancer is no longer a
 // replica.
 func (r *Router) expire(now time.Time) {
 	nowSeconds := r.seconds(now)
--- a/internal/flow/router/router.go
+++ b/internal/flow/router/router.go
@@ -19,10 +19,10 @@
 type LostPolicy string
 
 const (
-	// LostCandidate sends the packet to the upstream that a new flow would get. If that upstream does
-	// not have the flow, its kernel resets the connection, so that the caller gets an error.
+	// LostCandidate sends the packet to the upstream that a new flow would get. If that upstream
+	// does not have the flow, its kernel resets the connection, and the caller gets an error.
 	LostCandidate LostPolicy = "Candidate"
-	// LostDrop drops the packet, so that the caller times out.
+	// LostDrop drops the packet, and the caller times out.
 	LostDrop LostPolicy = "Drop"
 )
 
@@ -32,9 +32,9 @@
 	Zone     string
 	Address  netip.AddrPort
 	MaxFlows int
-	// Settle is the time after a change of a slot's replicas in which some flows may be stored only
-	// at former replicas. In this time, even openings are first looked up at other members, and
-	// packets of lost flows are dropped.
+	// Settle is a time after a change of a slot's replicas. During this time, some flows may be
+	// stored only at former replicas. Even openings are therefore first looked up at other
+	// members, and packets of lost flows are dropped.
 	Settle         time.Duration
 	OpeningTimeout time.Duration
 	IdleTimeout    time.Duration
@@ -44,9 +44,10 @@
 	Lost        LostPolicy
 }
 
-// Counters are the router's totals since its start. Asked counts lookups at other members. Foreign
-// counts packets for an upstream whose address has been reassigned. Misdelivered counts selections
-// of an upstream of another service. CopiedByTrickle counts flows copied by background repair.
+// Counters are the router's totals since its start. Asked counts lookups at other members, and
+// Foreign packets for an upstream whose address has been reassigned. Misdelivered counts
+// selections of an upstream of another service. CopiedByTrickle counts flows copied by background
+// repair.
 type Counters struct {
 	Hits, Relays, Openings, Asked, Lost, Resets, Dropped    uint64
 	UnknownService, NoUpstream, TableFull, Foreign          uint64
@@ -109,9 +110,9 @@
 		byHash:    map[uint32]*service{},
 	}
 	r.repair.restart()
-	// A balancer that has just started knows no other member yet. Other members may store
-	// flows that it does not store; if it sent their packets to an upstream of its own choice,
-	// the connections would be reset.
+	// A balancer that has just started knows no other member yet. Other members may store flows
+	// that this balancer does not store. If it sent packets of these flows to an upstream of its
+	// own choice, the connections would be reset.
 	for slot := range r.changedAt {
 		r.changedAt[slot] = 1
 	}
@@ -151,9 +152,10 @@
 }
 
 // mayServe reports whether a packet of a stored flow may be routed here instead of by the owner.
-// Openings are left to the owner: the entry of a former replica could revive a flow that the owner
-// has since opened at another upstream. An unconfirmed opening may have been retransmitted to the
-// other side of a partition, so the other members are queried after a membership change.
+// Openings are left to the owner: the entry of a former replica could revive a flow that the
+// owner has since opened at another upstream. An unconfirmed opening may have been retransmitted
+// to the other side of a partition. After a membership change, the other members are therefore
+// queried for it.
 func (r *Router) mayServe(e *table.Entry, slot int, now time.Time) bool {
 	if r.unconfirmed(e, slot, now) {
 		return false
@@ -165,7 +167,7 @@
 }
 
 // unconfirmed reports whether the entry is an opening that was not confirmed here before the last
-// change of its slot's replicas, which was less than Settle ago.
+// change of its slot's replicas. It returns false once that change is Settle ago.
 func (r *Router) unconfirmed(e *table.Entry, slot int, now time.Time) bool {
 	return e.State == table.Opening && !r.parser.Opening && r.unsettled(slot, r.seconds(now)) &&
 		e.Version != r.versions[slot]
@@ -188,8 +190,8 @@
 	r.missAsOwner(now, hash, slot, packet, out)
 }
 
-// firstReachable returns the first reachable replica, or false if it is this balancer or there
-// is none.
+// firstReachable returns the address of the first reachable replica. The result is false if that
+// replica is this balancer, or if no replica is reachable.
 func (r *Router) firstReachable(slot int) (netip.AddrPort, bool) {
 	for _, i := range r.ownership.Replicas(slot) {
 		if r.ownership.IsSelf(i) {
--- a/internal/flow/router/serve.go
+++ b/internal/flow/router/serve.go
@@ -9,13 +9,13 @@
 	"wasabideal/internal/wire/relay"
 )
 
-// requiredCopyPackets is the number of packets relayed through the replicas before they are
-// assumed to store the flow: one packet may be lost.
+// requiredCopyPackets is the number of packets relayed through the replicas after which the
+// replicas are assumed to store the flow. One packet is not enough, since it may be lost.
 const requiredCopyPackets = 2
 
 // serve sends a packet of a stored flow to its upstream, through the replicas if they may lack
-// the flow. If requester is set, the packet is first relayed to that member: it looked up the flow
-// and does not store it.
+// the flow. requester, if set, is a member that looked up the flow and does not store it; the
+// packet is first relayed to that member.
 func (r *Router) serve(now time.Time, e *table.Entry, slot int, packet []byte, requester *netip.AddrPort, out *effect.List) {
 	nowSeconds := r.seconds(now)
 	if e.State == table.Closing && r.parser.Opening {
@@ -49,9 +49,9 @@
 	r.forward(&h, e.Upstream, packet, out)
 }
 
-// mustCopy reports whether a packet has to be relayed through the flow's replicas. It does if they
-// may lack the flow, or if the packet opens, confirms or closes it. Packets of an active flow are
-// also relayed at times, so that the idle timeout does not remove its copies.
+// mustCopy reports whether a packet must be relayed through the flow's replicas. This is so if
+// they may lack the flow, or if the packet opens, confirms or closes the flow. Packets of an
+// active flow are also relayed at times, so that the idle timeout does not remove its copies.
 func (r *Router) mustCopy(e *table.Entry, slot int, nowSeconds uint32) bool {
 	if e.Version != r.versions[slot] {
 		e.Version = r.versions[slot]
@@ -108,11 +108,11 @@
 	out.AddCopy(effect.ToPeer, to, r.header, packet)
 }
 
-// toUpstream sends a packet to an upstream; no other function does. It drops packets for an
-// address that has been reassigned to another service.
+// toUpstream sends a packet to an upstream; no other function does. It drops the packet if the
+// upstream's address has been reassigned to another service.
 func (r *Router) toUpstream(index uint32, packet []byte, out *effect.List) {
 	t := r.targets.at(index)
-	if r.targets.addressReassigned(index) {
+	if r.targets.isReassigned(index) {
 		r.Counters.Foreign++
 		return
 	}
--- a/internal/flow/router/targets.go
+++ b/internal/flow/router/targets.go
@@ -17,7 +17,7 @@
 	loads []int32
 	// addressServices are the services that the addresses currently belong to.
 	addressServices map[netip.AddrPort]uint32
-	// reassigned marks the targets whose address belongs to another service now.
+	// reassigned holds, per target, whether its address now belongs to another service.
 	reassigned []bool
 }
 
@@ -34,7 +34,7 @@
 	t.list = append(t.list, x)
 	t.index[x] = i
 	t.loads = append(t.loads, 0)
-	t.reassigned = append(t.reassigned, t.isReassigned(x))
+	t.reassigned = append(t.reassigned, t.computeReassigned(x))
 	return i
 }
 
@@ -53,19 +53,21 @@
 		t.addressServices[a] = ServiceHash(name)
 	}
 	for i, x := range t.list {
-		t.reassigned[i] = t.isReassigned(x)
+		t.reassigned[i] = t.computeReassigned(x)
 	}
 }
 
-// isReassigned reports whether the target's address is known to belong to another service.
-func (t *targets) isReassigned(x relay.Target) bool {
+// computeReassigned reports whether the target's address is known to belong to another service.
+func (t *targets) computeReassigned(x relay.Target) bool {
 	h, known := t.addressServices[x.AddrPort()]
 	return known && h != x.Service
 }
 
-func (t *targets) addressReassigned(i uint32) bool { return t.reassigned[i] }
+// isReassigned returns the stored result of computeReassigned for a target index.
+func (t *targets) isReassigned(i uint32) bool { return t.reassigned[i] }
 
-// seedOf hashes a target for the selection of upstreams, the same on every balancer.
+// seedOf hashes a target for the selection of upstreams. The result is the same on every
+// balancer.
 func seedOf(x relay.Target) uint64 {
 	address := uint64(x.Address[0])<<40 | uint64(x.Address[1])<<32 | uint64(x.Address[2])<<24 |
 		uint64(x.Address[3])<<16 | uint64(x.Port)
--- a/internal/flow/table/table.go
+++ b/internal/flow/table/table.go
@@ -9,7 +9,7 @@
 // State is the state of a flow.
 type State uint8
 
-// The states of an entry; Empty marks a free array slot. When two replicas differ, the higher state
+// The states of an entry. Empty marks a free array slot. If two replicas differ, the higher state
 // prevails.
 const (
 	Empty State = iota
@@ -27,15 +27,15 @@
 	CopyPackets uint8
 	// Upstream is the index of the flow's upstream in the router's targets.
 	Upstream uint32
-	// LastSeen and LastCopied are the times of the last packet and of the last one sent through the
-	// other replicas, in seconds.
+	// LastSeen is the time of the last packet, and LastCopied the time of the last packet sent
+	// through the other replicas. Both are in seconds.
 	LastSeen   uint32
 	LastCopied uint32
 	// Version is the version of the slot's replicas that CopyPackets refers to.
 	Version uint16
 }
 
-// FullError reports the limit that is reached.
+// FullError reports which limit is reached.
 type FullError struct {
 	Limit string
 	Size  int
@@ -102,7 +102,8 @@
 	return e
 }
 
-// Find returns the flow's entry or nil. The entry is valid until the next Insert or Remove.
+// Find returns the flow's entry, or nil if there is none. The entry is valid until the next
+// Insert or Remove.
 func (t *Table) Find(k key.Key, hash uint64) *Entry {
 	for i := hash & t.mask; ; i = (i + 1) & t.mask {
 		e := &t.slots[i]
@@ -185,6 +186,8 @@
 	return i
 }
 
+// shiftBack closes a hole by backward-shift deletion. Each following entry moves into the hole,
+// unless the entry would then precede its home slot.
 func (t *Table) shiftBack(hole uint64) {
 	for i := (hole + 1) & t.mask; t.slots[i].State != Empty; i = (i + 1) & t.mask {
 		home := t.slots[i].Key.Hash() & t.mask
