--- a/internal/fanout/assignment/assignment.go
+++ b/internal/fanout/assignment/assignment.go
@@ -10,17 +10,17 @@
 )
 
 const (
-	// maxPropagation is how long a change of the balancer list takes to reach all balancers:
-	// four levels of the tree, each with a poll that is held for at most 0.8 s.
+	// maxPropagation is how long a change of the balancer list takes to reach all balancers: four
+	// levels of the tree, at each of which a poll is held for at most 0.8 s.
 	maxPropagation = 3200 * time.Millisecond
-	// overlap is how long a list stays valid after its successor arrived: a balancer owns a
-	// key only if all valid lists assign it. It is twice maxPropagation: a balancer that leaves
-	// and rejoins may receive the later list first and keep its keys, while the others may
-	// receive that list another maxPropagation later.
+	// overlap is how long a list stays valid after its successor arrived. A balancer owns a key
+	// only if all valid lists assign the key to it. overlap is twice maxPropagation: a balancer
+	// that leaves and rejoins may receive the later list first and keep its keys, while other
+	// balancers may receive that list another maxPropagation later.
 	overlap = 2 * maxPropagation
-	// startupGrace is how long a balancer owns no keys after its start. Restarted voters
-	// receive the members of the fleet in reports every 5 s; a list of only a few balancers
-	// would assign all keys to them.
+	// startupGrace is how long a balancer owns no keys after its start. Restarted voters learn
+	// the members of the fleet from reports every 5 s. Until then, their lists hold only a few
+	// balancers and would assign all keys to them.
 	startupGrace = 6 * time.Second
 )
 
@@ -32,9 +32,9 @@
 
 // Assignment decides which keys one balancer owns. It must be used by one goroutine only.
 //
-// A key belongs to the balancer with the highest rendezvous weight, so that a balancer that
-// joins or leaves moves only its own keys. Two balancers may own the same key for a while if
-// their lists differ for longer than overlap.
+// A key belongs to the balancer with the highest rendezvous weight, so that a balancer that joins
+// or leaves moves only its own keys. If the lists of two balancers differ for longer than
+// overlap, both may own the same key for a while.
 type Assignment struct {
 	self    uint64
 	started time.Time
@@ -43,7 +43,8 @@
 	known []string
 }
 
-// New returns the assignment of a balancer that starts at now and is known by the address self.
+// New returns the assignment of a balancer that starts at now. self is the address by which the
+// lists name it.
 func New(now time.Time, self string) *Assignment {
 	return &Assignment{self: xxhash.Sum64String(self), started: now}
 }
--- a/internal/fanout/assignment/assignment_test.go
+++ b/internal/fanout/assignment/assignment_test.go
@@ -53,8 +53,8 @@
 	}
 }
 
-// Guards against restarted balancers that all send flows to the same cold upstream. For the first
-// seconds each knows only itself or a few others, and a balancer alone in its list owns every key.
+// Balancers restart, and for the first seconds each knows only itself or a few others. A balancer
+// alone in its list owns every key, so all of them sent flows to the same cold upstream.
 func TestStartingBalancerOwnsNoKeys(t *testing.T) {
 	a := assignment.New(epoch, "me")
 	require.False(t, a.Owns(epoch.Add(time.Hour), 7), "the list is empty")
@@ -120,10 +120,10 @@
 	})
 }
 
-// Guards against a key with two owners for a millisecond. A balancer left the list and rejoined
-// 2.2 s later. It received the second change first and kept its keys; another balancer received
-// that change 1 s later. With an overlap of one propagation time, the list without the first
-// balancer was the only valid one there, while the second change was still propagating.
+// A balancer left the list and rejoined 2.2 s later. It received the second change first and kept
+// its keys; another balancer received that change 1 s later. With an overlap of only one
+// propagation time, the other balancer held just the list without the first one by then, and a
+// key had two owners for a millisecond.
 func TestBalancerThatMissedItsOwnRemovalKeepsItsKeys(t *testing.T) {
 	all := names(8)
 	without := slices.Delete(slices.Clone(all), 6, 7)
@@ -137,7 +137,7 @@
 			a.Set(epoch, without)
 			others = append(others, a)
 		}
-		// Up to the latest time at which the others may not have received the rejoining.
+		// Until 5,200 ms, other balancers may not have received the second change.
 		for now := time.Duration(0); now <= 5200*time.Millisecond; now += 100 * time.Millisecond {
 			for _, a := range others {
 				require.False(t, left.Owns(epoch.Add(now), key) && a.Owns(epoch.Add(now), key), "at %s", now)
--- a/internal/fanout/bootstrap/bootstrap.go
+++ b/internal/fanout/bootstrap/bootstrap.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// responseTimeout is how long the polled voter may take before another one is polled as well: several
-// times what a voter on a quarter of a core takes while 200 balancers start.
+// responseTimeout is how long the polled voter may take before another voter is polled as well.
+// It is several times what a voter on a quarter of a core takes while 200 balancers start.
 const responseTimeout = 150 * time.Millisecond
 
 // Sequencer decides which voter is polled during startup. The zero value is ready for use.
 type Sequencer struct {
-	// current is the polled voter, and since the time of its poll.
+	// current is the polled voter, and since is the time of its poll.
 	current string
 	since   time.Time
 	// done is set once a voter has sent a complete state.
@@ -17,7 +17,8 @@
 	incomplete map[string]bool
 }
 
-// Allow reports whether a connected voter is to be polled now, and if so makes it the current one.
+// Allow reports whether a connected voter is to be polled now. Until the startup ends, such a
+// voter becomes the current one, unless its earlier response was incomplete.
 func (t *Sequencer) Allow(now time.Time, voter string) bool {
 	if t.done || t.incomplete[voter] {
 		return true
@@ -29,8 +30,9 @@
 	return true
 }
 
-// RecordResponse records that a voter answered, and whether its state was complete. A voter with an
-// empty disk has an incomplete state. The result reports whether this response ends the startup.
+// RecordResponse records that a voter answered, and whether its state was complete. The state of
+// a voter with an empty disk is incomplete. The result reports whether this response ends the
+// startup.
 func (t *Sequencer) RecordResponse(voter string, complete bool) bool {
 	if t.done {
 		return false
--- a/internal/fanout/bootstrap/bootstrap_test.go
+++ b/internal/fanout/bootstrap/bootstrap_test.go
@@ -32,9 +32,8 @@
 	require.True(t, x.Allow(at(1), "v2"))
 }
 
-// Guards against balancers that stay unready for seconds although voters answer. After all VMs lost
-// power, a voter with an empty disk answered first, and was polled again each time before any other
-// voter.
+// All VMs lose power, and a voter with an empty disk answers first. It was polled again each time
+// before any other voter, so balancers stayed unready for seconds although other voters answered.
 func TestIncompleteVoterDoesNotBlockOthers(t *testing.T) {
 	var x bootstrap.Sequencer
 	require.True(t, x.Allow(at(0), "empty"))
--- a/internal/fanout/chunk/chunk.go
+++ b/internal/fanout/chunk/chunk.go
@@ -7,9 +7,9 @@
 	"wasabideal/internal/upstream/directory"
 )
 
-// maxNotices limits a response: once it has that many notices, those of further voters are
-// deferred. 500 notices are 20 kB compressed, which a link of 2 Mbit/s delivers to ten followers
-// within a second.
+// maxNotices limits a response. Once the response has that many notices, the notices of further
+// voters are deferred. 500 notices are 20 kB compressed, which a link of 2 Mbit/s delivers to ten
+// followers within a second.
 const maxNotices = 500
 
 // Chunker limits and orders responses to the balancers of an availability zone.
@@ -18,9 +18,10 @@
 // New returns a Chunker for followers in a zone.
 func New(zone string) Chunker { return Chunker{zone: zone} }
 
-// Fill adds the notices to the voters' updates, first for voters of the follower's zone, to which
-// the upstreams of the zone announce themselves. Once maxNotices is reached, the remaining updates
-// are reduced to their age, so that the follower requests their notices with its next poll.
+// Fill adds the notices to the voters' updates. Voters of the follower's zone come first, since
+// the upstreams of the zone announce themselves to them. Once maxNotices is reached, the
+// remaining updates are reduced to the voter's name and age, so that the follower requests their
+// notices with its next poll.
 func (c Chunker) Fill(all []origins.Update, notices func(origins.Update) []directory.Notice) {
 	filled := 0
 	for _, i := range c.order(all) {
@@ -36,7 +37,8 @@
 	}
 }
 
-// order returns the indices of the updates, those from voters of the follower's zone first.
+// order returns the indices of the updates. Updates from voters of the follower's zone come
+// first.
 func (c Chunker) order(all []origins.Update) []int {
 	order := make([]int, 0, len(all))
 	for i := range all {
--- a/internal/fanout/chunk/chunk_test.go
+++ b/internal/fanout/chunk/chunk_test.go
@@ -32,8 +32,8 @@
 	}
 }
 
-// Guards against followers that are sent the whole fleet in one response, time out, and request the
-// same again.
+// A follower starts and lacks the whole fleet. If it were sent in one response, the poll would
+// time out, and the follower would request the same again.
 func TestStartingFollowerReceivesFleetInChunks(t *testing.T) {
 	for _, c := range []struct{ voters, each, responses, largest int }{
 		{25, 400, 13, 800},
@@ -70,7 +70,8 @@
 	}
 }
 
-// Guards against voters that count as unreachable while their notices are deferred.
+// Notices of some voters are deferred to a later response. These voters must not count as
+// unreachable in the meantime.
 func TestResponseHasContactOfAllVoters(t *testing.T) {
 	above, notices := parent(25, 400)
 	all, _ := above.UpdatesSince(epoch.Add(time.Second), nil)
--- a/internal/fanout/member/doc.go
+++ b/internal/fanout/member/doc.go
@@ -1,2 +1,2 @@
-// Package member describes a balancer to the voters and balancers that it follows.
+// Package member describes a balancer to the voters and balancers that it polls.
 package member
--- a/internal/fanout/members/members.go
+++ b/internal/fanout/members/members.go
@@ -8,8 +8,8 @@
 	"wasabideal/internal/fanout/member"
 )
 
-// ReportInterval is the interval of a balancer's reports of its followers. A report of 80 members
-// is 3 kB; every five seconds that is 0.6 kB/s from a root.
+// ReportInterval is how often a balancer reports its followers. A report of 80 members is 3 kB;
+// every five seconds that is 0.6 kB/s from a root.
 const ReportInterval = 5 * time.Second
 
 // lease is how long a member is kept without refresh. A refresh from three levels below arrives
@@ -38,20 +38,20 @@
 // New returns an empty set of members.
 func New() *Members { return &Members{byAddress: map[string]entry{}, versions: map[string]uint64{}} }
 
-// Refresh records a refresh of a member that took place a.Age before now.
-func (m *Members) Refresh(now time.Time, a Heartbeat) {
-	if a.Member.Address == "" || a.Age > lease {
+// Refresh records that a member was refreshed h.Age before now.
+func (m *Members) Refresh(now time.Time, h Heartbeat) {
+	if h.Member.Address == "" || h.Age > lease {
 		return
 	}
-	refreshed := now.Add(-a.Age)
-	old, known := m.byAddress[a.Member.Address]
+	refreshed := now.Add(-h.Age)
+	old, known := m.byAddress[h.Member.Address]
 	if known && old.refreshed.After(refreshed) {
 		return
 	}
-	m.byAddress[a.Member.Address] = entry{Member: a.Member, refreshed: refreshed}
-	if old.Member != a.Member {
+	m.byAddress[h.Member.Address] = entry{Member: h.Member, refreshed: refreshed}
+	if old.Member != h.Member {
 		m.bump(old.Zone, known)
-		m.bump(a.Member.Zone, true)
+		m.bump(h.Member.Zone, true)
 	}
 }
 
@@ -77,7 +77,7 @@
 // Len returns the number of members of all zones.
 func (m *Members) Len() int { return len(m.byAddress) }
 
-// Zone returns the members of an availability zone in the order of their addresses.
+// Zone returns the members of an availability zone, sorted by address.
 func (m *Members) Zone(zone string) []member.Member {
 	var out []member.Member
 	for _, e := range m.byAddress {
--- a/internal/fanout/members/members_test.go
+++ b/internal/fanout/members/members_test.go
@@ -30,9 +30,9 @@
 	require.Equal(t, uint64(2), m.Version("a"), "a refresh does not change the version")
 }
 
-// Guards against failed balancers that stay in the list for minutes: two balancers reported the same
-// follower to each other, and each report renewed its lease as of the report's arrival instead of
-// the follower's last refresh.
+// Two balancers reported the same follower to each other. Each report renewed the follower's
+// lease as of the report's arrival instead of the follower's last refresh, so failed balancers
+// stayed in the list for minutes.
 func TestRelayedReportDoesNotExtendLease(t *testing.T) {
 	m := members.New()
 	for s := range 40 {
--- a/internal/fanout/membership/membership.go
+++ b/internal/fanout/membership/membership.go
@@ -15,7 +15,8 @@
 // their followers to restarted voters within seconds.
 const retention = 30 * time.Second
 
-// List holds the balancers known to one source. Life and Version identify the list at the source.
+// List holds the balancers known to one source, a voter or balancer. Life identifies the run of
+// the source's process, and Version the list within that run.
 type List struct {
 	Life, Version uint64
 	Members       []member.Member
@@ -26,7 +27,7 @@
 	lists map[string]List
 	// retained maps balancers of replaced or dropped lists to the time until which they are kept.
 	retained map[member.Member]time.Time
-	// expires is the earliest of these times.
+	// expires is the earliest time in retained.
 	expires time.Time
 	merged  []member.Member
 	version uint64
@@ -63,7 +64,7 @@
 	}
 }
 
-// Tick removes expired balancers and reports whether Members changed.
+// Tick removes balancers whose retention has ended, and reports whether Members changed.
 func (c *Membership) Tick(now time.Time) bool {
 	if len(c.retained) == 0 || now.Before(c.expires) {
 		return false
@@ -100,7 +101,7 @@
 	}
 }
 
-// Members returns all listed or retained balancers in the order of their addresses.
+// Members returns all listed or retained balancers, sorted by address.
 func (c *Membership) Members() []member.Member { return c.merged }
 
 // Addresses returns the RPC addresses of Members.
--- a/internal/fanout/membership/membership_test.go
+++ b/internal/fanout/membership/membership_test.go
@@ -31,9 +31,9 @@
 	require.Equal(t, version, c.Version(), "the members are unchanged")
 }
 
-// Guards against all balancers of a zone changing their parents twice within seconds. Restarted
-// voters at first know only the balancers that poll them, and balancers missing from their lists
-// were removed at once.
+// Voters restart and at first know only the balancers that poll them. Balancers missing from
+// their lists were removed at once, so all balancers of a zone changed their parents twice within
+// seconds.
 func TestIncompleteListRemovesNoBalancerAtOnce(t *testing.T) {
 	c := membership.New()
 	c.SetList(epoch, "v1", list(1, "b1", "b2", "b3"))
--- a/internal/fanout/origins/origins.go
+++ b/internal/fanout/origins/origins.go
@@ -14,15 +14,15 @@
 type VoterVersion struct {
 	_     struct{} `cbor:",toarray"`
 	Voter string
-	// Life changes when the voter restarts. Within a life, Version rises with the voter's notices
-	// and Doubts with its suspicions.
+	// Life identifies the run of the voter's process and changes with each restart. Within a
+	// life, Version rises with the voter's notices and Doubts with its suspicions.
 	Life, Version, Doubts uint64
 	// Age is the time since the last contact with the voter.
 	Age time.Duration
 }
 
 // Update is an update from one voter, as it is relayed. If Life is 0, only Voter and Age are set.
-// Even in that short form, updates from five voters are a third of the bytes of a response without
+// Even in that short form, updates from five voters make up a third of a response without
 // changes.
 type Update struct {
 	_ struct{} `cbor:",toarray"`
@@ -31,8 +31,8 @@
 	Zone string
 	// Notices are the upstream changes after the version that was requested.
 	Notices []directory.Notice
-	// Subjects lists all suspicions of the voter if Doubted is set; otherwise the receiver keeps
-	// those that it has.
+	// Subjects lists all suspicions of the voter if Doubted is set. Otherwise the receiver keeps
+	// the suspicions that it has.
 	Subjects []evidence.Suspicion
 	Doubted  bool
 }
@@ -46,7 +46,8 @@
 	life, version, suspicionsVersion uint64
 	zone                             string
 	contact                          time.Time
-	// suspicions are the voter's suspicions as received at suspicionsAt.
+	// suspicions are the voter's suspicions as received at suspicionsAt. They are encoded as
+	// Subjects, and suspicionsVersion as Doubts.
 	suspicions   []evidence.Suspicion
 	suspicionsAt time.Time
 }
@@ -67,7 +68,7 @@
 	return VoterVersion{Voter: voter, Life: s.life, Version: s.version, Doubts: s.suspicionsVersion, Age: now.Sub(s.contact)}
 }
 
-// VoterVersions returns the version received of each voter's state, in the order of their names.
+// VoterVersions returns the version received of each voter's state, sorted by voter name.
 func (o *Origins) VoterVersions(now time.Time) []VoterVersion {
 	out := make([]VoterVersion, 0, len(o.byVoter))
 	for _, voter := range slices.Sorted(maps.Keys(o.byVoter)) {
@@ -76,8 +77,8 @@
 	return out
 }
 
-// Accepts reports whether an update is not older than the state held for its voter. Relay paths
-// differ in delay, so an update of an earlier life or version may arrive late.
+// Accepts reports whether an update is at least as new as the state held for its voter. Relay
+// paths differ in delay, so an update of an earlier life or version may arrive late.
 func (o *Origins) Accepts(now time.Time, x Update) bool {
 	s, held := o.byVoter[x.Voter]
 	switch {
@@ -118,7 +119,7 @@
 	return changed
 }
 
-// CountFresh returns the number of voters whose last contact is at most a duration ago.
+// CountFresh returns the number of voters whose last contact is at most the given duration ago.
 func (o *Origins) CountFresh(now time.Time, within time.Duration) int {
 	fresh := 0
 	for _, s := range o.byVoter {
@@ -129,15 +130,16 @@
 	return fresh
 }
 
-// Zone returns the availability zone of a voter, or an empty string if it is not known.
+// Zone returns the availability zone of a voter, or an empty string if the zone is not known.
 func (o *Origins) Zone(voter string) string { return o.byVoter[voter].zone }
 
 // Forget removes a process that is no longer a voter.
 func (o *Origins) Forget(voter string) { delete(o.byVoter, voter) }
 
-// UpdatesSince returns the updates, without notices, for a balancer that holds the given versions,
-// and whether any of them is a change. State of a voter that is newer there than here does not count
-// as a change; otherwise that balancer would poll again at once in an endless loop.
+// UpdatesSince returns the updates, without notices, for a balancer that holds the given
+// versions, and whether any of them is a change. If that balancer holds newer state of a voter
+// than this one, this is not a change; otherwise that balancer would poll again at once in an
+// endless loop.
 func (o *Origins) UpdatesSince(now time.Time, known []VoterVersion) ([]Update, bool) {
 	held := make(map[string]VoterVersion, len(known))
 	for _, k := range known {
@@ -163,8 +165,8 @@
 	return out, changed
 }
 
-// ahead reports whether this balancer holds newer state of the voter (local) than another balancer
-// (remote). found is false if the other one holds none.
+// ahead reports whether this balancer holds newer state of the voter (local) than another
+// balancer (remote). found is false if the other balancer holds none.
 func (s state) ahead(local, remote VoterVersion, found bool) bool {
 	switch {
 	case !found:
--- a/internal/fanout/origins/origins_test.go
+++ b/internal/fanout/origins/origins_test.go
@@ -17,8 +17,8 @@
 	return origins.Update{VoterVersion: origins.VoterVersion{Voter: "v1", Life: life, Version: version, Age: age}}
 }
 
-// Guards against new flows to a withdrawn upstream. A balancer changes to a parent with an older
-// version of a voter's state, and the update received last was applied instead of the newest.
+// A balancer changes to a parent with an older version of a voter's state. The update received
+// last was applied instead of the newest, so a withdrawn upstream got new flows.
 func TestOlderVersionIsRejected(t *testing.T) {
 	o := origins.New()
 	require.True(t, o.Apply(epoch, update(1, 7, 0)))
@@ -28,8 +28,8 @@
 	require.False(t, o.Apply(epoch, update(1, 7, 0)), "the same version is no change")
 }
 
-// Guards against balancers that detect a voter's restart twice and keep removed upstreams. After a
-// restart, a slow parent still relays updates of the earlier life, and lives have no order.
+// A voter restarts, and a slow parent still relays updates of the earlier life. Lives have no
+// order, so balancers detected the restart twice and kept removed upstreams.
 func TestEarlierLifeIsRejected(t *testing.T) {
 	o := origins.New()
 	o.Apply(epoch, update(1, 7, 0))
@@ -50,8 +50,8 @@
 	require.Zero(t, second.CountFresh(epoch.Add(3*time.Second), 2*time.Second))
 }
 
-// Guards against a balancer that polls its parent thousands of times a second. It holds newer state
-// of a voter than its parent, and every difference counted as a change.
+// A balancer holds newer state of a voter than its parent. Every difference counted as a change,
+// so the balancer polled its parent thousands of times a second.
 func TestNewerRemoteStateIsNoChange(t *testing.T) {
 	o := origins.New()
 	o.Apply(epoch, update(1, 7, 0))
@@ -93,7 +93,7 @@
 }
 
 // For random relay paths and orders, no balancer returns to an earlier version or life, and no
-// reported age is lower than the true one.
+// reported age is lower than the true age.
 func TestStateNeverRegressesForRandomPaths(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const balancers = 4
@@ -141,8 +141,8 @@
 	})
 }
 
-// Guards against balancers that regard a healthy voter without changes as unreachable. A parent
-// without changes of the voter for seconds relayed nothing in that time.
+// A healthy voter has no changes for seconds. Its contact was not relayed in that time, so
+// balancers regarded the voter as unreachable.
 func TestContactIsRelayedWithoutChanges(t *testing.T) {
 	parent, child := origins.New(), origins.New()
 	for s := range 5 {
--- a/internal/fanout/pacing/doc.go
+++ b/internal/fanout/pacing/doc.go
@@ -1,3 +1,3 @@
-// Package pacing limits the rate of responses to many receivers: a burst of updates is sent in
-// batches, and a single update without delay.
+// Package pacing limits the rate of responses to many receivers: a single update is sent without
+// delay, and a burst of updates in batches.
 package pacing
--- a/internal/fanout/pacing/pacing.go
+++ b/internal/fanout/pacing/pacing.go
@@ -2,12 +2,13 @@
 
 import "time"
 
-// Pacer holds when updates were last sent and when the next are due. The zero value is ready for
-// use; it is not safe for concurrent use.
+// Pacer holds when updates were last sent, and when they are sent next. The zero value is ready
+// for use; it is not safe for concurrent use.
 type Pacer struct{ lastSent, due time.Time }
 
-// Schedule schedules an update, at the earliest a pause after the last send. It returns when the
-// caller must send and call Sent, and false if that is already scheduled.
+// Schedule schedules an update, at the earliest a pause after the last send. It returns when
+// updates are sent next. It also returns true if the caller must send then and call Sent, and
+// false if an earlier call has already scheduled the send.
 func (p *Pacer) Schedule(now time.Time, pause time.Duration) (time.Time, bool) {
 	if !p.due.IsZero() {
 		return p.due, false
--- a/internal/fanout/pacing/pacing_test.go
+++ b/internal/fanout/pacing/pacing_test.go
@@ -20,7 +20,8 @@
 	require.Equal(t, epoch, due)
 }
 
-// Guards against a burst of responses while hundreds of upstreams fail together.
+// Hundreds of upstreams fail together. The updates must be sent in one response per pause, not in
+// one response each.
 func TestBurstIsSentOncePerPause(t *testing.T) {
 	var p pacing.Pacer
 	sends := 0
--- a/internal/fanout/relay/relay.go
+++ b/internal/fanout/relay/relay.go
@@ -18,16 +18,16 @@
 const (
 	// followerExpiry is how long a balancer counts as a follower after its last poll.
 	followerExpiry = 2 * time.Second
-	// noticeInterval is the minimum time between two wake-ups for upstream notices; voters limit
-	// theirs similarly. Without it, five voters would wake all followers up to fifty times a second.
-	// With three levels of balancers, a departure reaches all of them within a second.
+	// noticeInterval is the minimum time between two wake-ups for upstream notices; voters have a
+	// similar limit. Without it, five voters would wake all followers up to fifty times a second.
+	// With three levels of balancers, a departure reaches all balancers within a second.
 	noticeInterval = 250 * time.Millisecond
-	// suspicionDelay is how long a response with suspicions waits for those of other voters, which
-	// receive the same reports within some milliseconds.
+	// suspicionDelay is how long a response with suspicions of one voter waits for the suspicions
+	// of other voters, which receive the same reports within some milliseconds.
 	suspicionDelay = 10 * time.Millisecond
-	// responseInterval is the minimum time between two responses with updates to a follower, except for
-	// configurations and evacuations. Without it, hundreds of upstreams that fail together would
-	// cause a continuous exchange of polls and responses.
+	// responseInterval is the minimum time between two responses with updates to a follower. It
+	// does not apply to configurations and evacuations. Without it, hundreds of upstreams that
+	// fail together would cause a continuous exchange of polls and responses.
 	responseInterval = 50 * time.Millisecond
 )
 
@@ -59,12 +59,12 @@
 	// Fleet lists the balancers of the zone, nil if the follower has the current version.
 	Fleet        []member.Member `cbor:",omitempty"`
 	FleetVersion uint64
-	// Held is how long the poll was held. The rest of the round trip adds to the age of the
-	// content of the response.
+	// Held is how long this balancer held the poll. The follower adds the rest of the round-trip
+	// time to the age of the updates.
 	Held time.Duration
 	// Balancers is the number of known balancers in all zones.
 	Balancers int `cbor:",omitempty"`
-	// Evacuations holds the evacuation orders, if newer than those of the follower.
+	// Evacuations holds the evacuation orders if they are newer than those of the follower.
 	Evacuations *evacuation.Evacuations `cbor:",omitempty"`
 }
 
@@ -80,10 +80,10 @@
 
 func (*LeavingError) Error() string { return "this balancer is shutting down; follow another one" }
 
-// Source is the source of the responses.
+// Source provides the state that is relayed.
 type Source interface {
 	// Updates answers a poll, and reports whether the response contains updates for the follower.
-	Updates(now time.Time, q Request) (Response, bool)
+	Updates(now time.Time, req Request) (Response, bool)
 	// ShuttingDown reports whether the balancer is shutting down.
 	ShuttingDown() bool
 }
@@ -96,11 +96,11 @@
 	mu           sync.Mutex
 	// changed is closed and replaced to wake the held polls.
 	changed chan struct{}
-	// lastWake is when held polls were last woken, nextWake when the next wake-up is scheduled, zero
-	// if none is.
+	// lastWake is when held polls were last woken. nextWake is when the next wake-up is
+	// scheduled, or zero.
 	lastWake, nextWake time.Time
-	// lastRequest is the time of each follower's last poll, lastUpdate the time of the last response
-	// with updates to each.
+	// lastRequest is the time of each follower's last poll, and lastUpdate the time of the last
+	// response with updates to each follower.
 	lastRequest, lastUpdate map[string]time.Time
 }
 
@@ -117,22 +117,23 @@
 	rpc.Handle(s, SinceMethod, token, r.Since)
 }
 
-// Since answers a poll as soon as there are updates, or without any at the end of its hold.
-func (r *Relay) Since(ctx context.Context, q Request) (Response, error) {
+// Since answers a poll as soon as there are updates. If there are none, it answers at the end of
+// the poll's hold.
+func (r *Relay) Since(ctx context.Context, req Request) (Response, error) {
 	received := r.clock()
-	if err := r.admit(received, q.From); err != nil {
+	if err := r.admit(received, req.From); err != nil {
 		return Response{}, err
 	}
-	hold := time.NewTimer(q.Hold)
+	hold := time.NewTimer(req.Hold)
 	defer hold.Stop()
 	for {
 		changed := r.changedChannel()
 		now := r.clock()
-		a, updated := r.source.Updates(now, q)
-		a.Held = now.Sub(received)
-		pause := r.responseDelay(now, q, a, updated)
+		resp, updated := r.source.Updates(now, req)
+		resp.Held = now.Sub(received)
+		pause := r.responseDelay(now, req, resp, updated)
 		if updated && pause <= 0 {
-			return a, nil
+			return resp, nil
 		}
 		if r.source.ShuttingDown() {
 			return Response{}, &LeavingError{}
@@ -142,29 +143,29 @@
 		case <-changed:
 		case <-hold.C:
 			now = r.clock()
-			a, _ = r.source.Updates(now, q)
-			a.Held = now.Sub(received)
-			return a, nil
+			resp, _ = r.source.Updates(now, req)
+			resp.Held = now.Sub(received)
+			return resp, nil
 		case <-ctx.Done():
-			return a, nil
+			return resp, nil
 		}
 	}
 }
 
-// responseDelay returns how long a response with updates must wait, 0 if it may be sent now or has no
-// updates. It records the time of a response with updates that may be sent.
-func (r *Relay) responseDelay(now time.Time, q Request, a Response, updated bool) time.Duration {
+// responseDelay returns how long a response must wait. The result is 0 if the response has no
+// updates or may be sent now. In the latter case, responseDelay records the time of the response.
+func (r *Relay) responseDelay(now time.Time, req Request, resp Response, updated bool) time.Duration {
 	if !updated {
 		return 0
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if a.Revision <= q.Revision && a.Evacuations == nil {
-		if pause := r.lastUpdate[q.From].Add(responseInterval).Sub(now); pause > 0 {
+	if resp.Revision <= req.Revision && resp.Evacuations == nil {
+		if pause := r.lastUpdate[req.From].Add(responseInterval).Sub(now); pause > 0 {
 			return pause
 		}
 	}
-	r.lastUpdate[q.From] = now
+	r.lastUpdate[req.From] = now
 	return 0
 }
 
@@ -176,7 +177,8 @@
 	return time.After(pause)
 }
 
-// admit records a poll, and rejects a new follower beyond the maximum.
+// admit records a poll. It rejects a new follower if this balancer has the maximum number of
+// followers.
 func (r *Relay) admit(now time.Time, from string) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/fanout/relay/relay_test.go
+++ b/internal/fanout/relay/relay_test.go
@@ -19,10 +19,10 @@
 	leaving  bool
 }
 
-func (c *content) Updates(_ time.Time, q relay.Request) (relay.Response, bool) {
+func (c *content) Updates(_ time.Time, req relay.Request) (relay.Response, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return relay.Response{Revision: c.revision}, c.revision > q.Revision
+	return relay.Response{Revision: c.revision}, c.revision > req.Revision
 }
 
 func (c *content) ShuttingDown() bool {
@@ -66,8 +66,8 @@
 			}()
 			require.Eventually(t, func() bool { return r.Followers() == 1 }, 20*time.Second, time.Millisecond)
 			x.set(7, false)
-			// A second signal before the first wake-up must be harmless. The wake-up comes within
-			// noticeInterval.
+			// A second signal before the first wake-up must have no effect. The wake-up comes
+			// within noticeInterval.
 			c.wake(r)
 			c.wake(r)
 			require.Equal(t, uint64(7), (<-responses).Revision)
@@ -82,8 +82,8 @@
 	require.GreaterOrEqual(t, a.Held, 10*time.Millisecond)
 }
 
-// Guards against a balancer whose narrow link is full, so that its followers receive changes late.
-// Most balancers of its level had failed, and all balancers of the next level followed it.
+// Most balancers of a level fail, and all balancers of the next level follow the remaining one.
+// If it accepted them all, its narrow link would be full and they would receive changes late.
 func TestFollowersAreBounded(t *testing.T) {
 	r := relay.New(&content{revision: 1}, time.Now, 4)
 	for i := range 4 {
@@ -98,8 +98,8 @@
 	require.NoError(t, err, "current followers are still answered")
 }
 
-// Guards against followers that receive no updates for a second after a planned stop of their
-// parent. Their polls ended only when the parent's process exited.
+// A parent was stopped as planned, but the held polls of its followers ended only when its
+// process exited. The followers received no updates for a second.
 func TestShutdownEndsHeldPolls(t *testing.T) {
 	c := &content{}
 	r := relay.New(c, time.Now, 4)
@@ -122,8 +122,8 @@
 	return relay.Response{}, true
 }
 
-// Guards against a continuous exchange of polls and responses while hundreds of upstreams fail
-// together: each response is followed by the next poll.
+// Hundreds of upstreams fail together, and each response is followed by the next poll. Responses
+// must be batched, or polls and responses follow each other continuously.
 func TestBurstOfUpdatesIsBatched(t *testing.T) {
 	r := relay.New(&updating{}, time.Now, 4)
 	const responses, least = 5, 40 * time.Millisecond
--- a/internal/fanout/rendezvous/rendezvous.go
+++ b/internal/fanout/rendezvous/rendezvous.go
@@ -21,8 +21,9 @@
 	return n
 }
 
-// First returns the names of up to limit nodes with the highest weights for a key, highest first. If
-// there are no more than limit nodes, it returns all names in their given order.
+// First returns the names of up to limit nodes with the highest weights for a key, in descending
+// order of weight. If there are no more than limit nodes, it returns all names in their given
+// order.
 func (n Nodes) First(key uint64, limit int) []string {
 	if len(n.names) <= limit {
 		return n.names
@@ -44,7 +45,8 @@
 	return out
 }
 
-// Weight returns the weight of a key at the node with a hash, computed by the finalizer of SplitMix64.
+// Weight returns the weight of a key at a node; node is the hash of the node's name. It uses the
+// finalizer of SplitMix64.
 func Weight(node, key uint64) uint64 {
 	x := node ^ key
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
--- a/internal/fanout/selection/fleet_test.go
+++ b/internal/fanout/selection/fleet_test.go
@@ -24,9 +24,9 @@
 const (
 	voterHold, voterGrace   = 800 * time.Millisecond, 700 * time.Millisecond
 	parentHold, parentGrace = 600 * time.Millisecond, 400 * time.Millisecond
-	// voterUpdateInterval and relayUpdateInterval are the minimum times between two responses with
-	// updates from a voter and from a balancer. maxUpdatesPerSecond limits a voter's responses with
-	// updates per second.
+	// voterUpdateInterval and relayUpdateInterval are the minimum times between two responses
+	// with updates, from a voter and from a balancer. maxUpdatesPerSecond limits a voter's
+	// responses with updates.
 	voterUpdateInterval, relayUpdateInterval = 100 * time.Millisecond, 250 * time.Millisecond
 	maxUpdatesPerSecond                      = 100
 	tickEvery                                = 100 * time.Millisecond
@@ -51,8 +51,9 @@
 type process struct {
 	name, zone string
 	voter      bool
-	// starts counts the process starts. poweredOff means that the process is down, partitioned that
-	// it is cut off from every other process, votersPartitioned from the voters only.
+	// starts counts the process starts. poweredOff means that the process is down. partitioned
+	// means that it is cut off from every other process, and votersPartitioned from the voters
+	// only.
 	starts                                     int
 	poweredOff, partitioned, votersPartitioned bool
 	pausedUntil                                time.Time
@@ -99,7 +100,8 @@
 
 func newModel(seed uint64, zones, each int) *model { return newModelOf(seed, zones, each, voters) }
 
-// newModelOf returns a model with the given number of voters.
+// newModelOf returns a model with the given number of voters and zones, and each balancers per
+// zone.
 func newModelOf(seed uint64, zones, each, voters int) *model {
 	m := &model{
 		Clock: virtual.Clock{Now: epoch}, random: rand.New(rand.NewPCG(seed, 3)), shape: tree.Shape{Small: 8, Roots: 4, Fanout: 8},
@@ -575,8 +577,8 @@
 	require.Empty(t, m.late)
 }
 
-// Guards against control traffic that grows faster than the number of voters, whose state reaches
-// all balancers.
+// The state of each voter reaches all balancers. The control traffic must not grow faster than
+// the number of voters.
 func TestBytesGrowNoFasterThanVoters(t *testing.T) {
 	const many = 25
 	most := map[int]int{}
@@ -636,9 +638,9 @@
 	}
 }
 
-// Balancers without recent faults receive each change in time, whatever fails among 1,000: balancers
-// that pause, lose power, are partitioned from every process or from the voters, or restart in
-// bulk, including all roots of a zone; lost messages; and voters that restart.
+// Balancers without recent faults receive each change in time, whatever fails among 1,000.
+// Balancers pause, lose power, are partitioned from every process or from the voters, or restart
+// in bulk, including all roots of a zone. Messages are lost, and voters restart.
 func TestChangesArriveInTimeDespiteFailures(t *testing.T) {
 	for seed := range uint64(*runs) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) { runWithFaults(t, seed) })
--- a/internal/fanout/selection/selection.go
+++ b/internal/fanout/selection/selection.go
@@ -8,33 +8,33 @@
 )
 
 const (
-	// startupPeriod is how long after its start a balancer always follows the voters. They send it
-	// the complete state, and voters that started with it know most balancers by then. With 2 s,
-	// most of the voters' load during a rolling restart came from the restarted balancers, which
-	// received each change directly from the voters.
+	// startupPeriod is how long a balancer always follows the voters after its start. The voters
+	// send it the complete state, and voters that started with it know most balancers by then.
+	// With 2 s, most of the voters' load during a rolling restart came from the restarted
+	// balancers, which received each change directly from the voters.
 	startupPeriod = 500 * time.Millisecond
 	// voterSubsetPeriod is how long one voter is enough after a start, and a subset of the voters
-	// after a parent failed. A voter's restored notices, on upstreams that other voters own, remain
-	// valid for four seconds; the period must be shorter. Polling all voters at once would make all
-	// followers of a stopping balancer connect to each of them.
+	// after a parent failed. It must be shorter than the four seconds for which a voter's
+	// restored notices, on upstreams that other voters own, remain valid. If all voters were
+	// polled at once, all followers of a stopping balancer would connect to each voter.
 	voterSubsetPeriod = 2500 * time.Millisecond
 	// avoidPeriod is how long a failed balancer is not polled again.
 	avoidPeriod = 5 * time.Second
-	// candidateTimeout is how long candidates have to replace a failed parent before the voters are
-	// polled as well. A connection and a response take some ms.
+	// candidateTimeout is how long candidates have to replace a failed parent before the voters
+	// are polled as well. A connection and a response take some milliseconds.
 	candidateTimeout = 300 * time.Millisecond
 	// degradedFraction is the fraction of StaleAfter for which a parent may have too few fresh
-	// voters before other sources are polled. The parent's state is StaleAfter old by then, half of
-	// the bound on configurations and departures. With a fraction of 1, a balancer whose parent was
-	// cut off placed a flow by a configuration replaced 6.2 s before, where 5 are allowed. A voter
-	// that restarts answers again within this time.
+	// voters before other sources are polled. The parent's state is already StaleAfter old by
+	// then, which is half of the bound on configurations and departures. With a fraction of 1, a
+	// balancer whose parent was cut off placed a flow by a configuration replaced 6.2 s before,
+	// where 5 are allowed. A voter that restarts answers again within this time.
 	degradedFraction = 0.2
 	// firstProbeFraction is the fraction of StaleAfter over which the first probes of the voters
 	// are spread, so that the balancers of a zone do not poll them all at once.
 	firstProbeFraction = 0.4
-	// probeInterval is the time between two probes of the voters while the parent is degraded, and
-	// probeDuration the length of each probe. Each balancer adds up to one more interval of jitter,
-	// so that not all of them poll recovered voters at once.
+	// probeInterval is the time between two probes of the voters while the parent is degraded,
+	// and probeDuration is the length of each probe. Each balancer adds up to one more interval
+	// of jitter, so that not all balancers poll recovered voters at once.
 	probeInterval = 3 * time.Second
 	probeDuration = 1200 * time.Millisecond
 )
@@ -52,8 +52,8 @@
 
 // Sources are the processes that a balancer polls.
 type Sources struct {
-	// Voters selects the voters. VoterSubset limits them to a few while a parent is expected soon,
-	// and SingleVoter to one because the balancer has just started.
+	// Voters selects the voters. VoterSubset limits them to a few while a parent is expected
+	// soon, and SingleVoter to one after the balancer's start.
 	Voters, VoterSubset, SingleVoter bool
 	// Parents are the polled balancers, the current parent first.
 	Parents []string
@@ -62,10 +62,10 @@
 // Reason is why a balancer changed its parent.
 type Reason string
 
-// Reasons as they appear in the log; the values are fixed, since operators search for them.
+// Reasons as they appear in the log. The values are fixed, since operators search for them.
 // FewerFreshVoters means that fewer voters are fresh at the parent ("hears fewer") than at a
-// candidate, or than answer this balancer directly. Moved and Root mean that the balancer's position
-// in the tree changed, Root to level 0.
+// candidate, or than answer this balancer directly. Moved means that the balancer's position in
+// the tree changed, and Root that it is now on level 0.
 const (
 	Joined           Reason = "candidate answers"
 	Failed           Reason = "parent does not answer"
@@ -74,7 +74,7 @@
 	Root             Reason = "place at the top of the zone"
 )
 
-// Change is a change of parent; an empty parent stands for the voters.
+// Change is a change of parent. An empty Parent means that the balancer follows the voters.
 type Change struct {
 	Parent string
 	Reason Reason
@@ -88,14 +88,14 @@
 	placed   bool
 	// parent is empty while the balancer follows the voters.
 	parent string
-	// parentFailedAt is when the last parent failed, zero if none has. Until voterSubsetUntil a
-	// subset of the voters is enough in its place.
+	// parentFailedAt is when the last parent failed, or zero. Until voterSubsetUntil, a subset of
+	// the voters is enough in place of a parent.
 	parentFailedAt, voterSubsetUntil time.Time
 	// freshVoters is the number of fresh voters at each polled balancer; the key "" holds how many
 	// voters answer this balancer directly.
 	freshVoters map[string]int
-	// degradedSince is when the parent fell below a quorum of fresh voters, zero while it has one.
-	// Without a parent, the voters that answer directly are counted instead.
+	// degradedSince is when the number of fresh voters at the parent fell below the quorum, or
+	// zero. Without a parent, the voters that answer directly are counted instead.
 	degradedSince time.Time
 	// avoidedUntil holds when each avoided balancer may be polled again.
 	avoidedUntil map[string]time.Time
@@ -191,12 +191,14 @@
 	s.trackDegradation(now, s.freshVoters[parent])
 }
 
-// misplaced reports whether the parent is not a candidate of the balancer's current place.
+// misplaced reports whether the balancer has a parent that is not a candidate of its current
+// place.
 func (s *Selection) misplaced() bool {
 	return s.parent != "" && !slices.Contains(s.place.Candidates, s.parent)
 }
 
-// isStale reports whether the source has been degraded for too long.
+// isStale reports whether the parent, or the voters without a parent, has been degraded for too
+// long.
 func (s *Selection) isStale(now time.Time) bool {
 	return !s.degradedSince.IsZero() && now.Sub(s.degradedSince) > s.fractionOfStaleAfter(degradedFraction)
 }
@@ -226,8 +228,8 @@
 	}
 }
 
-// rootSources returns the sources of a root: the voters, and another root if fewer than a quorum of
-// voters answer directly.
+// rootSources returns the sources of a root: the voters, and another root once fewer than a
+// quorum of voters have answered directly for too long.
 func (s *Selection) rootSources(now time.Time) Sources {
 	out := Sources{Voters: true}
 	if s.isStale(now) {
@@ -247,8 +249,9 @@
 	return out
 }
 
-// probeDue reports whether the voters are to be polled in parallel to a degraded parent. The probe
-// shows whether more voters answer directly than are fresh at the parent.
+// probeDue reports whether the voters are to be polled while the balancer still follows a
+// degraded parent. The probe shows whether more voters answer directly than are fresh at the
+// parent.
 func (s *Selection) probeDue(now time.Time) bool {
 	since := now.Sub(s.degradedSince) - s.fractionOfStaleAfter(degradedFraction) - s.fractionOfStaleAfter(firstProbeFraction*s.settings.Jitter)
 	interval := probeInterval + time.Duration(s.settings.Jitter*float64(probeInterval))
--- a/internal/fanout/selection/selection_test.go
+++ b/internal/fanout/selection/selection_test.go
@@ -83,9 +83,9 @@
 	require.True(t, s.Decide(at(time.Second)).VoterSubset)
 }
 
-// Guards against a balancer that knows a fifth of the upstreams four seconds after its start. It
-// found no parent, polled a single voter until it did, and that voter owned only the upstreams of
-// one zone.
+// A balancer found no parent and polled a single voter until it had one. That voter owned only
+// the upstreams of one zone, so the balancer knew a fifth of the upstreams four seconds after its
+// start.
 func TestAllVotersArePolledWithoutParent(t *testing.T) {
 	all := zone(20)
 	s := selection.New(selection.Settings{Self: firstLevelBalancer(t, all), Shape: shape, StaleAfter: staleAfter}, epoch)
@@ -103,9 +103,8 @@
 	}
 }
 
-// Guards against followers that receive no change for seconds after their parent lost power. The
-// next candidate had lost power too, and candidates were polled one after the other, each for its
-// full timeout.
+// A parent lost power, and so did the next candidate. Candidates were polled one after the other,
+// each for its full timeout, so followers received no change for seconds.
 func TestFailedParentIsReplacedByCandidatesThenVoters(t *testing.T) {
 	s, c := newFollowing(t)
 	s.RecordFailure(epoch, c[0])
@@ -116,8 +115,8 @@
 	require.Equal(t, selection.Sources{Parents: c[1:2]}, s.Decide(later))
 }
 
-// Guards against a burst of connections when a balancer stops: each of its followers connected to
-// all voters.
+// A balancer stopped, and each of its followers connected to all voters. The voters received a
+// burst of connections.
 func TestOrphanPollsVoterSubsetFirst(t *testing.T) {
 	s, c := newFollowing(t)
 	s.RecordFailure(epoch, c[0])
@@ -138,8 +137,8 @@
 	require.Equal(t, c[:1], s.Decide(at(6*time.Second)).Parents, "failed candidates are retried")
 }
 
-// Guards against departures that arrive late from a parent that answers but is cut off from the
-// voters: a parent was replaced only once it did not answer.
+// A parent is cut off from the voters but still answers. It was replaced only once it did not
+// answer, so departures arrived late.
 func TestParentWithFewerFreshVotersIsReplaced(t *testing.T) {
 	s, c := newFollowing(t)
 	s.RecordResponse(epoch, c[0], 1)
@@ -151,9 +150,9 @@
 	require.Equal(t, selection.Sources{Parents: c[1:2]}, s.Decide(later))
 }
 
-// Guards against all balancers of a zone polling unreachable voters, and reaching them all at once
-// on recovery. When a zone is cut off or all voters are down, every candidate has equally few fresh
-// voters, but a stale parent was replaced regardless.
+// A zone is cut off, or all voters are down, and every candidate has equally few fresh voters. A
+// stale parent was replaced regardless. All balancers of the zone polled the unreachable voters,
+// and reached them all at once on recovery.
 func TestParentIsKeptIfNoCandidateHasMoreFreshVoters(t *testing.T) {
 	s, c := newFollowing(t)
 	polled := 0
@@ -193,8 +192,8 @@
 	require.NotContains(t, c, s.Parent())
 }
 
-// Guards against a root that sends flows to departed upstreams although other balancers of its zone
-// have received the departures. It was cut off from the voters only, and polled no other source.
+// A root was cut off from the voters only, and polled no other source. It sent flows to departed
+// upstreams although other balancers of its zone had received the departures.
 func TestIsolatedRootPollsAnotherRoot(t *testing.T) {
 	all := zone(20)
 	var self string
@@ -240,10 +239,10 @@
 	require.Equal(t, sources.Parents[1], s.Parent())
 }
 
-// Guards against a balancer that places a flow by a configuration replaced 6.2 s earlier, where 5
-// are allowed, although it can reach all voters. Its parent was cut off from the voters but
-// answered, and all other candidates were full. The parent's state had to be older than StaleAfter,
-// half of the bound, for as long again, and the voters were polled up to five seconds after that.
+// A parent was cut off from the voters but answered, and all other candidates were full. Its
+// state had to be older than StaleAfter, half of the bound, for as long again, and the voters
+// were polled up to five seconds after that. The balancer placed a flow by a configuration
+// replaced 6.2 s earlier, where 5 are allowed, although it could reach all voters.
 func TestIsolatedParentIsReplacedWithinBound(t *testing.T) {
 	const bound = 2 * staleAfter
 	for _, jitter := range []float64{0, 0.5, 1} {
--- a/internal/fanout/tree/tree.go
+++ b/internal/fanout/tree/tree.go
@@ -38,8 +38,8 @@
 	return cmp.Or(cmp.Compare(a.hash, b.hash), cmp.Compare(a.address, b.address))
 }
 
-// PlaceOf returns the place of a balancer among those of its zone. The list may omit the balancer
-// itself.
+// PlaceOf returns the place of a balancer among the balancers of its zone. The list may omit the
+// balancer itself.
 func (s Shape) PlaceOf(self string, zone []string) Place {
 	own := node{address: self, hash: xxhash.Sum64String(self)}
 	var before []node
@@ -68,7 +68,8 @@
 	return level + 1
 }
 
-// level returns the level at an index of the order, and the index range of the level above.
+// level returns the level at an index of the order. The level above consists of the indices from
+// <= i < until.
 func (s Shape) level(index int) (level, from, until int) {
 	size := max(s.Roots, 1)
 	end := size
@@ -81,8 +82,9 @@
 	return level, from, until
 }
 
-// candidates returns the nodes of several groups, group by group. Within a group the order is a
-// hash per balancer, so that a node that joins or leaves does not reorder the others.
+// candidates returns the names of the nodes of several groups, group by group. Within a group,
+// the nodes are ordered by a hash that depends on the balancer, so that a node that joins or
+// leaves does not reorder the others.
 func candidates(self string, groups ...[]node) []string {
 	var out []string
 	for _, g := range groups {
--- a/internal/fanout/tree/tree_test.go
+++ b/internal/fanout/tree/tree_test.go
@@ -51,7 +51,8 @@
 	}
 }
 
-// Hashes spread followers unevenly, but no balancer has more than twice the mean number.
+// Hashes spread followers unevenly, but no balancer has more than twice the mean number of
+// followers.
 func TestFollowersAreSpread(t *testing.T) {
 	all := zone(600)
 	followers := map[string]int{}
@@ -79,9 +80,9 @@
 	require.LessOrEqual(t, moved, 15)
 }
 
-// Guards against a cycle whose balancers receive no changes although each of their parents answers.
-// While other balancers joined and left, two balancers held different lists. Each list placed the
-// other balancer above its holder, so they followed each other.
+// Other balancers joined and left, and two balancers held different lists. Each list placed the
+// other balancer above its holder, so the two followed each other. They received no changes,
+// although each parent answered.
 func TestNoCyclesWithDifferentLists(t *testing.T) {
 	all := zone(60)
 	rapid.Check(t, func(t *rapid.T) {
