--- a/internal/fanout/assignment/assignment_test.go
+++ b/internal/fanout/assignment/assignment_test.go
@@ -57,14 +57,14 @@
 // alone in its list owns every key, so all of them sent flows to the same cold upstream.
 func TestStartingBalancerOwnsNoKeys(t *testing.T) {
 	a := assignment.New(epoch, "me")
-	require.False(t, a.Owns(epoch.Add(time.Hour), 7), "the list is empty")
+	require.False(t, a.Owns(epoch.Add(time.Hour), 7), "no list has been set")
 	a.Set(epoch, []string{"me"})
 	require.False(t, a.Owns(epoch.Add(5*time.Second), 7))
 	require.True(t, a.Owns(epoch.Add(7*time.Second), 7))
 	a.Set(epoch.Add(8*time.Second), []string{"other"})
 	require.False(t, a.Owns(epoch.Add(9*time.Second), 7), "a balancer that loses a key stops owning it at once")
 	a.Set(epoch.Add(10*time.Second), []string{"me"})
-	require.False(t, a.Owns(epoch.Add(12*time.Second), 7), "others may still use the previous list")
+	require.False(t, a.Owns(epoch.Add(12*time.Second), 7), "other balancers may still use the previous list")
 	require.True(t, a.Owns(epoch.Add(17*time.Second), 7))
 }
 
--- a/internal/upstream/handover/handover_test.go
+++ b/internal/upstream/handover/handover_test.go
@@ -73,7 +73,7 @@
 		all += len(b)
 	}
 	require.Equal(t, 12, all)
-	require.LessOrEqual(t, len(s.batches), 2, "one, or two on a slow machine")
+	require.LessOrEqual(t, len(s.batches), 2, "one batch, or two on a slow machine")
 }
 
 func TestOnlyTheLatestAnnouncementOfAnUpstreamIsSent(t *testing.T) {
