--- a/internal/request/claimer/claimer.go
+++ b/internal/request/claimer/claimer.go
@@ -32,7 +32,7 @@
 	Rejected
 )
 
-// Result is the outcome of a claim and the reason for it.
+// Result is the outcome of a claim. Reason is set only for Rejected, and Record for the others.
 type Result struct {
 	Outcome Outcome
 	Record  keys.Record
@@ -57,8 +57,8 @@
 	err    error
 }
 
-// Claim claims the key at all members that store it. The claim needs a majority of each quorum
-// set; without it, the claims at all members are released. Two attempts cannot both be granted: two
+// Claim claims the key at all members that store the key. If a majority of a quorum set is
+// missing, the claims at all members are released. Two attempts cannot both be granted: two
 // majorities of a set share a member, which keeps the first attempt's record. Until a roster change
 // is settled, a majority of the previous set is needed too.
 func (c *Claimer) Claim(ctx context.Context, r keys.Record) Result {
@@ -83,8 +83,8 @@
 	})
 }
 
-// rejection returns the record of another attempt with the highest state, or the reason why
-// there was no majority.
+// rejection returns the result of a claim that was not granted: Taken with the record of
+// another attempt in the highest state, or Rejected with the reason.
 func rejection(votes map[string]vote, r keys.Record) Result {
 	result := Result{Outcome: Rejected, Reason: "no majority of the balancers that remember the key answered"}
 	for _, x := range votes {
@@ -122,8 +122,8 @@
 }
 
 // release releases the claims at all members, including those whose response was late or
-// lost. An unreachable member keeps its record, so the key stays taken there: repeats may be
-// rejected, but no request runs twice.
+// lost. An unreachable member keeps its record: repeated requests may be rejected because the
+// key is still taken there, but no request runs twice.
 func (c *Claimer) release(ctx context.Context, votes map[string]vote, r keys.Record) {
 	c.forEach(ctx, lo.MapToSlice(votes, func(_ string, x vote) roster.Member { return x.member }), func(ctx context.Context, m roster.Member) {
 		c.stores.Release(ctx, m, r)
--- a/internal/request/claimer/claimer_test.go
+++ b/internal/request/claimer/claimer_test.go
@@ -242,9 +242,9 @@
 	})
 }
 
-// Guards against a request that runs on both sides of a partition. The group splits
-// 2 to 3 and the caller repeats the key on the other side. A majority of the reachable
-// members is not a majority of the roster.
+// A group splits 2 to 3, and a caller sends the same key to both sides. If a majority of the
+// reachable members sufficed instead of a majority of the roster, both sides would run the
+// request.
 func TestBothSidesOfAPartitionNeverRunOneRequest(t *testing.T) {
 	g := newGroup(1)
 	g.side["b0"], g.side["b1"] = 1, 1
@@ -257,8 +257,8 @@
 	require.NotEmpty(t, g.sent, "the side with a majority continues to serve")
 }
 
-// Guards against a request that runs again after a rolling restart. Each balancer in turn
-// leaves and returns empty; its keys must be copied before the next one leaves.
+// Each balancer in turn leaves and returns without keys. If its keys are not copied before the
+// next balancer leaves, a repeated request runs again.
 func TestRollingRestartLosesNoKey(t *testing.T) {
 	g := newGroup(2)
 	for i := range 20 {
@@ -277,9 +277,9 @@
 	}
 }
 
-// Guards against a request that runs twice after two of the three balancers that stored its
-// key crashed together. Both restart empty and rejoin the roster as a majority without
-// records; claims are rejected until the window has passed.
+// Two of the three balancers that store a key crash together, restart empty and rejoin the
+// roster as a majority without the key's record. A repeated request would run again, so claims
+// are rejected until the window has passed.
 func TestLostMajorityRejectsClaimsDuringTheWindow(t *testing.T) {
 	g := newGroup(3)
 	key := "precious"
@@ -297,8 +297,8 @@
 	require.Equal(t, claimer.Granted, g.attempt(g.nodes[0], "new", 20, true))
 }
 
-// Guards against a request that runs twice because a flood of keys evicted its key inside
-// the window. A full store rejects new keys instead.
+// A flood of keys fills the store. Evicting a key inside the window would let its request run
+// twice, so the store rejects new keys.
 func TestFullStoreRejectsNewKeys(t *testing.T) {
 	k := keys.New(window, 2)
 	for _, key := range []string{"a", "b"} {
--- a/internal/request/dispatch/dispatch.go
+++ b/internal/request/dispatch/dispatch.go
@@ -26,7 +26,7 @@
 	// Share is the part of the slots that may be used: 1, or less during a slow start.
 	Share float64
 	// AssignedSlots is the number of slots assigned to this balancer. The assignment keeps
-	// balancers from competing for a slot, except under load.
+	// balancers from competing for a slot, except for requests that have queued for borrowAfter.
 	AssignedSlots int
 }
 
@@ -34,7 +34,7 @@
 type Request struct {
 	ID       uint64
 	Deadline time.Time
-	// Priority orders the queue; a higher one goes first.
+	// Priority orders the queue; a request of higher priority goes first.
 	Priority int
 	// Avoid lists the upstreams that rejected or failed this request.
 	Avoid []string
@@ -76,7 +76,7 @@
 	Shed
 	// Failed means that there was no response, or a server error.
 	Failed
-	// Cancelled means that the caller disconnected; it is no evidence about the upstream.
+	// Cancelled means that the caller disconnected, which says nothing about the upstream.
 	Cancelled
 )
 
@@ -174,8 +174,8 @@
 	return d.schedule(now, r)
 }
 
-// TakeRetry takes one retry from the budget and reports whether there was one. Without a
-// budget, retries would keep a pool that has lost most of its upstreams overloaded.
+// TakeRetry takes one retry from the budget and reports whether the budget had one. Without
+// a budget, retries would keep a pool that has lost most of its upstreams overloaded.
 func (d *Dispatcher) TakeRetry() bool {
 	if d.retryBudget < 1 {
 		return false
@@ -203,7 +203,7 @@
 }
 
 // missesDeadline reports whether the request cannot finish before its deadline, given
-// the queue ahead of it. Rejecting it at once lets the caller use another server.
+// the queue ahead of it. An immediate rejection lets the caller use another server.
 func (d *Dispatcher) missesDeadline(now time.Time, r Request) bool {
 	ahead := 0
 	for _, q := range d.queue {
--- a/internal/request/dispatch/experiment_test.go
+++ b/internal/request/dispatch/experiment_test.go
@@ -391,9 +391,9 @@
 	}
 }
 
-// Guards against low goodput after a pool recovers. For 20 s, ten of 15 upstreams (about
-// 70 %) are removed and the other 30 % serve. Queues fill with expired requests, and
-// retries keep the upstreams busy beyond the 20 s.
+// For 20 s, ten of 15 upstreams (about 70 %) are removed and the other 30 % serve. Expired
+// requests in the queues and retries would keep the upstreams busy beyond the 20 s, so goodput
+// would stay low after the pool recovers.
 func TestGoodputRecoversWithinFiveSeconds(t *testing.T) {
 	w := newSimulation(15, newScheduler)
 	setRemoved := func(removed bool) func() {
@@ -413,8 +413,8 @@
 	require.GreaterOrEqual(t, float64(w.result.bySecond[40]), 0.9*rate)
 }
 
-// Guards against one broken upstream of 15 that attracts most requests: it returns
-// errors at once, so it always appears idle to a selection by idle slots.
+// One broken upstream of 15 returns errors at once. A selection by idle slots would send
+// most requests to this upstream, because it always appears idle.
 func TestFailingUpstreamAttractsNoRequests(t *testing.T) {
 	w := newSimulation(15, newScheduler)
 	w.upstreams[3].failing = true
--- a/internal/request/dispatch/target.go
+++ b/internal/request/dispatch/target.go
@@ -12,8 +12,9 @@
 	return max(int(float64(n)*t.Share+0.5), 1)
 }
 
-// pick returns an upstream with a free slot assigned to this balancer. If there is none,
-// it returns the less loaded of two random upstreams without a recent rejection.
+// pick returns an upstream with a free slot assigned to this balancer. If there is none and
+// the request has queued for borrowAfter, pick returns the less loaded of two random upstreams
+// without a recent rejection. The result is nil if the request must wait.
 func (d *Dispatcher) pick(now time.Time, r Request) *target {
 	free := make([]*target, 0, len(d.ordered))
 	for _, t := range d.ordered {
@@ -51,8 +52,8 @@
 func (d *Dispatcher) usable(now time.Time, t *target) bool { return !now.Before(t.ejectedUntil) }
 
 // recordShed starts a backoff after a rejection: other balancers' requests use all slots
-// of the upstream until one of them ends. The backoff grows with consecutive rejections,
-// and jitter prevents balancers from retrying at the same time.
+// of the upstream until one of these requests ends. The backoff grows with consecutive
+// rejections, and jitter prevents balancers from retrying at the same time.
 func (d *Dispatcher) recordShed(now time.Time, t *target) {
 	t.shedStreak = min(t.shedStreak+1, shedStreakLimit)
 	backoff := shedBackoff * float64(d.meanServiceTime) * float64(int(1)<<(t.shedStreak-1))
--- a/internal/request/door/attempt.go
+++ b/internal/request/door/attempt.go
@@ -47,7 +47,8 @@
 }
 
 // handleFailure handles an attempt without a response. A request that was not sent may
-// go to another upstream; one that was sent is retried only if it may run twice.
+// go to another upstream. A request that may have reached the upstream is retried only if
+// the request may run twice. The results are those of attempt.
 func (p *Proxy) handleFailure(ctx context.Context, x *exchange, target string, sent *sentFlag, err error) (retry, done bool) {
 	result := dispatch.Failed
 	if x.request.Context().Err() != nil {
--- a/internal/request/door/door.go
+++ b/internal/request/door/door.go
@@ -38,8 +38,8 @@
 	maxKeyBytes         = 128
 	maxAttempts         = 24
 	tickInterval        = 10 * time.Millisecond
-	// hopMargin is subtracted from the time left in the timeout sent to the upstream, so that
-	// its response arrives before the caller's deadline.
+	// hopMargin is how much the timeout sent to the upstream is shorter than the caller's
+	// remaining time, so that the upstream's response arrives before the caller's deadline.
 	hopMargin         = 5 * time.Millisecond
 	copyBuffer        = 32 << 10
 	defaultRetryAfter = time.Second
@@ -54,7 +54,9 @@
 	Clock  func() time.Time
 }
 
-// Counters holds the totals of a Proxy since its start.
+// Counters holds the totals of a Proxy since its start. Shed counts attempts that a full upstream
+// rejected. Repeated counts requests whose key was taken. Truncated counts responses that an
+// upstream cut off.
 type Counters struct {
 	Requests, Answered, NotRun, Unknown, Repeated, Shed, Retried, Cancelled, Truncated atomic.Int64
 }
@@ -100,7 +102,8 @@
 	p.deliver(p.dispatch.Tick(p.settings.Clock()))
 }
 
-// SetService sets the retry policy and the queue priority of the service.
+// SetService sets whether requests without a key may be retried whatever their method, and
+// the queue priority of the service.
 func (p *Proxy) SetService(repeatable bool, priority int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/request/door/door_test.go
+++ b/internal/request/door/door_test.go
@@ -131,9 +131,9 @@
 	require.Equal(t, http.StatusUnprocessableEntity, r.StatusCode)
 }
 
-// Guards against running a request twice that the caller sent once. The upstream
-// closes a reused connection without a response, and http.Transport resends a request
-// with an Idempotency-Key on its own.
+// An upstream closes a reused connection without a response. http.Transport resends a request
+// with an Idempotency-Key by itself, so the upstream would run a request twice that the caller
+// sent once.
 func TestTransportDoesNotResendKeyedRequests(t *testing.T) {
 	var runs atomic.Int32
 	e := newFixture(t, func(w http.ResponseWriter, r *http.Request) {
@@ -158,8 +158,8 @@
 	require.EqualValues(t, 2, runs.Load())
 }
 
-// Guards against a truncated response that looks complete to the caller. The upstream
-// fails in the middle of a long response.
+// An upstream fails in the middle of a long response. If the caller's connection ended
+// normally, the truncated response would look complete.
 func TestTruncatedResponseAbortsTheConnection(t *testing.T) {
 	e := newFixture(t, func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = w.Write(make([]byte, 100_000))
@@ -184,8 +184,8 @@
 	require.EqualValues(t, 10, runs.Load())
 }
 
-// Guards against callers that wait until their deadline for a rejection. All slots are
-// taken beyond that deadline; the request is rejected at once and its key released.
+// All slots are taken until after a request's deadline. The caller would wait until the
+// deadline for a rejection, so the request must be rejected at once and its key released.
 func TestRequestThatCannotMeetItsDeadlineIsRejectedAtOnce(t *testing.T) {
 	release := make(chan struct{})
 	e := newFixture(t, func(w http.ResponseWriter, _ *http.Request) {
--- a/internal/request/door/exchange.go
+++ b/internal/request/door/exchange.go
@@ -23,6 +23,7 @@
 	record     keys.Record
 	claimed    bool
 	idempotent bool
+	// replayable is set if body is the complete request body; otherwise unreadBody is the rest.
 	replayable bool
 	body       []byte
 	unreadBody io.Reader
@@ -91,8 +92,8 @@
 	return defaultTimeout, nil
 }
 
-// claim claims the request's key, or responds with the outcome of the request that
-// holds it.
+// claim claims the request's key and reports whether the request may be sent. If not, claim
+// responds with the outcome of the request that holds the key, or rejects the request.
 func (p *Proxy) claim(ctx context.Context, x *exchange) bool {
 	result := p.claimer.Claim(ctx, x.record)
 	switch result.Outcome {
--- a/internal/request/keys/keys.go
+++ b/internal/request/keys/keys.go
@@ -36,19 +36,19 @@
 	Fingerprint uint64
 	State       State
 	Answer      *Answer
-	// Made is the time of the claim.
+	// Made is the time of the claim, from which the window is counted.
 	Made time.Time
 }
 
-// FullError reports that the store is full. Evicting a key inside the window could
-// let a request run twice.
+// FullError reports that the store is full. Evicting a key before its window has passed
+// could let a request run twice.
 type FullError struct{ Limit int }
 
 func (e *FullError) Error() string {
 	return fmt.Sprintf("%d request keys are in use within the window; raise MaxKeys or send less", e.Limit)
 }
 
-// EpochError reports a claim whose roster epoch differs from this balancer's.
+// EpochError reports a claim whose roster epoch, Claim, differs from this balancer's, Here.
 type EpochError struct{ Claim, Here uint64 }
 
 func (e *EpochError) Error() string {
@@ -115,7 +115,8 @@
 	s.records[id] = &r
 }
 
-// Merge adds records from another balancer.
+// Merge adds records from another balancer. Of two records of a key, the one with the higher
+// state is kept.
 func (s *Store) Merge(rs []Record) {
 	for _, r := range rs {
 		id := recordKey{r.Service, r.Key}
--- a/internal/request/memory/memory.go
+++ b/internal/request/memory/memory.go
@@ -43,8 +43,8 @@
 
 type empty struct{}
 
-// OtherLifeError reports that the balancer was restarted and no longer has the records
-// of the addressed process.
+// OtherLifeError reports that the balancer was restarted and no longer has the records of
+// the addressed process. Asked is the start of that process, Here the start of this one.
 type OtherLifeError struct{ Asked, Here uint64 }
 
 func (e *OtherLifeError) Error() string {
@@ -53,10 +53,12 @@
 
 // Settings configures a Replica.
 type Settings struct {
-	Self   roster.Member
+	Self roster.Member
+	// Window is how long each key is stored.
 	Window time.Duration
-	Limit  int
-	Clock  func() time.Time
+	// Limit is the maximum number of stored keys.
+	Limit int
+	Clock func() time.Time
 }
 
 // Replica holds the keys that this balancer stores and calls the key stores of others. It
--- a/internal/request/slotassignment/slotassignment.go
+++ b/internal/request/slotassignment/slotassignment.go
@@ -23,8 +23,8 @@
 	hash     uint64
 }
 
-// Assign assigns the slots evenly by rendezvous hashing: each goes to its highest-ranked
-// balancer that has fewer than the even share, rounded up.
+// Assign assigns the slots evenly by rendezvous hashing: each slot goes to its highest-ranked
+// balancer that has fewer slots than the even share, rounded up.
 func Assign(upstreams []Upstream, balancers []string) Assignment {
 	a := Assignment{assigned: map[string]map[string]int{}}
 	seeds := make([]uint64, len(balancers))
