--- a/internal/member/registrar/registrar.go
+++ b/internal/member/registrar/registrar.go
@@ -42,7 +42,7 @@
 }
 
 // register sends a report to the last known leader, then to the other voters until
-// one accepts it.
+// a voter accepts the report.
 func (r *Registrar) register(ctx context.Context) {
 	report := r.report()
 	for i := range r.voters {
--- a/internal/member/repairstatus/repairstatus.go
+++ b/internal/member/repairstatus/repairstatus.go
@@ -6,7 +6,8 @@
 	"wasabideal/internal/member/swim"
 )
 
-// flagRepairing is the payload of a balancer that creates replicas; others send an empty payload.
+// flagRepairing is the payload of a balancer that creates replicas; other balancers send an
+// empty payload.
 const flagRepairing = 1
 
 // Tracker tracks the balancers that report repairs in progress. It is not safe for
@@ -17,7 +18,8 @@
 	reported  map[string]time.Time
 }
 
-// New returns a Tracker that reports the result of repairing; reports expire after expiry.
+// New returns a Tracker. Its payloads report the result of repairing, and reports of other
+// balancers expire after expiry.
 func New(repairing func() bool, expiry time.Duration) *Tracker {
 	return &Tracker{repairing: repairing, expiry: expiry, reported: map[string]time.Time{}}
 }
--- a/internal/member/swim/message.go
+++ b/internal/member/swim/message.go
@@ -19,8 +19,8 @@
 	kindSync
 )
 
-// message is the wire format of all gossip messages. Number identifies a probe, Digest is a
-// hash of the sender's members, News are updates and Riders the piggybacked payloads.
+// message is the wire format of all gossip messages. Number identifies a probe. Digest is a
+// hash of the sender's members. News are updates, and Riders are the piggybacked payloads.
 type message struct {
 	_      struct{} `cbor:",toarray"`
 	Kind   messageKind
--- a/internal/member/swim/swim.go
+++ b/internal/member/swim/swim.go
@@ -43,7 +43,7 @@
 	BytesPerSecond int
 }
 
-// Counters holds the totals since the start.
+// Counters holds the totals since the start. Refused counts rejected datagrams.
 type Counters struct {
 	Sent, SentBytes, Received, ReceivedBytes, Refused, Suspicions, Deaths, Refutations uint64
 }
@@ -87,7 +87,7 @@
 	signer   seal.Signer
 	self     Member
 	peers    map[string]*peer
-	// order is the probe order of this round, next the index of the next member in it.
+	// order is the probe order of this round, and next is the index of the next member to probe.
 	order []string
 	// updates are the updates that may still be sent.
 	updates        []*peer
@@ -154,7 +154,7 @@
 }
 
 // Unreachable returns the members that do not respond to this balancer or are
-// suspected. Packets are routed around them before they are declared dead.
+// suspected. Packets are routed around these members before they are declared dead.
 func (s *Swim) Unreachable() map[netip.AddrPort]bool {
 	u := map[netip.AddrPort]bool{}
 	for _, p := range s.peers {
@@ -165,9 +165,9 @@
 	return u
 }
 
-// Isolated reports whether the dead members and the seeds not yet known as members are at
-// least as many as the reachable members, including this balancer. A partition is then more
-// likely than the failure of all the others.
+// Isolated reports whether at least as many balancers are unreachable as reachable. Dead members
+// and seeds not yet known as members count as unreachable; this balancer counts as reachable. A
+// partition is then more likely than the failure of all unreachable balancers.
 func (s *Swim) Isolated() bool {
 	unreachable, reachable := len(s.unknownSeeds()), 1
 	for _, p := range s.peers {
@@ -204,7 +204,8 @@
 }
 
 // TakeUrgent reports whether a member joined, left, failed, was suspected or refuted
-// since the last call. Until the update reaches all balancers, some send packets that are lost.
+// since the last call. Until the update reaches all balancers, some of them send packets that
+// are lost.
 func (s *Swim) TakeUrgent() bool {
 	u := s.urgentChange
 	s.urgentChange = false
@@ -285,7 +286,7 @@
 	}
 }
 
-// store stores a member that supersedes the known one.
+// store stores a member that is new or supersedes its known state.
 func (s *Swim) store(now time.Time, m Member) {
 	old := s.peers[m.Name]
 	p := &peer{Member: m, since: now, respondsDirectly: true}
@@ -302,7 +303,7 @@
 	s.version++
 }
 
-// merge merges an update about a member, and refutes a wrong one about this balancer.
+// merge merges an update about a member, and refutes a wrong update about this balancer.
 func (s *Swim) merge(now time.Time, m Member) {
 	if m.Name == s.self.Name {
 		s.refute(m)
@@ -342,8 +343,8 @@
 	return ms
 }
 
-// nextMembers returns the next n known members in turn, for a member whose digest
-// differs.
+// nextMembers returns the next n known members in turn. They are sent to a member whose
+// digest differs.
 func (s *Swim) nextMembers(n int) []Member {
 	ps := s.sortedPeers(func(*peer) bool { return true })
 	ms := make([]Member, 0, n)
