--- a/internal/core/event/event.go
+++ b/internal/core/event/event.go
@@ -21,9 +21,9 @@
 	Ticked Kind = "Ticked"
 	// UpstreamAnnounced is an announcement by an upstream.
 	UpstreamAnnounced Kind = "Announced"
-	// ConfigurationReceived is a configuration from a control voter or a peer.
+	// ConfigurationReceived is a configuration from a voter or a peer.
 	ConfigurationReceived Kind = "Offered"
-	// EvacuationsReceived is a set of zone evacuations from a control voter or a peer.
+	// EvacuationsReceived is a set of zone evacuations from a voter or a peer.
 	EvacuationsReceived Kind = "Evacuated"
 	// StopPlanned starts a planned stop: the balancer replicates all its flows elsewhere.
 	StopPlanned Kind = "StopPlanned"
--- a/internal/model/configuration/configuration.go
+++ b/internal/model/configuration/configuration.go
@@ -26,7 +26,7 @@
 	TokenSha256 string
 	// Repeatable is set if a request without an idempotency key may be retried.
 	Repeatable bool
-	// Priority ranks services under overload; a higher one is served first.
+	// Priority ranks services under overload; the highest priority is served first.
 	Priority int
 	// HealthPath is the HTTP path of the health checks of the service's upstreams.
 	HealthPath string `json:",omitzero" cbor:",omitempty"`
@@ -51,8 +51,8 @@
 	PerSecond float64
 }
 
-// ColdRate returns the maximum requests per second of a cold upstream of the service, 0 if
-// there is no limit.
+// ColdRate returns the maximum requests per second of a cold upstream of the service; 0 means
+// no limit.
 func (s Service) ColdRate() float64 {
 	if s.Cold == nil {
 		return 0
@@ -95,9 +95,9 @@
 	Routes []Route `json:",omitzero" cbor:",omitempty"`
 	// Limits are the limits for callers.
 	Limits Limits `json:",omitzero" cbor:",omitzero"`
-	// Extra holds the unknown JSON members of the operator's document, encoded, by the path
-	// of the object that contains them. They let operators read back the document that they
-	// sent. Only voters store them.
+	// Extra holds the encoded JSON members of the operator's document that this version does
+	// not know, by the path of the object that contains them. They let operators read back the
+	// document that they sent. Only voters store them.
 	Extra map[string][]byte `json:",omitzero" cbor:",omitempty"`
 }
 
@@ -135,7 +135,7 @@
 	return c
 }
 
-// Preset returns the active preset; a configuration that passes Check has one.
+// Preset returns the active preset. A configuration that passes Check has an active preset.
 func (c Configuration) Preset() Preset {
 	p, _ := c.preset(c.InForce)
 	return p
@@ -145,7 +145,7 @@
 	return lo.Find(c.Presets, func(p Preset) bool { return p.Name == name })
 }
 
-// Service returns the service with that name.
+// Service returns the service with that name, and whether there is one.
 func (c Configuration) Service(name string) (Service, bool) {
 	return lo.Find(c.Services, func(s Service) bool { return s.Name == name })
 }
--- a/internal/model/configuration/route.go
+++ b/internal/model/configuration/route.go
@@ -33,7 +33,8 @@
 // UnknownClass returns the class for a name that this version does not know.
 func UnknownClass(name string) Class { return Class(unknownPrefix + name) }
 
-// UnknownName returns the operator's name of a class that this version does not know.
+// UnknownName returns the operator's name of a class that this version does not know, and
+// whether c is such a class.
 func (c Class) UnknownName() (string, bool) { return strings.CutPrefix(string(c), unknownPrefix) }
 
 // Repeatable reports whether requests of the class may run more than once.
@@ -60,7 +61,7 @@
 	Timeout time.Duration
 	// Objective is the latency objective of responses.
 	Objective time.Duration
-	// Priority ranks routes under overload; 0 is served first.
+	// Priority ranks routes under overload; priority 0 is served first.
 	Priority int
 	// MaxAttempts is stored only for operators to read back; callers make the attempts.
 	MaxAttempts int
--- a/internal/model/evacuation/evacuation.go
+++ b/internal/model/evacuation/evacuation.go
@@ -32,7 +32,8 @@
 	// Revision is the revision of Evacuations at which the order was added.
 	Revision  uint64
 	Evacuated bool
-	// Who is the operator, When the time and ChangeKey the idempotency key of the order.
+	// Who is the operator who gave the order, and When is its time. ChangeKey is the
+	// idempotency key of the order.
 	Who       string
 	When      time.Time
 	ChangeKey string
@@ -49,7 +50,7 @@
 	Zones    []Zone
 }
 
-// Lookup returns the latest order for a zone; its revision is 0 if there is none.
+// Lookup returns the latest order for a zone. If there is none, the result has revision 0.
 func (e Evacuations) Lookup(name string) Zone {
 	z, _ := lo.Find(e.Zones, func(z Zone) bool { return z.Name == name })
 	z.Name = name
--- a/internal/model/roster/roster.go
+++ b/internal/model/roster/roster.go
@@ -23,7 +23,7 @@
 // Roster is the replicated list of members, with the previous list until the change is
 // settled.
 type Roster struct {
-	// Version increases with every change, Epoch with every new list.
+	// Version increases with every change, and Epoch increases with every new list.
 	Version  uint64
 	Epoch    uint64
 	Members  []Member
@@ -90,8 +90,8 @@
 // Current returns the members that store a slot's keys under the new list.
 func (v View) Current(slot int) []Member { return members(v.current, slot) }
 
-// Previous returns the members that store a slot's keys under the previous list, none if
-// the roster is settled.
+// Previous returns the members that store a slot's keys under the previous list. There are
+// none if the roster is settled.
 func (v View) Previous(slot int) []Member { return members(v.previous, slot) }
 
 func members(o *ownership.Ownership, slot int) []Member {
--- a/internal/model/upstream/upstream.go
+++ b/internal/model/upstream/upstream.go
@@ -5,13 +5,16 @@
 	"net/netip"
 )
 
-// State is whether an upstream accepts new flows.
+// State is the state that an upstream announces for itself.
 type State uint8
 
 // The states that an upstream announces.
 const (
+	// Ready means that the upstream accepts new flows.
 	Ready State = iota
+	// Draining means that the upstream only serves its open flows.
 	Draining
+	// Withdrawn means that the upstream is about to end; until then, it serves its open flows.
 	Withdrawn
 )
 
--- a/internal/model/upstream/wire_test.go
+++ b/internal/model/upstream/wire_test.go
@@ -11,7 +11,8 @@
 	"wasabideal/internal/model/upstream"
 )
 
-// Records of versions without the start time have eight fields and must stay readable.
+// Earlier versions write records of eight fields, without the start time. These records must
+// stay readable.
 func TestUpstreamWithoutStartTimeKeepsEarlierEncoding(t *testing.T) {
 	const before = "88616146010203040500076060020000"
 	data, err := hex.DecodeString(before)
