--- a/internal/configuration/follower/follower.go
+++ b/internal/configuration/follower/follower.go
@@ -24,8 +24,9 @@
 	source    netip.AddrPort
 	since     time.Time
 	confirmed time.Time
-	newest    uint64
-	newestAt  netip.AddrPort
+	// newest is the newest revision that a peer announced, and newestAt is the peer's address.
+	newest   uint64
+	newestAt netip.AddrPort
 }
 
 // New returns a Follower without a configuration; peers fetch this balancer's configuration
@@ -54,8 +55,8 @@
 	return true
 }
 
-// NewestPeer returns the peer that announced the newest revision, and whether that revision
-// is newer than the applied one.
+// NewestPeer returns the address of the peer that announced the newest revision, and whether
+// that revision is newer than the applied one.
 func (f *Follower) NewestPeer() (netip.AddrPort, bool) {
 	return f.newestAt, f.newest > f.current.Revision
 }
--- a/internal/configuration/history/doc.go
+++ b/internal/configuration/history/doc.go
@@ -1,3 +1,3 @@
-// Package history keeps the latest changes of a configuration as deltas, for
-// followers that missed a few; others get the full configuration.
+// Package history keeps the latest changes of a configuration as deltas, for followers that
+// are a few revisions behind. Other followers get the full configuration.
 package history
--- a/internal/configuration/history/history.go
+++ b/internal/configuration/history/history.go
@@ -30,7 +30,8 @@
 	Digest uint64
 }
 
-// Response updates a follower to the newest revision, by Whole or by Deltas in order.
+// Response updates a follower to the newest revision. Whole is the full configuration; if it is
+// nil, Deltas are the changes in order.
 type Response struct {
 	Whole  *configuration.Configuration
 	Deltas []Delta
@@ -87,26 +88,26 @@
 
 // Since returns the update for a follower at a revision.
 func (h History) Since(revision uint64) Response {
-	a := Response{Revision: h.current.Revision}
+	response := Response{Revision: h.current.Revision}
 	if revision >= h.current.Revision {
-		return a
+		return response
 	}
 	i := slices.IndexFunc(h.deltas, func(d Delta) bool { return d.From == revision })
 	if i < 0 || revision == 0 {
 		c := h.current
-		a.Whole = &c
-		return a
+		response.Whole = &c
+		return response
 	}
-	a.Deltas = h.deltas[i:]
-	return a
+	response.Deltas = h.deltas[i:]
+	return response
 }
 
 // Apply applies a response to a follower's configuration.
-func Apply(held configuration.Configuration, a Response) (configuration.Configuration, error) {
-	if a.Whole != nil {
-		return *a.Whole, nil
+func Apply(held configuration.Configuration, response Response) (configuration.Configuration, error) {
+	if response.Whole != nil {
+		return *response.Whole, nil
 	}
-	for _, d := range a.Deltas {
+	for _, d := range response.Deltas {
 		if d.From != held.Revision {
 			return held, &GapError{Held: held.Revision, From: d.From}
 		}
--- a/internal/configuration/history/history_test.go
+++ b/internal/configuration/history/history_test.go
@@ -21,9 +21,9 @@
 	return c
 }
 
-// Guards against full downloads after each change, 120 kB from every voter over a link
-// of 2 Mbit/s. If a route is inserted between two others, the follower's copy has the
-// same parts in another order, so the digest must not depend on the order.
+// A route is inserted between two others, so the follower's copy has the same parts in another
+// order. With a digest that depends on the order, each change would cause full downloads: 120 kB
+// from every voter over a link of 2 Mbit/s.
 func TestDigestIsIndependentOfOrder(t *testing.T) {
 	h := history.New(8).With(routes(1, 80, 443)).With(routes(2, 80, 8080, 443)).With(routes(5, 9090, 8080))
 	response := h.Since(1)
--- a/internal/configuration/puller/puller.go
+++ b/internal/configuration/puller/puller.go
@@ -24,7 +24,7 @@
 	// Hold is how long a source may delay a response.
 	Hold time.Duration
 	// Grace is how much longer than Hold a response may take before the request
-	// fails; it detects a dead link that reports no error.
+	// fails. This limit detects a dead link that reports no error.
 	Grace time.Duration
 	// RetryAfter is the mean delay after all sources failed.
 	RetryAfter time.Duration
@@ -86,31 +86,32 @@
 	}
 }
 
-// StaleSourceError reports a partitioned source: it responds, but cannot know
-// whether its revision is the newest, so the next source is tried.
+// StaleSourceError reports a partitioned source: the source responds, but cannot know
+// whether its revision is the newest. The next source is then tried.
 type StaleSourceError struct{ Revision uint64 }
 
 func (e *StaleSourceError) Error() string {
 	return fmt.Sprintf("source has revision %d and cannot tell whether it is the newest", e.Revision)
 }
 
-// Poll sends a request to a source and passes the response to the store.
+// Poll sends a request to a source and passes the response to the store. The source may delay
+// the response by up to hold.
 func (p *Puller) Poll(ctx context.Context, c *rpc.Client, hold time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, hold+p.settings.Grace)
 	defer cancel()
 	held := p.store.Configuration()
-	q := source.Request{Revision: held.Revision, RosterVersion: p.store.RosterVersion(), Evacuations: p.store.Evacuations().Revision, Hold: hold}
-	a, err := rpc.Call[source.Request, history.Response](ctx, c, source.Method, q)
+	request := source.Request{Revision: held.Revision, RosterVersion: p.store.RosterVersion(), Evacuations: p.store.Evacuations().Revision, Hold: hold}
+	response, err := rpc.Call[source.Request, history.Response](ctx, c, source.Method, request)
 	if err != nil {
 		return err
 	}
-	if a.Evacuations != nil {
-		p.store.OfferEvacuations(*a.Evacuations)
+	if response.Evacuations != nil {
+		p.store.OfferEvacuations(*response.Evacuations)
 	}
-	if a.Roster != nil {
-		p.store.OfferRoster(*a.Roster)
+	if response.Roster != nil {
+		p.store.OfferRoster(*response.Roster)
 	}
-	next, err := history.Apply(held, a)
+	next, err := history.Apply(held, response)
 	if err != nil {
 		p.log.Warn("delta does not match, requesting full configuration", "Error", err)
 		return p.requestFull(ctx, c)
@@ -118,19 +119,19 @@
 	if next.Revision > held.Revision {
 		p.store.Offer(next)
 	}
-	if !a.Current && a.Revision <= held.Revision && a.Roster == nil && a.Evacuations == nil {
-		return &StaleSourceError{Revision: a.Revision}
+	if !response.Current && response.Revision <= held.Revision && response.Roster == nil && response.Evacuations == nil {
+		return &StaleSourceError{Revision: response.Revision}
 	}
 	return nil
 }
 
 func (p *Puller) requestFull(ctx context.Context, c *rpc.Client) error {
-	a, err := rpc.Call[source.Request, history.Response](ctx, c, source.Method, source.Request{})
+	response, err := rpc.Call[source.Request, history.Response](ctx, c, source.Method, source.Request{})
 	if err != nil {
 		return err
 	}
-	if a.Whole != nil {
-		p.store.Offer(*a.Whole)
+	if response.Whole != nil {
+		p.store.Offer(*response.Whole)
 	}
 	return nil
 }
--- a/internal/configuration/source/source.go
+++ b/internal/configuration/source/source.go
@@ -48,8 +48,8 @@
 
 // Serve registers the RPC method with a server.
 func (s *Source) Serve(r *rpc.Server, token string) {
-	rpc.Handle(r, Method, token, func(ctx context.Context, q Request) (history.Response, error) {
-		return s.Since(ctx, q), nil
+	rpc.Handle(r, Method, token, func(ctx context.Context, request Request) (history.Response, error) {
+		return s.Since(ctx, request), nil
 	})
 }
 
@@ -97,21 +97,21 @@
 	s.changed = make(chan struct{})
 }
 
-// Since responds as soon as there are changes for the follower, or after q.Hold.
-func (s *Source) Since(ctx context.Context, q Request) history.Response {
-	hold := time.NewTimer(q.Hold)
+// Since responds as soon as there are changes for the follower, or after request.Hold.
+func (s *Source) Since(ctx context.Context, request Request) history.Response {
+	hold := time.NewTimer(request.Hold)
 	defer hold.Stop()
 	for {
 		x, changed := s.state()
-		if x.hasChanges(q) {
-			return s.respond(x, q)
+		if x.hasChanges(request) {
+			return s.respond(x, request)
 		}
 		select {
 		case <-changed:
 		case <-hold.C:
-			return s.respond(x, q)
+			return s.respond(x, request)
 		case <-ctx.Done():
-			return s.respond(x, q)
+			return s.respond(x, request)
 		}
 	}
 }
@@ -124,8 +124,8 @@
 }
 
 // hasChanges reports whether anything is newer than what the follower has.
-func (x state) hasChanges(q Request) bool {
-	return x.history.Current().Revision > q.Revision || x.roster.Version > q.RosterVersion || x.evacuations.Revision > q.Evacuations
+func (x state) hasChanges(request Request) bool {
+	return x.history.Current().Revision > request.Revision || x.roster.Version > request.RosterVersion || x.evacuations.Revision > request.Evacuations
 }
 
 func (s *Source) state() (state, chan struct{}) {
@@ -134,14 +134,14 @@
 	return state{history: s.history, roster: s.roster, evacuations: s.evacuations}, s.changed
 }
 
-func (s *Source) respond(x state, q Request) history.Response {
-	a := x.history.Since(q.Revision)
-	a.Current = s.current()
-	if x.roster.Version > q.RosterVersion {
-		a.Roster = &x.roster
+func (s *Source) respond(x state, request Request) history.Response {
+	response := x.history.Since(request.Revision)
+	response.Current = s.current()
+	if x.roster.Version > request.RosterVersion {
+		response.Roster = &x.roster
 	}
-	if x.evacuations.Revision > q.Evacuations {
-		a.Evacuations = &x.evacuations
+	if x.evacuations.Revision > request.Evacuations {
+		response.Evacuations = &x.evacuations
 	}
-	return a
+	return response
 }
