--- a/internal/balancer/reducer/failures_test.go
+++ b/internal/balancer/reducer/failures_test.go
@@ -16,9 +16,9 @@
 
 var steps = flag.Int("steps", 12, "random steps of each run")
 
-// Guards against balancers that disagree for minutes on the owner of a flow. All start
-// together, and two discover each other before a seed responds. If seeds are
-// contacted only while no member is known, the two remain a separate group.
+// All balancers start together, and two discover each other before a seed responds. If seeds
+// are contacted only while no member is known, the two remain a separate group, and balancers
+// disagree for minutes on the owner of a flow.
 func TestSimultaneousStartFormsOneGroup(t *testing.T) {
 	for seed := range uint64(20) {
 		f := newFleet(seed)
@@ -32,8 +32,7 @@
 	}
 }
 
-// Guards against flows that end with a planned change: each kind in turn, with 600 open
-// flows.
+// Planned changes of each kind occur in turn while 600 flows are open. No flow may break.
 func TestPlannedChangesBreakNoFlow(t *testing.T) {
 	f := suezFleet(5)
 	f.openFlows(600, "orders", time.Second, time.Second)
@@ -50,8 +49,8 @@
 	require.Zero(t, f.misdelivered)
 }
 
-// Guards against new flows to a draining upstream. The upstream announces Draining to one
-// balancer while flows are opened; updates that wait for the next probes take seconds.
+// An upstream announces Draining to one balancer while flows are opened. Updates that wait for
+// the next probes take seconds; until then, the upstream would get new flows.
 func TestDrainEndsNewFlowsWithinASecond(t *testing.T) {
 	f := suezFleet(6)
 	f.openFlows(500, "orders", time.Second, time.Second)
@@ -64,9 +63,8 @@
 	require.Zero(t, f.broken)
 }
 
-// Guards against packets that reach an upstream of another service. An upstream of
-// orders fails, its address is announced for notes and its flows continue to send; an
-// address alone does not identify an upstream.
+// An upstream of orders fails, its address is announced for notes, and its flows continue to
+// send. If the address alone identified an upstream, the packets would reach the other service.
 func TestReusedAddressReceivesNoOldFlows(t *testing.T) {
 	f := suezFleet(7)
 	f.openFlows(600, "orders", time.Second, 500*time.Millisecond)
@@ -89,8 +87,8 @@
 	require.NotZero(t, foreign, "packets of the old flows were dropped")
 }
 
-// Guards against new flows to a withdrawn upstream. Gossip that lists the upstream as ready
-// arrives late, so the withdrawal must be kept.
+// An upstream is withdrawn. Gossip that lists the upstream as ready arrives later; unless the
+// withdrawal is kept, the upstream gets new flows again.
 func TestLateGossipDoesNotRestoreAWithdrawnUpstream(t *testing.T) {
 	f := suezFleet(8)
 	u := f.anyUpstream()
@@ -107,9 +105,8 @@
 	}
 }
 
-// Guards against broken flows after a fast restart of a balancer. The balancer returns
-// under the same name with an empty table before its failure is detected. It must not be
-// treated as the old process, which stored replicas.
+// A balancer restarts under the same name with an empty table before its failure is detected.
+// If peers treated it as the old process, which stored replicas, flows would break.
 func TestFastRestartBreaksNoFlow(t *testing.T) {
 	f := suezFleet(9)
 	f.openFlows(600, "orders", time.Second, time.Second)
@@ -120,8 +117,8 @@
 	require.Zero(t, f.broken)
 }
 
-// Guards against a SYN flood that evicts established flows: 600 flows, then 20,000 SYNs
-// that are never confirmed. Half-open flows need a limit of their own.
+// After 600 flows are established, 20,000 SYNs arrive that are never confirmed. Without a limit
+// of their own, half-open flows would evict the established flows.
 func TestSYNFloodEvictsNoFlow(t *testing.T) {
 	f := newFleet(10)
 	f.maxFlows = 1000
@@ -145,9 +142,8 @@
 	}
 }
 
-// Guards against permanent loss when one balancer cannot reach another. Packets from
-// b001 to b004 are lost, all others arrive, so b004 remains a member; b001 must not
-// depend on b004 as the owner of a flow.
+// Packets from b001 to b004 are lost, but all others arrive, so b004 remains a member. If b001
+// relied on b004 as the owner of a flow, the flow's packets would be lost permanently.
 func TestOneWayReachabilityBreaksNoFlow(t *testing.T) {
 	f := suezFleet(11)
 	f.openFlows(600, "orders", time.Second, time.Second)
@@ -157,9 +153,9 @@
 	require.Len(t, f.nodes["b002"].reducer.Members(), 9, "b004 stays a member")
 }
 
-// Guards against flows that break when a partition ends. Both sides open flows. Then packets
-// of all flows reach all balancers, but a flow's owner may not yet store a flow that the other
-// side opened.
+// Both sides of a partition open flows. After its end, packets of all flows reach all
+// balancers, but a flow's owner may not yet store a flow that the other side opened. No flow
+// may break.
 func TestFlowsOfBothSidesSurviveAPartition(t *testing.T) {
 	f := suezFleet(12)
 	f.openFlows(300, "orders", time.Second, time.Second)
@@ -191,9 +187,9 @@
 	require.NotZero(t, n.reducer.Status(f.now).Refused)
 }
 
-// TestRandomChanges applies random changes in sequence, with at most one unplanned failure at a
-// time and loss, duplication and reordering on the network. All flows must survive except those
-// opened during a partition or in the four seconds after it. For these, the fabric may deliver a
+// TestRandomChanges applies random changes, with at most one unplanned failure at a time and
+// loss, duplication and reordering on the network. All flows must survive except those opened
+// during a partition or in the four seconds after its end: the fabric may deliver a
 // retransmitted SYN to both sides, and each side opens the flow.
 func TestRandomChanges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/balancer/reducer/fleet_test.go
+++ b/internal/balancer/reducer/fleet_test.go
@@ -93,7 +93,7 @@
 	// since is the time of the first attempt to connect or of the first packet of a request.
 	since             time.Time
 	retransmitTimeout time.Duration
-	// number counts the requests; interval is the pause before the next one.
+	// number counts the requests; interval is the pause before the next request.
 	number      int
 	interval    time.Duration
 	breakReason string
--- a/internal/balancer/reducer/pool_test.go
+++ b/internal/balancer/reducer/pool_test.go
@@ -13,9 +13,9 @@
 	"wasabideal/internal/model/upstream"
 )
 
-// Guards against a stable pool that loses an upstream for a moment at one balancer, which
-// breaks flows routed by hash alone. Formerly, each balancer sent a renewal only twice, and
-// some balancers missed the three renewals of a lease in a row.
+// Each balancer used to send a renewal only twice, and some balancers missed the three renewals
+// of a lease in a row. Their pools lacked an upstream for a moment, which breaks flows that are
+// routed by hash alone.
 func TestStablePoolsDoNotFlap(t *testing.T) {
 	short := 0
 	for seed := range uint64(5) {
@@ -33,9 +33,9 @@
 	require.Zero(t, short, "samples of a balancer's pool that lacks an upstream")
 }
 
-// Guards against new flows and requests to an evacuated zone from its own balancers, which
-// prefer upstreams of their zone. The evacuation starts and ends while flows are open, and
-// an older evacuation arrives late. The fault has not been observed.
+// An evacuation starts and ends while flows are open, and an older evacuation arrives late. The
+// zone's own balancers prefer upstreams of their zone and could send new flows and requests
+// there. This fault has not been observed.
 func TestEvacuatedZoneLeavesThePool(t *testing.T) {
 	f := suezFleet(9)
 	f.openFlows(300, "orders", time.Second, time.Second)
--- a/internal/balancer/reducer/reducer.go
+++ b/internal/balancer/reducer/reducer.go
@@ -124,8 +124,8 @@
 	return r.registry.Serving(now, service)
 }
 
-// Share returns the weight of an upstream relative to a warm one: 1, or less during its slow
-// start.
+// Share returns the weight of the upstream at an address relative to a warm upstream: 1, or
+// less during its slow start.
 func (r *Reducer) Share(now time.Time, a netip.AddrPort) float64 { return r.registry.Share(now, a) }
 
 // Evacuations returns the zone evacuations in force at this balancer.
@@ -238,8 +238,8 @@
 
 const (
 	// joinAfter is the time in which a starting balancer discovers the other members. Until
-	// then it owns no flows: peers that do not list it as a member would never query it for
-	// the flows that it stores.
+	// then the balancer owns no flows: peers that do not list it as a member would never
+	// query it for the flows that it stores.
 	joinAfter = 1500 * time.Millisecond
 	// aloneAfter is the time after which a starting balancer opens flows in all of its
 	// slots. If it has discovered no peer by then, it is alone.
@@ -308,7 +308,7 @@
 const minRankInterval = 500 * time.Millisecond
 
 // updateRanking updates the ranking of the members, at most once per minRankInterval:
-// when many join at once, each would otherwise cause a new ranking of all slots.
+// when many members join at once, each would otherwise cause a new ranking of all slots.
 func (r *Reducer) updateRanking(now time.Time) {
 	if r.ranked || now.Sub(r.lastRank) < minRankInterval {
 		return
--- a/internal/balancer/reducer/spread_test.go
+++ b/internal/balancer/reducer/spread_test.go
@@ -11,9 +11,8 @@
 	"wasabideal/internal/model/upstream"
 )
 
-// Guards against a balancer that keeps an old preset. A third of all messages is lost,
-// and only one balancer receives the new revision from a voter. A revision that is sent
-// only once would not reach all balancers.
+// Only one balancer receives a new revision from a voter, and a third of all messages is lost.
+// If balancers sent the revision only once, some would keep the old preset.
 func TestRevisionReachesAllBalancersDespiteLoss(t *testing.T) {
 	f := suezFleet(21)
 	f.loss = 1.0 / 3
@@ -25,9 +24,9 @@
 	}
 }
 
-// Guards against an old configuration that replaces a newer one in an isolated zone. A
-// balancer without a disk restarts there and receives an old revision. It must adopt the
-// highest revision that it receives, not the last one.
+// A balancer without a disk restarts in an isolated zone and receives an old revision. If it
+// adopted the last revision instead of the highest, the old configuration would replace a newer
+// one.
 func TestRestartInAnIsolatedZoneUsesTheHighestRevision(t *testing.T) {
 	f := suezFleet(22)
 	f.usePreset("maintenance")
@@ -47,8 +46,8 @@
 	}
 }
 
-// Guards against a reset of an idle flow at its next packet. The flow sends nothing for 20
-// hours while balancers are replaced; idle flows must be kept and replicated too.
+// A flow sends nothing for 20 hours while balancers are replaced. If idle flows were not kept
+// and replicated, the flow's next packet would cause a reset.
 func TestIdleFlowSurvivesTheReplacementOfBalancers(t *testing.T) {
 	f := suezFleet(23)
 	f.openFlows(200, "orders", time.Second, 20*time.Hour)
@@ -67,8 +66,8 @@
 	require.Zero(t, f.broken)
 }
 
-// Guards against two connections for one caller. Its SYN arrives at two balancers at
-// the same time and again later; only one balancer may own the flow.
+// A caller's SYN arrives at two balancers at the same time, and again later. If more than one
+// balancer owned the flow, the caller would have two connections.
 func TestSimultaneousSYNsOpenOneFlow(t *testing.T) {
 	f := suezFleet(24)
 	f.duplicate = 0.5
@@ -85,9 +84,8 @@
 	require.Equal(t, 200, accepted)
 }
 
-// Guards against a new flow that reaches a draining upstream. A flow closes, its
-// upstream drains and the caller opens a flow from the same port, which must not be
-// treated as the closed flow.
+// A flow closes, its upstream drains, and the caller opens a flow from the same port. If the
+// new flow were treated as the closed one, it would reach the draining upstream.
 func TestReusedPortIsANewFlow(t *testing.T) {
 	f := suezFleet(25)
 	c := f.call(0, "orders", time.Hour)
@@ -105,8 +103,8 @@
 	require.NotEqual(t, first.Address, c.upstream)
 }
 
-// Guards against resets of other flows when an upstream restarts. The upstream returns with
-// a new incarnation and without its connections, so only its own flows break.
+// An upstream restarts with a new incarnation and without its connections. Only its own flows
+// may break; resets of other flows are a fault.
 func TestUpstreamRestartBreaksOnlyItsOwnFlows(t *testing.T) {
 	f := suezFleet(26)
 	f.openFlows(300, "orders", time.Second, time.Second)
@@ -120,9 +118,8 @@
 	require.Zero(t, f.misdelivered)
 }
 
-// Guards against flows to an overloaded zone while others have capacity. One zone has
-// most balancers and few upstreams; a balancer may prefer its own zone only up to that
-// zone's capacity.
+// One zone has most balancers and few upstreams. If its balancers preferred their zone beyond
+// the zone's capacity, flows would go to overloaded upstreams while others have capacity.
 func TestOverloadedZoneSpillsOver(t *testing.T) {
 	f := newFleet(27)
 	for i := range 6 {
@@ -145,8 +142,8 @@
 	require.Equal(t, upstream.Ready, f.anyUpstream().State)
 }
 
-// Guards against a balancer that serves a service of another group, whose upstreams it
-// does not know. A service is moved to another group but remains in the configuration.
+// A service is moved to another group but remains in the configuration. A balancer of the first
+// group must not serve the service, because it does not know the service's upstreams.
 func TestServicesOfAnotherGroupAreNotServed(t *testing.T) {
 	f := suezFleet(28)
 	f.openFlows(20, "orders", time.Second, time.Second)
--- a/internal/balancer/reducer/start_test.go
+++ b/internal/balancer/reducer/start_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against flows that hang when they are opened while the group forms. All
-// balancers start within a second and have different views of the group.
+// All balancers start within a second and have different views of the group. Flows that are
+// opened meanwhile must not hang.
 func TestFlowsOpenedWhileTheGroupFormsSurvive(t *testing.T) {
 	for seed := range uint64(10) {
 		f := newFleet(seed)
--- a/internal/balancer/trace/trace.go
+++ b/internal/balancer/trace/trace.go
@@ -15,8 +15,8 @@
 // lineLimit is the maximum length of a line, which holds a datagram in JSON.
 const lineLimit = 1 << 20
 
-// line is one line of a trace. The first line holds the settings, the others an event
-// each.
+// line is one line of a trace. The first line holds the settings, and each later line holds
+// an event.
 type line struct {
 	Now      time.Time
 	Settings *reducer.Settings `json:",omitempty"`
