--- a/internal/wire/datagram/datagram.go
+++ b/internal/wire/datagram/datagram.go
@@ -10,7 +10,7 @@
 
 const (
 	batchSize = 64
-	// BufferSize is the receive buffer size of a datagram in bytes; longer ones are truncated.
+	// BufferSize is the receive buffer size of a datagram in bytes; longer datagrams are truncated.
 	BufferSize   = 2048
 	socketBuffer = 4 << 20
 	// maxCachedAddresses bounds the cache of destination addresses.
@@ -54,19 +54,20 @@
 // Close closes the socket; pending and later reads fail.
 func (s *Socket) Close() { _ = s.conn.Close() }
 
-// Read blocks until datagrams arrive and returns their number.
+// Read blocks until datagrams arrive and returns the number of datagrams.
 func (s *Socket) Read() (int, error) { return s.batch.ReadBatch(s.in, 0) }
 
-// Datagram returns the source and content of the i-th datagram, valid until the next Read.
+// Datagram returns the source and content of the i-th datagram. The content is valid until the next
+// Read.
 func (s *Socket) Datagram(i int) (netip.AddrPort, []byte) {
 	m := &s.in[i]
 	from := m.Addr.(*net.UDPAddr).AddrPort()
 	return netip.AddrPortFrom(from.Addr().Unmap(), from.Port()), m.Buffers[0][:m.N]
 }
 
-// QueueDelay returns how long the i-th datagram waited in the socket's receive queue, or zero if
-// the kernel reports no timestamp. Kernel timestamps use the wall clock, so the result may be
-// too long after a clock step.
+// QueueDelay returns how long the i-th datagram waited in the socket's receive queue. If the kernel
+// reports no timestamp, the result is zero. Kernel timestamps use the wall clock, so the result may
+// be too long after a clock step.
 func (s *Socket) QueueDelay(now time.Time, i int) time.Duration {
 	m := &s.in[i]
 	arrival, ok := parseTimestamp(m.OOB[:m.NN])
@@ -99,7 +100,8 @@
 	return a
 }
 
-// Flush sends the queued datagrams; one that the kernel rejects is skipped, as if lost in the network.
+// Flush sends the queued datagrams. A datagram that the kernel rejects is skipped, as if the
+// network had lost it.
 func (s *Socket) Flush() error {
 	var failed error
 	for sent := 0; sent < s.queued; {
--- a/internal/wire/datagram/datagram_test.go
+++ b/internal/wire/datagram/datagram_test.go
@@ -10,7 +10,8 @@
 	"wasabideal/internal/wire/datagram"
 )
 
-// Guards against a queue delay of zero for datagrams that waited until the process was scheduled.
+// A datagram waits in the receive queue until the process is scheduled. Guards against a reported
+// queue delay of zero.
 func TestQueueDelayIsMeasured(t *testing.T) {
 	s, err := datagram.Listen("127.0.0.1:0")
 	require.NoError(t, err)
--- a/internal/wire/datagram/timestamp.go
+++ b/internal/wire/datagram/timestamp.go
@@ -24,8 +24,8 @@
 	})
 }
 
-// parseTimestamp decodes the receive timestamp from a datagram's control message, if present:
-// seconds and nanoseconds since 1970.
+// parseTimestamp decodes the receive timestamp in the control message of a datagram: seconds and
+// nanoseconds since 1970. The bool is false if the timestamp is missing or truncated.
 func parseTimestamp(control []byte) (time.Time, bool) {
 	if len(control) < unix.SizeofCmsghdr {
 		return time.Time{}, false
--- a/internal/wire/extensible/extensible.go
+++ b/internal/wire/extensible/extensible.go
@@ -8,14 +8,15 @@
 	"strings"
 )
 
-// Object is a JSON object with the members of T and all others in encoded form.
+// Object is a JSON object that may have members unknown to T.
 type Object[T any] struct {
 	Known T
-	// Extra is an encoded object of the members that T lacks, or empty if there are none.
+	// Extra is a JSON object of the members that T lacks. It is empty if T has all members.
 	Extra []byte
 }
 
-// UnmarshalJSON decodes an object. The usual object without unknown members is decoded only once.
+// UnmarshalJSON decodes an object. An object without unknown members, the usual case, is decoded
+// only once.
 func (o *Object[T]) UnmarshalJSON(body []byte) error {
 	var strict T
 	d := json.NewDecoder(bytes.NewReader(body))
--- a/internal/wire/relay/relay.go
+++ b/internal/wire/relay/relay.go
@@ -23,8 +23,8 @@
 	FlagNotFound
 	// FlagLookup marks a packet that looks up the flow's entry on behalf of Origin.
 	FlagLookup
-	// FlagStale means that the last hop of the path is a member whose entry may be outdated; this
-	// entry is used only if no other member has one.
+	// FlagStale means that the last hop of the path is a member whose entry may be outdated. This
+	// entry is used only if no other member has an entry.
 	FlagStale
 )
 
@@ -73,7 +73,8 @@
 // PathEmpty reports whether the path is empty.
 func (h *Header) PathEmpty() bool { return h.pathLength == 0 }
 
-// NextHop removes the first member from the path and returns it.
+// NextHop removes the first member from the path and returns this member. The bool is false if the
+// path is empty.
 func (h *Header) NextHop() (netip.AddrPort, bool) {
 	if h.pathLength == 0 {
 		return netip.AddrPort{}, false
--- a/internal/wire/rpc/client.go
+++ b/internal/wire/rpc/client.go
@@ -27,16 +27,16 @@
 // Unwrap returns the underlying error.
 func (e *LostError) Unwrap() error { return e.Cause }
 
-// DialTimeout is the default limit for opening a connection. A VM without power does
-// not respond, and the kernel retransmits the SYN only after a second. Without this limit, a
-// client that dials a voter during a restart of a third of a second connects only with that
-// retransmission. Connections between zones open within a few ms.
+// DialTimeout is the default limit for opening a connection. A VM without power does not respond,
+// and the kernel retransmits the SYN only after a second. If a voter is down for a third of a
+// second during a restart, a client that dials it without this limit connects only with the
+// retransmitted SYN. Connections between zones open within a few ms.
 const DialTimeout = 100 * time.Millisecond
 
 // Client calls one address, one call at a time.
 //
-// A call that fails or times out also closes the connection, so that the next
-// call redials: a connection can stop responding while new ones work.
+// A call that fails or times out also closes the connection, so that the next call redials: a
+// connection can stop responding while new connections work.
 type Client struct {
 	address, token string
 	dialTimeout    time.Duration
--- a/internal/wire/rpc/rpc_test.go
+++ b/internal/wire/rpc/rpc_test.go
@@ -59,10 +59,9 @@
 	require.Equal(t, "rpc_test.TypedError", remote.Kind)
 }
 
-// Guards against a process that waits forever on a dead connection while new ones work.
-// A device between the two ends drops the connection's state, so that nothing arrives and
-// no error is reported. It happens with a call without a deadline, or with a connection
-// that is reused after a deadline passed.
+// A device between client and server drops the state of a connection: nothing arrives, and no error
+// is reported. A client waited forever on this connection, while new connections worked. It did so
+// in a call without a deadline, or when it reused the connection after a deadline had passed.
 func TestDeadConnectionIsClosedAndRedialled(t *testing.T) {
 	front := listen(t)
 	back := listen(t)
@@ -80,7 +79,7 @@
 	_ = front.Close()
 }
 
-// forward leaves the first connection unserved and proxies the others.
+// forward does not serve the first connection and proxies all later connections.
 func forward(l net.Listener, to string) {
 	for n := 0; ; n++ {
 		in, err := l.Accept()
@@ -113,8 +112,8 @@
 	}
 }
 
-// unresponsiveAddress returns an address on which connection attempts hang as they do
-// for a VM without power: a listener whose queue is full drops SYN packets.
+// unresponsiveAddress returns an address on which connection attempts hang, as for a VM without
+// power: the queue of the listener is full, so the kernel drops SYN packets.
 func unresponsiveAddress(t *testing.T) string {
 	s, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM, 0)
 	require.NoError(t, err)
@@ -133,10 +132,10 @@
 	}
 }
 
-// Guards against a late configuration after a power failure of all VMs: balancers got it
-// after a second, although voters had it after a third of a second. If a balancer starts
-// before a voter's VM, its SYN is lost, and the kernel retransmits the SYN only after a second.
-// Formerly, the call waited for the connection until the deadline of the call.
+// After a power failure of all VMs, a balancer starts before a voter's VM. The SYN of the balancer
+// is lost, and the kernel retransmits the SYN only after a second. The call waited for the
+// connection until its deadline: balancers got the configuration after a second, although voters
+// had it after a third of a second.
 func TestHangingConnectionAttemptTimesOut(t *testing.T) {
 	c := rpc.NewClient(unresponsiveAddress(t), "token")
 	defer c.Close()
@@ -148,9 +147,9 @@
 	require.NoError(t, ctx.Err())
 }
 
-// Guards against a slow start: after a power failure of all VMs, balancers with a link of
-// 2 Mbit/s were ready 0.1 s after the first voter. Each one fetches all upstreams and the
-// configuration, and transferring the responses took most of that time.
+// After a power failure of all VMs, each balancer fetches all upstreams and the configuration.
+// Balancers with a link of 2 Mbit/s were ready 0.1 s after the first voter, and transferring the
+// uncompressed responses took most of that time.
 func TestLargeResponsesAreCompressed(t *testing.T) {
 	l := listen(t)
 	counted := &countingListener{Listener: l}
@@ -189,9 +188,9 @@
 	return n, err
 }
 
-// Guards against wasted bandwidth on the links of root balancers. Forwarded announcements
-// are calls with large bodies that repeat the names of services and zones. Formerly, only
-// responses were compressed.
+// A root balancer forwards announcements in calls with large bodies that repeat the names of
+// services and zones. Formerly, only responses were compressed, and the calls wasted bandwidth on
+// the link of the root balancer.
 func TestLargeCallsAreCompressed(t *testing.T) {
 	l := listen(t)
 	counted := &countingListener{Listener: l}
--- a/internal/wire/rpc/server.go
+++ b/internal/wire/rpc/server.go
@@ -19,7 +19,8 @@
 type request struct {
 	Token string
 	Body  cbor.RawMessage `cbor:",omitempty"`
-	// Compressed states that the caller can decompress the response; earlier versions do not set it.
+	// Compressed states that the caller can decompress the response; callers of earlier versions do
+	// not set it. In a response, Compressed is the compressed body.
 	Compressed bool
 	// Packed is the body in S2 block format; Body is then empty.
 	Packed []byte `cbor:",omitempty"`
@@ -50,7 +51,8 @@
 }
 
 type response struct {
-	Body  cbor.RawMessage `cbor:",omitempty"`
+	Body cbor.RawMessage `cbor:",omitempty"`
+	// Kind is the type name of the error, Error its message; both are empty if the call succeeded.
 	Kind  string
 	Error string
 	// Compressed is the body in S2 block format; Body is then empty.
@@ -58,14 +60,15 @@
 }
 
 // minCompressedResponse is the size in bytes from which responses are compressed. A starting
-// balancer fetches all upstreams and the configuration: 20 kB for 220 upstreams and 70
-// routes, which take 80 ms on a link of 2 Mbit/s, or half of that compressed. Smaller
-// responses are deltas, for which compression costs more time than it saves.
+// balancer fetches all upstreams and the configuration: 20 kB for 220 upstreams and 70 routes. The
+// transfer takes 80 ms on a link of 2 Mbit/s, and half of that if compressed. Smaller responses are
+// deltas, for which compression costs more time than it saves.
 const minCompressedResponse = 2 << 10
 
-// newResponse returns a response with a body, compressed if large and allowed.
-func newResponse(body []byte, compressed bool) *response {
-	if !compressed || len(body) < minCompressedResponse {
+// newResponse returns a response with a body. A large body is compressed if the caller allows
+// compression.
+func newResponse(body []byte, allowCompression bool) *response {
+	if !allowCompression || len(body) < minCompressedResponse {
 		return &response{Body: body}
 	}
 	return &response{Compressed: s2.Encode(nil, body)}
@@ -130,7 +133,8 @@
 	onDenied func(method string)
 }
 
-// NewServer returns a server without methods; onDenied is called for each call without a valid token.
+// NewServer returns a server without methods. The server calls onDenied for each call without a
+// valid token.
 func NewServer(onDenied func(method string)) *Server {
 	return &Server{methods: map[string]method{}, onDenied: onDenied}
 }
@@ -190,7 +194,7 @@
 	return lo.MapValues(s.methods, func(m method, _ string) int64 { return m.calls.Load() })
 }
 
-// errorKind returns the type name of the innermost error, which callers compare.
+// errorKind returns the type name of the innermost error. Callers compare this name.
 func errorKind(err error) string {
 	for {
 		inner := errors.Unwrap(err)
