--- a/internal/disk/fault/fault.go
+++ b/internal/disk/fault/fault.go
@@ -24,9 +24,10 @@
 	files   map[string]*content
 	durable map[string]*content
 	random  *rand.Rand
-	// Operations counts the operations so far that change files or sync them.
+	// Operations is the number of operations so far that change or sync files.
 	Operations int
-	// FailAt is the number of the operation from which on all fail; 0 disables failures.
+	// FailAt is the number of the first operation that fails; all later operations fail too. 0
+	// disables failures.
 	FailAt int
 	// FailOnce limits the failure to operation FailAt, as on a disk that is full for a moment.
 	FailOnce bool
@@ -53,8 +54,8 @@
 	return nil
 }
 
-// Crash discards unsynced names and data, except a random prefix of the data written to
-// each file since its last sync, and disables failures.
+// Crash discards names and data that are not synced, and disables failures. Of the data written to
+// each file since its last sync, a random prefix survives.
 func (f *Folder) Crash() {
 	f.FailAt = 0
 	f.files = maps.Clone(f.durable)
@@ -70,7 +71,7 @@
 	}
 }
 
-// Wipe removes all files, as replacing the disk does.
+// Wipe removes all files, as if the disk were replaced.
 func (f *Folder) Wipe() {
 	f.files, f.durable = map[string]*content{}, map[string]*content{}
 }
@@ -116,7 +117,7 @@
 	return &file{folder: f, content: c}, nil
 }
 
-// Rename renames a file and replaces the target if it exists.
+// Rename replaces the target if it exists.
 func (f *Folder) Rename(from, to string) error {
 	if err := f.inject("rename"); err != nil {
 		return err
--- a/internal/disk/folder/folder.go
+++ b/internal/disk/folder/folder.go
@@ -10,7 +10,8 @@
 
 // Folder is a data folder; created, renamed and removed names are durable only after Sync.
 type Folder interface {
-	// ReadFile returns the content of a file; errors.Is finds fs.ErrNotExist if there is none.
+	// ReadFile returns the content of a file. If the file does not exist, errors.Is finds
+	// fs.ErrNotExist in the error.
 	ReadFile(name string) ([]byte, error)
 	// Create creates or truncates a file for writing.
 	Create(name string) (File, error)
--- a/internal/disk/local/local.go
+++ b/internal/disk/local/local.go
@@ -29,7 +29,7 @@
 	lock *os.File
 }
 
-// Open creates the folder if needed and locks it: two processes that append to
+// Open creates the folder if needed and locks it. Without the lock, two processes that append to
 // one log would corrupt each other's records.
 func Open(path string) (*Folder, error) {
 	if err := os.MkdirAll(path, folderMode); err != nil {
@@ -72,7 +72,7 @@
 	return file, nil
 }
 
-// Rename renames a file and replaces the target if it exists.
+// Rename replaces the target if it exists.
 func (f *Folder) Rename(from, to string) error { return os.Rename(f.pathOf(from), f.pathOf(to)) }
 
 // Remove deletes a file.
--- a/internal/disk/wal/wal.go
+++ b/internal/disk/wal/wal.go
@@ -51,8 +51,8 @@
 type record struct {
 	_    struct{} `cbor:",toarray"`
 	Vote *agreement.Vote
-	// Entries are all entries of one write. With two records in one write, a power
-	// failure could tear the first and keep the second, which would look like corruption.
+	// Entries are all entries of one write. If a write had two records, a power failure could tear
+	// the first record and keep the second, which would look like corruption.
 	Entries []agreement.Entry
 	Commit  uint64
 }
@@ -135,8 +135,8 @@
 	return nil
 }
 
-// compact replaces the snapshot and then the log. After a crash in between, the log
-// still has entries that the snapshot covers; Open skips them.
+// compact replaces the snapshot and then the log. After a crash between the two replacements, the
+// log still has entries that the snapshot covers; Open skips these entries.
 func (l *Log) compact(p agreement.Persist) error {
 	body, err := cbor.Marshal(p.Snapshot)
 	if err != nil {
@@ -178,7 +178,8 @@
 	return appendFrame(b, body), nil
 }
 
-// appendFrame appends the length and checksum of the body, a checksum of these two, and the body.
+// appendFrame appends the length of the body, its checksum, a checksum of these two fields, and the
+// body.
 func appendFrame(b, body []byte) []byte {
 	start := len(b)
 	b = binary.BigEndian.AppendUint32(b, uint32(len(body)))
@@ -244,9 +245,9 @@
 	return int64(offset), nil
 }
 
-// containsRecord reports whether a valid record starts anywhere in b, in which case the
-// corruption before it is not a torn write at the end. It tries every byte offset, since
-// a corrupt length does not show where the next record starts.
+// containsRecord reports whether a valid record starts anywhere in b. If so, the corruption before
+// this record is not a torn write at the end. Every byte offset is tried, since a corrupt length
+// does not show where the next record starts.
 func containsRecord(b []byte) bool {
 	for i := range b {
 		if body, ok := parseFrame(b[i:]); ok && len(body) > 0 {
--- a/internal/disk/wal/wal_test.go
+++ b/internal/disk/wal/wal_test.go
@@ -24,8 +24,8 @@
 	return w
 }
 
-// Guards against a voter that does not start after a power failure in the middle of a
-// write, which leaves a partial record at the end of the log.
+// A power failure in the middle of a write leaves a partial record at the end of the log. Guards
+// against a voter that does not start with this log.
 func TestTornWriteAtTheEndIsTruncated(t *testing.T) {
 	f := fault.New(1)
 	w := writeEntries(t, f, 5)
@@ -43,8 +43,8 @@
 	require.Equal(t, size, w.Size())
 }
 
-// Guards against the loss of acknowledged changes at a restart. A flipped bit in an early
-// record must not be treated as a torn write at the end.
+// A bit flips in an early record of the log. If this corruption were treated as a torn write at the
+// end, a restart would lose acknowledged changes.
 func TestCorruptionBeforeTheEndIsReportedWithItsOffset(t *testing.T) {
 	for offset := range 40 {
 		f := fault.New(1)
@@ -58,8 +58,9 @@
 	}
 }
 
-// Guards against the loss of accepted changes after the disk was full. If one write fails and
-// later ones succeed, their records follow a partial one and cannot be read.
+// The disk is full during one write and has space again for later writes. If the later writes
+// succeeded, their records would follow a partial record and could not be read, and accepted
+// changes would be lost.
 func TestWritesFailAfterOneFailure(t *testing.T) {
 	f := fault.New(1)
 	w := writeEntries(t, f, 2)
