--- a/internal/log/asyncwriter/asyncwriter.go
+++ b/internal/log/asyncwriter/asyncwriter.go
@@ -11,8 +11,8 @@
 // seconds of output at the highest rate at which the processes log.
 const maxPending = 256 << 10
 
-// Writer is a writer that drops lines when its destination is too slow: with blocking
-// writes, a process would stop forwarding packets when nothing reads its log.
+// Writer is a writer that drops lines when its destination is too slow. If writes blocked, a
+// process whose log nobody reads would stop forwarding packets.
 type Writer struct {
 	destination io.Writer
 	mu          sync.Mutex
@@ -64,8 +64,8 @@
 	for range w.wake {
 		lines, closed := w.take()
 		if n, err := w.destination.Write(lines); err != nil {
-			// The destination may accept lines again later, such as a disk that was full;
-			// the dropped lines are reported there then.
+			// The destination, such as a full disk, may accept lines again later. The number of
+			// dropped lines is written then.
 			w.addDropped(bytes.Count(lines[n:], []byte{'\n'}))
 		}
 		if closed {
--- a/internal/log/asyncwriter/asyncwriter_test.go
+++ b/internal/log/asyncwriter/asyncwriter_test.go
@@ -30,8 +30,8 @@
 	return s.got.Write(b)
 }
 
-// Guards against a balancer that forwards nothing for minutes: its log collector stops reading,
-// the pipe between them fills up, and writing a line blocks.
+// A log collector stops reading, and the pipe to the collector fills up. Writing a line then
+// blocks, and a balancer that waited for the write forwarded no packets for minutes.
 func TestWriteDoesNotBlockOnStuckReader(t *testing.T) {
 	reader := &blockingDestination{}
 	reader.mu.Lock()
@@ -102,8 +102,8 @@
 	return f.Buffer.Write(b)
 }
 
-// Guards against a process that logs nothing until its restart: the disk for its log is full
-// for some seconds, and the writer goroutine returned at the first error.
+// The disk for a log is full for some seconds. The writer goroutine returned at the first error,
+// and the process logged nothing until its restart.
 func TestLoggingResumesAfterFullDisk(t *testing.T) {
 	f := &fullDisk{rejected: make(chan struct{})}
 	f.rejecting.Store(true)
--- a/internal/log/lines/lines.go
+++ b/internal/log/lines/lines.go
@@ -11,8 +11,8 @@
 // maxLineSize is the maximum line length in bytes; no process writes longer lines.
 const maxLineSize = 1 << 20
 
-// Read calls handle with each line, starting at its first brace. A prefix, as a log collector
-// may add, is skipped, and so are lines without a brace.
+// Read calls handle with each line from its first brace on. This skips a prefix that a log
+// collector may add. Lines without a brace are skipped.
 func Read(r io.Reader, handle func(line []byte)) error {
 	s := bufio.NewScanner(r)
 	s.Buffer(nil, maxLineSize)
--- a/internal/log/ratelimit/ratelimit.go
+++ b/internal/log/ratelimit/ratelimit.go
@@ -5,7 +5,7 @@
 // window is the time in which the limit applies.
 const window = time.Second
 
-// Limiter allows a number of lines per second and counts the suppressed ones.
+// Limiter allows a number of lines per second and counts the suppressed lines.
 type Limiter struct {
 	limit       int
 	windowStart time.Time
@@ -16,8 +16,8 @@
 // New returns a Limiter that allows limit lines per second.
 func New(limit int) *Limiter { return &Limiter{limit: limit} }
 
-// Allow reports whether a line may be written now and, if so, how many were suppressed since
-// the last one written.
+// Allow reports whether a line may be written now. If so, suppressed is the number of lines
+// suppressed since the last written line.
 func (l *Limiter) Allow(now time.Time) (suppressed int, ok bool) {
 	if now.Sub(l.windowStart) >= window {
 		l.windowStart, l.written = now, 0
--- a/internal/log/story/story.go
+++ b/internal/log/story/story.go
@@ -89,7 +89,7 @@
 	}
 }
 
-// selectLines returns the matching lines and those that give their context.
+// selectLines returns the matching lines and the lines that give their context.
 func (t Timeline) selectLines(matched []line, q Query) []line {
 	from, to := matched[0].At.Add(-contextWindow), matched[len(matched)-1].At.Add(contextWindow)
 	processes, incarnations := map[string]bool{}, map[string]bool{}
--- a/internal/metric/latency/latency.go
+++ b/internal/metric/latency/latency.go
@@ -6,8 +6,8 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// samples and sampleBias are the size and the decay factor of the exponentially decaying
-// sample for quantiles, which covers a few minutes of one process.
+// samples is the size and sampleBias the decay factor of the exponentially decaying sample for
+// quantiles. The sample covers a few minutes of one process.
 const (
 	samples    = 512
 	sampleBias = 0.015
--- a/internal/operator/client/client.go
+++ b/internal/operator/client/client.go
@@ -33,7 +33,8 @@
 	return &Client{addresses: addresses, token: token}
 }
 
-// NoLeaderError reports that no voter confirmed a change in time; the outcome is unknown.
+// NoLeaderError reports that no voter confirmed a change in time. Whether the change was applied is
+// unknown.
 type NoLeaderError struct{ Last error }
 
 func (e *NoLeaderError) Error() string {
@@ -74,8 +75,8 @@
 	return remote.Kind == "rpc.DeniedError" || remote.Kind == "voter.MissingKeyError"
 }
 
-// Current returns the configuration that a voter confirms as the newest, or else the one with the
-// highest revision.
+// Current returns the first configuration that a voter confirms as the newest. If no voter confirms
+// its configuration, Current returns the configuration with the highest revision.
 func (c *Client) Current(ctx context.Context) (voter.ConfigurationStatus, error) {
 	var newest voter.ConfigurationStatus
 	var last error
@@ -98,7 +99,7 @@
 	return newest, last
 }
 
-// Evacuations returns the evacuated availability zones at the highest revision of all voters.
+// Evacuations asks all voters and returns the evacuated availability zones at the highest revision.
 func (c *Client) Evacuations(ctx context.Context) (evacuation.Evacuations, error) {
 	var newest evacuation.Evacuations
 	var last error
--- a/internal/setting/settings/settings.go
+++ b/internal/setting/settings/settings.go
@@ -55,30 +55,30 @@
 
 // Balancer holds the settings of a balancer.
 type Balancer struct {
-	// Group names the balancers that share flows; services in the configuration name
-	// their group. If empty, the balancer serves the services without a group.
+	// Group names the balancers that share flows. A service in the configuration names the group
+	// that serves it. If Group is empty, the balancer serves the services without a group.
 	Group string
 	// Seeds are the peer addresses of some balancers of the group, used to join it.
 	Seeds []string
 	// Sources are the RPC addresses of control voters or relays, in order of preference.
 	Sources  []string
 	MaxFlows int
-	// MaxKeys is the maximum number of stored request keys; further ones are rejected.
+	// MaxKeys is the maximum number of stored request keys; further keys are rejected.
 	MaxKeys int
 	Tick    Duration
 	// ControlBytes is the combined limit for gossip and repair traffic in bytes per second.
 	ControlBytes int
-	// Lease is how long an announcement of an upstream is valid without a newer one.
+	// Lease is how long an announcement of an upstream is valid if no newer announcement follows.
 	Lease Duration
 	// Quarantine is how long an address gets no flows after it changes its service.
 	Quarantine Duration
 	// Tombstone is how long a withdrawn upstream stays recorded.
 	Tombstone Duration
-	// Settle is the time after a change of members during which the balancer queries other
-	// members for unknown flows and does not guess their upstream.
+	// Settle is the time after a change of members during which the balancer queries other members
+	// for unknown flows instead of guessing their upstream.
 	Settle Duration
-	// OpeningTimeout, IdleTimeout and ClosingTimeout are the times after which
-	// unconfirmed, idle and closed flows are removed.
+	// OpeningTimeout, IdleTimeout and ClosingTimeout are the times after which unconfirmed, idle
+	// and closed flows, respectively, are removed.
 	OpeningTimeout Duration
 	IdleTimeout    Duration
 	ClosingTimeout Duration
@@ -103,8 +103,8 @@
 // Control holds the settings of a voter.
 type Control struct {
 	Founders []InitialVoter
-	// Heartbeat is the interval between a leader's messages, Election the minimum
-	// election timeout.
+	// Heartbeat is the interval between a leader's messages. Election is the minimum election
+	// timeout.
 	Heartbeat Duration
 	Election  Duration
 	Tick      Duration
@@ -112,7 +112,8 @@
 	CompactAfter int
 	// AcceptTimeout is how long a change of an operator may wait for acceptance.
 	AcceptTimeout Duration
-	// Rpc is the listen address of the voter; if empty, its address in Founders.
+	// Rpc is the listen address of the voter. If empty, the voter listens at its address in
+	// Founders.
 	Rpc string
 }
 
--- a/internal/setting/wiring/wiring.go
+++ b/internal/setting/wiring/wiring.go
@@ -21,8 +21,8 @@
 )
 
 const (
-	// repairShare is the share of ControlBytes for replicating flows; the rest is for
-	// membership probes and the updates that they carry.
+	// repairShare is the share of ControlBytes for replicating flows. The rest is for membership
+	// probes and the updates that the probes carry.
 	repairShare = 0.25
 	// sourceHold, sourceGrace and sourceRetry are Hold, Grace and RetryAfter of the puller.
 	sourceHold  = 5 * time.Second
--- a/internal/start/serve/serve.go
+++ b/internal/start/serve/serve.go
@@ -13,8 +13,8 @@
 	"wasabideal/internal/daemon/control"
 )
 
-// Stage blocks until SIGTERM, SIGINT or a request of an operator starts the planned
-// stop; a second signal aborts the planned stop of the balancer.
+// Stage blocks until SIGTERM, SIGINT or a request of an operator starts the planned stop. A second
+// signal aborts the planned stop of the balancer.
 type Stage struct{}
 
 // String names the stage.
--- a/internal/start/stage/stage.go
+++ b/internal/start/stage/stage.go
@@ -20,8 +20,8 @@
 
 func (e *SkipError) Error() string { return e.Reason }
 
-// Run runs stages in order, logs those that return a SkipError, and stops at the
-// first other error.
+// Run runs stages in order and stops at the first error. A SkipError does not stop Run: the stage
+// is logged as skipped.
 func Run(ctx context.Context, i do.Injector, stages []Stage) error {
 	for _, s := range stages {
 		err := s.Run(ctx, i)
--- a/internal/start/startbalancer/flusher.go
+++ b/internal/start/startbalancer/flusher.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// flusher is a buffered writer that one goroutine writes to and another one flushes.
+// flusher is a buffered writer: one goroutine writes to the buffer, and another goroutine flushes
+// the buffer.
 type flusher struct {
 	mu     sync.Mutex
 	buffer *bufio.Writer
--- a/internal/start/startbalancer/startbalancer.go
+++ b/internal/start/startbalancer/startbalancer.go
@@ -65,7 +65,8 @@
 	return nil
 }
 
-// enableStore makes a balancer with a data folder store its configuration and start with the stored one.
+// enableStore makes a balancer with a data folder store its configuration and start with the stored
+// configuration.
 func enableStore(x *balancer.Settings, path string) error {
 	if path == "" {
 		return nil
