--- a/internal/standin/announcer/announcer.go
+++ b/internal/standin/announcer/announcer.go
@@ -71,7 +71,8 @@
 	}
 }
 
-// Announce sends the announcement once. If no balancer accepts it, the error of the last one is returned.
+// Announce sends the announcement once. If no balancer accepts the announcement, the error of the
+// last balancer is returned.
 func (a *Announcer) Announce(ctx context.Context) error {
 	a.mu.Lock()
 	a.announcement.Sequence++
--- a/internal/standin/caller/caller.go
+++ b/internal/standin/caller/caller.go
@@ -23,8 +23,8 @@
 	readSize       = 4096
 )
 
-// Reply returns the reply of an upstream to a message: the inverted bytes, so
-// that a packet echoed by another process is detected.
+// Reply returns the reply of an upstream to a message: the inverted bytes, so that a caller detects
+// a packet that another process echoes.
 func Reply(message []byte) []byte {
 	out := make([]byte, len(message))
 	for i, b := range message {
@@ -59,7 +59,7 @@
 
 // Counts holds the results of all flows.
 type Counts struct {
-	// WrongBytes counts replies that differ from the expected one.
+	// WrongBytes counts replies that differ from the expected reply.
 	Flows, Established, BrokenFlows, Messages, WrongBytes int
 	// Reasons counts broken flows by reason.
 	Reasons map[string]int
@@ -249,8 +249,9 @@
 	}
 }
 
-// receiveRST accepts only a reset in sequence, as a TCP stack does, or one with sequence number 0, as in
-// the response to a segment without ACK. While connecting, it ignores resets: the SYN is retransmitted.
+// receiveRST accepts a reset in sequence, as a TCP stack does, and a reset with sequence number 0,
+// as in the response to a segment without ACK. While connecting, receiveRST ignores resets: the SYN
+// is retransmitted.
 func (c *Caller) receiveRST(f *flow, s segment.Segment) {
 	if f.state == connecting {
 		return
--- a/internal/standin/fabric/fabric.go
+++ b/internal/standin/fabric/fabric.go
@@ -45,7 +45,7 @@
 	f.balancers = slices.DeleteFunc(f.balancers, func(b netip.AddrPort) bool { return a == b })
 }
 
-// Send sends one packet to a random balancer, or drops it if there is none.
+// Send sends one packet to a random balancer. Without a balancer, the packet is dropped.
 func (f *Fabric) Send(packet []byte) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/standin/requester/requester.go
+++ b/internal/standin/requester/requester.go
@@ -29,7 +29,8 @@
 // Settings configures the clients.
 type Settings struct {
 	Service string
-	// HTTPAddresses returns the HTTP addresses of the balancers; each attempt goes to a random one.
+	// HTTPAddresses returns the HTTP addresses of the balancers; each attempt goes to a random
+	// address.
 	HTTPAddresses func() []string
 	// Runs returns how often the upstreams have run a request key.
 	Runs    func(key string) int
@@ -39,14 +40,15 @@
 
 // Counts holds the reported outcomes and the violations that were found.
 type Counts struct {
-	// Answered, NotRun and Unknown count attempts by reported outcome, Lost those without a response.
+	// Answered, NotRun and Unknown count attempts by reported outcome. Lost counts attempts without
+	// a response.
 	Requests, Answered, NotRun, Unknown, Lost int
-	// LeftUnknown counts requests whose last attempt had the outcome Unknown, which is correct if,
-	// for example, the balancer crashed after forwarding. Unanswered counts the other
+	// LeftUnknown counts requests whose last attempt had the outcome Unknown. This outcome is
+	// correct if, for example, the balancer crashed after forwarding. Unanswered counts the other
 	// requests that got no answer.
 	Unanswered, LeftUnknown int
-	// WrongBody counts answers with an unexpected body, FalseNotRun attempts reported as NotRun
-	// although the request had run, and DoubleRun requests that ran more than once.
+	// WrongBody counts answers with an unexpected body. FalseNotRun counts attempts reported as
+	// NotRun although the request had run. DoubleRun counts requests that ran more than once.
 	WrongBody, FalseNotRun, DoubleRun int
 	P50, P99, P999                    time.Duration
 }
@@ -71,8 +73,8 @@
 	}
 }
 
-// Run sends requests at a rate per second until the context is done, then waits
-// for those in progress.
+// Run sends requests at a rate per second until the context is done. It then waits for the requests
+// in progress.
 func (r *Requester) Run(ctx context.Context, rate float64) {
 	t := time.NewTicker(time.Duration(float64(time.Second) / rate))
 	defer t.Stop()
