--- a/internal/capacity/measure/control.go
+++ b/internal/capacity/measure/control.go
@@ -63,8 +63,8 @@
 	return f(d)
 }
 
-// measureLog writes n changes and measures the log size and the time to read and apply them, as on a
-// restart.
+// measureLog writes n changes and measures the size of the log. Then it measures the time to read
+// and apply the changes, as on a restart.
 func measureLog(n int) (logCost, error) {
 	var out logCost
 	err := withTempFolder(func(d *local.Folder) error {
--- a/internal/capacity/measure/cookie.go
+++ b/internal/capacity/measure/cookie.go
@@ -15,7 +15,8 @@
 	"wasabideal/internal/wire/rpc"
 )
 
-// cookiePackets is the number of packets in one timing; openings are timed with a tenth of it.
+// cookiePackets is the number of packets in one timing. For openings, the number is a tenth of
+// cookiePackets.
 const cookiePackets = 20_000
 
 func cookieMeasurements() []Measurement {
@@ -146,7 +147,7 @@
 	c, _ := v.Changes(cookieEpoch)
 	r.Update(cookieEpoch, c)
 	held := heap() - before
-	// Keeps both reachable until here.
+	// Keeps the view and the router reachable until here.
 	v.Changes(cookieEpoch)
 	r.Tick(cookieEpoch)
 	return held, err
@@ -167,8 +168,8 @@
 	})
 }
 
-// callMicros returns the time of an RPC over loopback in microseconds, both ends included, divided by
-// the number of parts, such as announcements, that the call carries.
+// callMicros returns the time of an RPC over loopback in microseconds, both ends included. The time
+// is divided by the number of parts, such as announcements, that the call carries.
 func callMicros(parts int, serve func(*rpc.Server), call func(context.Context, *rpc.Client) error) (float64, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/capacity/measure/doc.go
+++ b/internal/capacity/measure/doc.go
@@ -1,3 +1,3 @@
-// Package measure measures the costs from which the capacity page is calculated. An opening is the
-// first packet of a flow (a SYN).
+// Package measure measures the costs from which package page calculates docs/CAPACITY.md. An
+// opening is the first packet of a flow (a SYN).
 package measure
--- a/internal/capacity/measure/fanout.go
+++ b/internal/capacity/measure/fanout.go
@@ -21,7 +21,7 @@
 	"wasabideal/internal/wire/rpc"
 )
 
-// announcementsPerCall is the number of announcements in one call that forwards them.
+// announcementsPerCall is the number of announcements in one forwarding call.
 const announcementsPerCall = 20
 
 func fanoutMeasurements() []Measurement {
--- a/internal/capacity/measure/group.go
+++ b/internal/capacity/measure/group.go
@@ -18,7 +18,8 @@
 
 const (
 	tick = 100 * time.Millisecond
-	// settleTicks run before the measurement, countedTicks are measured.
+	// settleTicks is the number of ticks before the measurement, countedTicks the number of
+	// measured ticks.
 	settleTicks   = 100
 	countedTicks  = 100
 	groupToken    = "group"
@@ -71,7 +72,8 @@
 	data     []byte
 }
 
-// dispatch passes an event to a node and delivers the datagrams that result, until there are none.
+// dispatch passes an event to a node. It then delivers the resulting datagrams, and the datagrams
+// that they cause, until no datagram is left.
 func (g *group) dispatch(at netip.AddrPort, e event.Event) {
 	datagrams := g.reduce(at, e)
 	for len(datagrams) > 0 {
@@ -112,7 +114,8 @@
 	}
 }
 
-// runGossip returns a group of n members after countedTicks of gossip; its counts cover only these ticks.
+// runGossip returns a group of n members after countedTicks of gossip. The counts of the group
+// cover only these ticks.
 func runGossip(n, upstreams int) (*group, error) {
 	g := newGroup(n, 10_000)
 	c := oneServiceConfiguration()
@@ -143,7 +146,7 @@
 	return g, nil
 }
 
-// IncompleteError reports a measurement that did not reach the state that it measures.
+// IncompleteError reports a measurement that did not reach the state to be measured.
 type IncompleteError struct{ What string }
 
 func (e *IncompleteError) Error() string { return "measurement incomplete: " + e.What }
--- a/internal/capacity/measure/measure.go
+++ b/internal/capacity/measure/measure.go
@@ -12,40 +12,40 @@
 
 // The names of the slopes, under which they are stored in slopes.json.
 const (
-	FlowBytes       = "FlowBytes"
-	HitNanos        = "HitNanos"
-	RelayNanos      = "RelayNanos"
-	OpeningNanos    = "OpeningNanos"
-	RankMillis      = "RankMillis"
-	GossipMembers   = "GossipBytesByMembers"
-	GossipUpstreams = "GossipBytesByUpstreams"
-	GossipMicros    = "GossipMicrosByMembers"
-	UpstreamBytes   = "UpstreamBytes"
-	WholeBytes      = "WholeConfigurationBytes"
-	DeltaBytes      = "DeltaBytes"
-	DeltaMicros     = "DeltaMicros"
-	HeldBytes       = "HeldConfigurationBytes"
-	FanoutMicros    = "FanoutMicros"
-	LogBytes        = "LogBytes"
-	RecoveryMillis  = "RecoveryMillis"
-	AcceptMicros    = "AcceptMicros"
+	FlowBytes       = "FlowBytes"               // memory of a stored flow
+	HitNanos        = "HitNanos"                // time to route a packet of a flow that this balancer holds
+	RelayNanos      = "RelayNanos"              // time to route a packet of a flow that another member holds
+	OpeningNanos    = "OpeningNanos"            // time to route an opening by the flow table
+	RankMillis      = "RankMillis"              // time to rank the members for flow ownership, after a change of members
+	GossipMembers   = "GossipBytesByMembers"    // gossip that a member sends per second, by members
+	GossipUpstreams = "GossipBytesByUpstreams"  // gossip that a member sends per second, by upstreams
+	GossipMicros    = "GossipMicrosByMembers"   // CPU time of gossip per second
+	UpstreamBytes   = "UpstreamBytes"           // memory of the registry of upstreams
+	WholeBytes      = "WholeConfigurationBytes" // encoded size of a whole configuration
+	DeltaBytes      = "DeltaBytes"              // encoded size of a delta that changes one service
+	DeltaMicros     = "DeltaMicros"             // time to apply a delta that changes one service
+	HeldBytes       = "HeldConfigurationBytes"  // memory of a configuration
+	FanoutMicros    = "FanoutMicros"            // time until the last follower of a source has received a change
+	LogBytes        = "LogBytes"                // size of a voter's log
+	RecoveryMillis  = "RecoveryMillis"          // time to read and apply a voter's log
+	AcceptMicros    = "AcceptMicros"            // time to write changes to a voter's log and sync them
 
-	CookieNanos        = "CookieNanos"
-	CookieFlowBytes    = "CookieFlowBytes"
-	CookieOpeningNanos = "CookieOpeningNanos"
-	ViewMicros         = "ViewMicros"
-	NewsBytes          = "NewsBytes"
-	ViewBytes          = "ViewBytes"
-	QuestionMicros     = "QuestionMicros"
+	CookieNanos        = "CookieNanos"        // time to route a packet by its cookie
+	CookieFlowBytes    = "CookieFlowBytes"    // memory of a flow under cookie routing
+	CookieOpeningNanos = "CookieOpeningNanos" // time to route an opening under cookie routing
+	ViewMicros         = "ViewMicros"         // time to apply the notice of one upstream
+	NewsBytes          = "NewsBytes"          // size of a voter's first response, which describes all upstreams
+	ViewBytes          = "ViewBytes"          // memory of the view of all upstreams
+	QuestionMicros     = "QuestionMicros"     // time of a poll at a voter without an update, both ends
 
-	FollowMicros   = "FollowMicros"
-	FollowBytes    = "FollowBytes"
-	HandoverMicros = "HandoverMicros"
-	FleetBytes     = "FleetBytes"
-	PlaceMicros    = "PlaceMicros"
+	FollowMicros   = "FollowMicros"   // time of a poll at a parent balancer without an update, both ends
+	FollowBytes    = "FollowBytes"    // size of this poll and its response
+	HandoverMicros = "HandoverMicros" // time of one announcement in a forwarding call of 20, both ends
+	FleetBytes     = "FleetBytes"     // size of the list of the balancers of a zone
+	PlaceMicros    = "PlaceMicros"    // time to compute a balancer's place in the distribution tree
 )
 
-// Measurement measures a cost at several sizes, from which a slope is fitted.
+// Measurement measures a cost at several sizes; a slope is fitted to the results.
 type Measurement struct {
 	Name, Per, Unit string
 	Sizes           []float64
--- a/internal/capacity/page/cookie.go
+++ b/internal/capacity/page/cookie.go
@@ -8,37 +8,38 @@
 
 // The constants of cookie routing, with the values that the product uses.
 const (
-	// pollSeconds is the duration of a long poll at a voter, followSeconds at a balancer.
+	// pollSeconds is the duration of a long poll at a voter, followSeconds that of a long poll at a
+	// balancer.
 	pollSeconds   = 0.8
 	followSeconds = 0.6
 	// callBytes is the overhead of an RPC beyond its payload, such as packets of the connection.
 	callBytes = 250.0
-	// pollBytes is a poll of a voter with its empty response, overhead included.
+	// pollBytes is the size of a poll of a voter and its empty response, overhead included.
 	pollBytes = 420.0
 	// flowSeconds is how long an idle flow is kept.
 	flowSeconds = 15.0
 	// packetsPerOpening is the number of packets that a caller sends on a flow after the opening.
 	packetsPerOpening = 12.0
-	// announceSeconds is the interval of an upstream's announcements, and announcementBytes the
-	// size of an announcement that a balancer forwards.
+	// announceSeconds is the interval of an upstream's announcements. announcementBytes is the size
+	// of an announcement that a balancer forwards.
 	announceSeconds   = 1.2
 	announcementBytes = 70.0
-	// rootsPerZone is the number of balancers of a zone that follow the voters, fanout the mean
-	// and maxFollowers the maximum number of followers of a balancer.
+	// rootsPerZone is the number of balancers of a zone that follow the voters. fanout is the mean
+	// number of followers of a balancer, maxFollowers the maximum.
 	rootsPerZone = 4.0
 	fanout       = 8.0
 	maxFollowers = 10.0
 	// smallZone is the maximum size of a zone in which all balancers follow the voters.
 	smallZone = 8.0
-	// reportSeconds is the interval of the reports of followers, entryBytes the size of a follower
-	// in a report in addition to FleetBytes.
+	// reportSeconds is the interval of the reports of followers. In a report, a follower takes
+	// FleetBytes and entryBytes.
 	reportSeconds = 5.0
 	entryBytes    = 6.0
 	// voterDescriptors is the limit of open file descriptors of a voter.
 	voterDescriptors = 4096.0
-	// seeds is the number of voters that the settings name; a starting balancer loads its whole
-	// state from one of them. startConnections is the number of its connections to that voter: one for
-	// polls, one for reports.
+	// seeds is the number of voters that the settings name. A starting balancer loads its whole
+	// state from one of these voters over startConnections connections: one for polls, one for
+	// reports.
 	seeds            = 3.0
 	startConnections = 2.0
 	// voterConnections is the number of connections of a follower to a voter: one each for polls,
--- a/internal/capacity/page/doc.go
+++ b/internal/capacity/page/doc.go
@@ -1,3 +1,3 @@
-// Package page calculates and renders the capacity page from measured slopes. An opening is the
-// first packet of a flow (a SYN).
+// Package page calculates and renders docs/CAPACITY.md, the capacity page, from measured slopes. An
+// opening is the first packet of a flow (a SYN).
 package page
--- a/internal/capacity/page/lines.go
+++ b/internal/capacity/page/lines.go
@@ -58,8 +58,8 @@
 	coreLimit   = 0.01
 	memoryLimit = 32e6
 	bytesLimit  = 14e3
-	// spreadLimit is the maximum time in seconds until a change has reached all balancers, dedicatedLimit
-	// the maximum number of dedicated VMs.
+	// spreadLimit is the maximum time in seconds until a change has reached all balancers.
+	// dedicatedLimit is the maximum number of dedicated VMs.
 	spreadLimit    = 12.0
 	dedicatedLimit = 20.0
 	// hopSeconds is the time of a pending long poll, its response and a sync.
@@ -175,8 +175,8 @@
 	}
 }
 
-// repairSeconds returns the flows that each remaining member of a group copies after other members
-// were lost, and the time that their background replication takes.
+// repairSeconds returns what follows from the loss of members of a group: the number of flows that
+// each remaining member copies, and the time that their background replication takes.
 func repairSeconds(s size, lost float64) (flows, seconds float64) {
 	// Each remaining member repairs an equal part of the flows of the lost members.
 	flows = s.flowsPerBalancer() * copies * lost / math.Max(s.group-lost, 1)
--- a/internal/capacity/page/page_test.go
+++ b/internal/capacity/page/page_test.go
@@ -9,8 +9,8 @@
 	"wasabideal/internal/capacity/page"
 )
 
-// Guards against a page that does not match the slopes file, because a formula changed without a new
-// page or a figure was edited by hand.
+// A formula is changed without a new page, or a figure is edited by hand. Guards against a page
+// that then does not match the slopes file.
 func TestPageMatchesSlopes(t *testing.T) {
 	slopes, err := os.ReadFile("../../../docs/capacity/slopes.json")
 	require.NoError(t, err)
--- a/internal/capacity/slope/slope.go
+++ b/internal/capacity/slope/slope.go
@@ -11,13 +11,13 @@
 // Slope is a cost as a linear function of a size.
 type Slope struct {
 	Name string
-	// Per names what X counts, Unit the unit of Y.
+	// Per names what X counts. Unit is the unit of Y.
 	Per, Unit string
 	Points    []Point
-	// Intercept and Gradient are the least-squares line; Fit is its R squared.
+	// Intercept and Gradient describe the least-squares line. Fit is the R squared of the line.
 	Intercept, Gradient, Fit float64
-	// Bend is the smallest measured size at which the line deviates from the measured cost by more than
-	// a fifth of that cost; 0 if there is none.
+	// Bend is the smallest measured size at which the line deviates from the measured cost by more
+	// than a fifth of that cost. Bend is 0 if the line nowhere deviates that far.
 	Bend float64
 }
 
@@ -83,8 +83,8 @@
 // At returns the line's cost at a size.
 func (s Slope) At(x float64) float64 { return s.Intercept + s.Gradient*x }
 
-// UpperBound returns the larger of the line's cost at x and the highest cost measured at a size up to x,
-// so that a cost above the line is not underestimated.
+// UpperBound returns the larger of two costs: the line's cost at x and the highest cost measured at
+// a size up to x. A measured cost above the line is thus not underestimated.
 func (s Slope) UpperBound(x float64) float64 {
 	cost := s.At(x)
 	for _, p := range s.Points {
