--- a/internal/demo/run/run.go
+++ b/internal/demo/run/run.go
@@ -24,8 +24,8 @@
 	readyTimeout      = 8 * time.Second
 	propagationLimit  = 5 * time.Second
 	drainLimitSeconds = 3.0
-	// maxLeftUnknown bounds the requests that the killed balancer may have forwarded
-	// just before the kill: their outcome cannot be determined.
+	// maxLeftUnknown limits the number of requests whose outcome cannot be determined: the killed
+	// balancer may have forwarded them just before the kill.
 	maxLeftUnknown = 8
 	maxImbalance   = 1.5
 )
@@ -92,7 +92,8 @@
 	return d.finish()
 }
 
-// waitUntil polls a condition until it holds or the limit has passed, and reports whether it holds.
+// waitUntil polls a condition until the condition holds or the limit has passed. The result is
+// whether the condition holds.
 func waitUntil(limit time.Duration, ok func() bool) bool {
 	for end := time.Now().Add(limit); time.Now().Before(end); time.Sleep(pollInterval) {
 		if ok() {
@@ -149,7 +150,8 @@
 	return d.cluster.operator.Change(ctx, c)
 }
 
-// openFlows opens most flows in quick succession and the others at a lower rate in the background.
+// openFlows opens most flows in quick succession and the other flows at a lower rate in the
+// background.
 func (d *Demo) openFlows(ctx context.Context) error {
 	services := demoConfiguration().Services
 	open := func(i int) {
@@ -301,8 +303,8 @@
 	return nil
 }
 
-// maxControlRate returns the control traffic of the live balancer that sent the most, in bytes per
-// second since the start of the demonstration.
+// maxControlRate returns the highest control traffic of a live balancer, in bytes per second since
+// the start of the demonstration.
 func (d *Demo) maxControlRate() float64 {
 	highest := 0.0
 	for _, b := range d.cluster.live() {
--- a/internal/soak/fleet/fleet.go
+++ b/internal/soak/fleet/fleet.go
@@ -20,7 +20,7 @@
 // within the first records of a log.
 const fullDiskFileSize = 100
 
-// ExitError reports a process that exited unexpectedly or did not stop when asked to.
+// ExitError reports a process that exited unexpectedly or did not stop on request.
 type ExitError struct {
 	Name   string
 	Reason string
@@ -31,7 +31,8 @@
 // Process is a program that runs as a child process.
 type Process struct {
 	Name string
-	// Program, Arguments and Environment are the command and its added environment variables.
+	// Program and Arguments are the command. Environment holds variables that are added to its
+	// environment.
 	Program     string
 	Arguments   []string
 	Environment []string
@@ -105,7 +106,7 @@
 // Resume continues a suspended process.
 func (p *Process) Resume() { p.signal(syscall.SIGCONT, false) }
 
-// Hangup sends SIGHUP, on which the process reloads its settings.
+// Hangup sends SIGHUP; the process then reloads its settings.
 func (p *Process) Hangup() { p.signal(syscall.SIGHUP, false) }
 
 // FillDisk makes writes beyond fullDiskFileSize fail, as on a disk that fills up in the middle of
--- a/internal/soak/proxy/proxy.go
+++ b/internal/soak/proxy/proxy.go
@@ -19,7 +19,7 @@
 	Silence Fault = "Silence"
 	// OneWay discards the data that the target sends.
 	OneWay Fault = "OneWay"
-	// Refuse resets open connections and closes new ones at once.
+	// Refuse resets open connections and closes new connections at once.
 	Refuse Fault = "Refuse"
 )
 
@@ -126,9 +126,9 @@
 	_, _ = client.Close(), server.Close()
 }
 
-// copy forwards data until either end closes. fromServer marks data sent by the target.
-func (p *Proxy) copy(to io.Writer, from net.Conn, fromServer bool) {
-	if !fromServer {
+// copy forwards data until either end closes. fromTarget means that the target sends the data.
+func (p *Proxy) copy(to io.Writer, from net.Conn, fromTarget bool) {
+	if !fromTarget {
 		defer p.running.Done()
 	}
 	b := make([]byte, bufferSize)
@@ -141,7 +141,7 @@
 			return
 		}
 		switch f := p.currentFault(); {
-		case f == Silence, f == OneWay && fromServer:
+		case f == Silence, f == OneWay && fromTarget:
 			continue
 		case f == Delay:
 			time.Sleep(delay)
--- a/internal/soak/run/callers.go
+++ b/internal/soak/run/callers.go
@@ -19,7 +19,8 @@
 	requestTimeout = 8 * time.Second
 	// maxRequestPause is the longest pause between two requests of a flow.
 	maxRequestPause = 150 * time.Millisecond
-	// maxRequests limits the requests of one flow, maxShortFlowRequests those of every second flow.
+	// maxRequests limits the requests of one flow; for every second flow, maxShortFlowRequests is
+	// the limit.
 	maxRequests          = 60
 	maxShortFlowRequests = 3
 )
@@ -96,8 +97,8 @@
 	}
 }
 
-// exchange sends a packet, retransmits it until the timeout, and returns the first packet of the
-// flow that matches, or false.
+// exchange sends a packet and retransmits it until the timeout. It returns the first packet of the
+// flow that matches, or false if no such packet arrives.
 func (c *caller) exchange(s Segment, timeout time.Duration, matches func(Segment) bool) (received, bool) {
 	end := time.Now().Add(timeout)
 	for time.Now().Before(end) && !c.run.hasEnded() {
--- a/internal/soak/run/faults.go
+++ b/internal/soak/run/faults.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// maxFaultDuration is the longest duration of a fault, maxFaultGap the longest pause before
-	// the next; faults overlap.
+	// maxFaultDuration is the longest duration of a fault. maxFaultGap is the longest pause before
+	// the next fault starts; faults overlap.
 	maxFaultDuration = 3 * time.Second
 	maxFaultGap      = 600 * time.Millisecond
 )
@@ -22,8 +22,8 @@
 // injectFaults injects faults in the order that the seed determines.
 func (r *Run) injectFaults(ctx context.Context) {
 	random := rand.New(rand.NewPCG(r.settings.Seed, 1))
-	// Disk faults, restarts and stalls have their own generators, so that seeds that failed
-	// before these faults were added still produce the same other faults.
+	// Disk faults, restarts and stalls have their own random generators. A seed that failed before
+	// these faults were added thus still produces the same other faults.
 	disks := rand.New(rand.NewPCG(r.settings.Seed, 2))
 	restarts := rand.New(rand.NewPCG(r.settings.Seed, 3))
 	stalls := rand.New(rand.NewPCG(r.settings.Seed, 4))
@@ -83,8 +83,8 @@
 // faultsPerDiskFault is the mean number of other faults for each disk fault.
 const faultsPerDiskFault = 5
 
-// diskFault makes a voter's disk reject writes for a while, or restarts the voter with a log that
-// ends in the middle of an unsynced record, as after a power failure.
+// diskFault makes a voter's disk reject writes for a while, or restarts the voter as after a power
+// failure: the log then ends in the middle of an unsynced record.
 func (r *Run) diskFault(random *rand.Rand) {
 	kind, voter := random.IntN(2*faultsPerDiskFault), random.IntN(voters)
 	duration := time.Duration(random.Int64N(int64(maxFaultDuration)))
@@ -131,8 +131,8 @@
 	}
 }
 
-// replaceDisk restarts a voter with an empty disk. Only one disk is replaced at a time, and only while all
-// voters serve reads: a majority of the voters must keep its data.
+// replaceDisk restarts a voter with an empty disk. A majority of the voters must keep its data.
+// Therefore only one disk is replaced at a time, and only while all voters serve reads.
 func (r *Run) replaceDisk(p *fleet.Process) {
 	if !r.replacingDisk.CompareAndSwap(false, true) {
 		return
@@ -151,7 +151,7 @@
 		r.reportViolation(InvariantExit, err.Error())
 	}
 	r.startProcess(p)
-	// The next disk may be replaced only once this voter has all data again: it regains its
+	// The next disk may be replaced only once this voter has all data again. The voter regains its
 	// vote a few heartbeats after it serves reads.
 	r.startGoroutine(func() {
 		defer r.replacingDisk.Store(false)
@@ -162,7 +162,8 @@
 	})
 }
 
-// allVotersServeReads reports whether each voter answers a read, for which it must reach a majority.
+// allVotersServeReads reports whether each voter answers a read. To answer, a voter must reach a
+// majority.
 func (r *Run) allVotersServeReads() bool {
 	for _, api := range r.voterAPIs {
 		if !r.checkRead(api) {
--- a/internal/soak/run/operate.go
+++ b/internal/soak/run/operate.go
@@ -52,7 +52,7 @@
 }
 
 // checkRead verifies that a voter does not return a revision older than one acknowledged before the
-// read. It returns whether the voter answered.
+// read. The result is whether the voter answered.
 func (r *Run) checkRead(api string) bool {
 	r.mu.Lock()
 	minRevision := r.acknowledged
@@ -88,8 +88,8 @@
 	}
 }
 
-// rotation returns the balancers that the fabric sends to: the ready ones, or all if fewer than half
-// are ready.
+// rotation returns the balancers to which the fabric sends: the ready balancers, or all balancers
+// if fewer than half are ready.
 func (r *Run) rotation() []netip.AddrPort {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/soak/run/platform.go
+++ b/internal/soak/run/platform.go
@@ -42,17 +42,27 @@
 
 // Platform provides the settings files, API calls and packet formats of the users' platform.
 type Platform interface {
+	// Settings returns the content of the settings file of a VM.
 	Settings(m VM) string
+	// Environment returns the environment variable that names the settings file of a process.
 	Environment(file string) string
+	// Publish sends a configuration to the voter with an API address.
 	Publish(ctx context.Context, address string, c configuration.Configuration) error
+	// Read returns the newest configuration revision that the voter with an API address reports.
 	Read(ctx context.Context, address string) (uint64, error)
+	// Ready reports whether a balancer is ready for traffic.
 	Ready(ctx context.Context, address string) bool
-	// Evacuate starts or ends the evacuation of a zone and returns nil once the request is
-	// acknowledged.
+	// Evacuate starts the evacuation of a zone if on is set, else ends the evacuation. It returns
+	// nil once the request is acknowledged.
 	Evacuate(ctx context.Context, address, zone string, on bool) error
-	// Announce returns the address for later announcements, empty if it does not change.
+	// Announce sends one announcement. It returns the address for later announcements, or an empty
+	// string if the address does not change.
 	Announce(ctx context.Context, address string, u upstream.Upstream) (string, error)
+	// Encode encodes a packet that a caller or an upstream sends.
 	Encode(s Segment) []byte
+	// Decode decodes a packet received by an upstream, if atUpstream is set, or else by a caller.
+	// A packet to an upstream begins with the incarnation of its target, the uint64; for a caller,
+	// the uint64 is 0.
 	Decode(b []byte, atUpstream bool) (Segment, uint64, error)
 }
 
--- a/internal/soak/run/run.go
+++ b/internal/soak/run/run.go
@@ -28,8 +28,8 @@
 	recoveryTimeout = 12 * time.Second
 	// faultSettleTime is how long time bounds are not checked after a fault.
 	faultSettleTime = 5 * time.Second
-	// readinessInterval is the interval of the fabric's readiness checks; a balancer is removed
-	// from rotation after two consecutive failures.
+	// readinessInterval is the interval of the fabric's readiness checks. After two consecutive
+	// failures, a balancer is removed from rotation.
 	readinessInterval = 250 * time.Millisecond
 	maxFailures       = 2
 )
@@ -136,8 +136,8 @@
 	r.running.Wait()
 }
 
-// vmsPerSubnet is the number of VMs of a kind and zone in one network of 256 addresses, and
-// maxVMsPerKind the maximum number of VMs of a kind.
+// vmsPerSubnet is the number of VMs of a kind and zone in one network of 256 addresses.
+// maxVMsPerKind is the maximum number of VMs of a kind.
 const (
 	vmsPerSubnet  = 250
 	maxVMsPerKind = 20 * vmsPerSubnet
@@ -228,8 +228,8 @@
 	return p.Start()
 }
 
-// clearFounding rewrites the settings files once the system runs, so that a VM that restarts, also
-// with an empty disk, joins the existing system instead of founding one.
+// clearFounding rewrites the settings files once the system runs. A VM that restarts, also with an
+// empty disk, then joins the existing system instead of founding a new one.
 func (r *Run) clearFounding() error {
 	for _, m := range r.vms {
 		m.Founding = false
@@ -325,8 +325,8 @@
 	r.mu.Lock()
 	upstreams := slices.Clone(r.upstreams)
 	r.mu.Unlock()
-	// Runs without r.mu: cookie locks the upstream, and an upstream that handles a packet holds its
-	// lock while it waits for r.mu.
+	// This code does not hold r.mu: cookie locks the upstream, and an upstream that handles a
+	// packet holds its lock while it waits for r.mu.
 	placed, alive := lo.Find(upstreams, func(u *simulatedUpstream) bool {
 		return u.cookie() == flow.Cookie && !r.isStopped(u.self.Incarnation)
 	})
@@ -360,8 +360,8 @@
 	r.result.Broken = append(r.result.Broken, (&BrokenError{Invariant: invariant, Detail: detail}).Error())
 }
 
-// timeBoundsReference returns the time against which time bounds are checked, usually now. If a fault
-// was active within faultSettleTime, it returns the zero time, which violates no bound.
+// timeBoundsReference returns the time against which time bounds are checked, usually now. If a
+// fault was active within faultSettleTime, the result is the zero time, which violates no bound.
 func (r *Run) timeBoundsReference() time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/soak/run/run_test.go
+++ b/internal/soak/run/run_test.go
@@ -8,7 +8,7 @@
 	"wasabideal/internal/soak/run"
 )
 
-// Guards against a panic if more VMs are configured than there are addresses.
+// More VMs are configured than there are addresses. Guards against a panic.
 func TestSettingsOutOfBoundsAreRejected(t *testing.T) {
 	_, err := run.Execute(t.Context(), run.Settings{Zones: 3, Balancers: 6, Upstreams: 8, Callers: 100_000})
 	var setting *run.SettingError
--- a/internal/soak/run/stalls.go
+++ b/internal/soak/run/stalls.go
@@ -77,8 +77,8 @@
 type network struct{}
 
 const (
-	// One in packetsPerImpairment packets is delayed or duplicated. maxPacketDelay is below
-	// the time after which callers retransmit an opening packet.
+	// One in packetsPerImpairment packets is delayed or duplicated. maxPacketDelay is below the
+	// time after which callers retransmit an opening.
 	packetsPerImpairment = 50
 	maxPacketDelay       = 40 * time.Millisecond
 )
--- a/internal/soak/run/upstreams.go
+++ b/internal/soak/run/upstreams.go
@@ -17,8 +17,8 @@
 	"wasabideal/internal/model/upstream"
 )
 
-// drainGrace is how long new flows may still arrive after an acknowledged departure or evacuation,
-// provided that no fault was active meanwhile.
+// drainGrace is how long new flows may still arrive after an acknowledged departure or evacuation.
+// The bound is checked only if no fault was active meanwhile.
 const drainGrace = 3 * time.Second
 
 // responseBody is the payload of an upstream's response to a request that it executed.
@@ -28,15 +28,16 @@
 	Request     string
 }
 
-// simulatedUpstream is one upstream with its flows, which announces itself to the balancers.
+// simulatedUpstream is one upstream with its flows. The upstream announces itself to the address in
+// the last referral, or else to a voter.
 type simulatedUpstream struct {
 	run  *Run
 	self upstream.Upstream
 	conn *net.UDPConn
 	// probeListener completes the TCP handshakes of probes, as the kernel of a running VM does.
 	probeListener net.Listener
-	// cpu is the CPU of this upstream alone, Run.upstreamsCPU that of all upstreams; withholding
-	// either stalls the upstream.
+	// cpu is the CPU of this upstream alone. Run.upstreamsCPU is shared by all upstreams.
+	// Withholding either CPU stalls the upstream.
 	cpu simulatedCPU
 	mu  sync.Mutex
 	// flows are the open flows by caller.
@@ -125,7 +126,8 @@
 	u.self.State = upstream.Draining
 }
 
-// withdraw announces the upstream as withdrawn; it still serves its flows until stop.
+// withdraw makes the next announcements report the state Withdrawn. The upstream still serves its
+// flows until stop is called.
 func (u *simulatedUpstream) withdraw() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -207,8 +209,8 @@
 	u.reply(p, f.response, f.nextSequence)
 }
 
-// reply sends a packet directly to the caller, bypassing the balancers, with the cookie of the
-// packet it replies to.
+// reply sends a packet directly to the caller, bypassing the balancers. The packet has the cookie
+// of the packet p to which it replies.
 func (u *simulatedUpstream) reply(p, s Segment, acknowledged uint32) {
 	s.Caller, s.Address = p.Address, p.Caller
 	s.Cookie, s.Acknowledged, s.Sequence = p.Cookie, acknowledged, p.Acknowledged
