--- a/cmd/cmd.go
+++ b/cmd/cmd.go
@@ -36,7 +36,8 @@
 
 // Main parses the arguments, runs the command and returns the exit status.
 func Main(args []string) int {
-	// SIGHUP announces changed settings. By default it would end a daemon that is still starting.
+	// SIGHUP tells a daemon to reload its settings. The default action of the signal would end a
+	// daemon that is still starting.
 	signal.Ignore(syscall.SIGHUP)
 	var c commands
 	parser, err := kong.New(&c, kong.Name("wasabideal"), kong.UsageOnError(),
--- a/cmd/serve.go
+++ b/cmd/serve.go
@@ -23,7 +23,7 @@
 // Help shows an example.
 func (serveCommand) Help() string { return "Example: wasabideal serve --config examples/balancer.toml" }
 
-// Run serves until a planned stop. Signals are handled by the last stage.
+// Run serves until a planned stop. The last stage handles signals.
 func (c *serveCommand) Run() error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
--- a/cmd/status.go
+++ b/cmd/status.go
@@ -25,7 +25,7 @@
 	Silent []string
 }
 
-// SilentError reports the addresses of processes that did not respond.
+// SilentError reports the addresses that did not respond.
 type SilentError struct{ Addresses []string }
 
 func (e *SilentError) Error() string { return fmt.Sprintf("no response from %v", e.Addresses) }
