--- a/internal/capacity/measure/configuration.go
+++ b/internal/capacity/measure/configuration.go
@@ -66,8 +66,10 @@
 	return float64(len(b)), err
 }
 
+// wholeBytes returns the encoded size of a configuration with the given number of addresses.
 func wholeBytes(size float64) (float64, error) { return encodedBytes(configurationOf(int(size))) }
 
+// heldBytes returns the heap bytes of a configuration with the given number of addresses.
 func heldBytes(size float64) (float64, error) {
 	before := heap()
 	c := configurationOf(int(size))
@@ -76,11 +78,15 @@
 	return after - before, nil
 }
 
+// deltaBytes returns the encoded size of a response that changes one service, with the given number
+// of addresses in the configuration.
 func deltaBytes(size float64) (float64, error) {
 	c := configurationOf(int(size))
 	return encodedBytes(history.Response{Deltas: []history.Delta{history.Diff(c, withOneServiceChanged(c))}})
 }
 
+// deltaMicros returns the time, in microseconds, to apply a change of one service to a configuration
+// with the given number of addresses.
 func deltaMicros(size float64) (float64, error) {
 	c := configurationOf(int(size))
 	response := history.Response{Deltas: []history.Delta{history.Diff(c, withOneServiceChanged(c))}}
@@ -121,6 +127,8 @@
 	connectPause  = 500 * time.Millisecond
 )
 
+// timeFanout returns the time, in microseconds, from the publication of next until all followers have
+// received it.
 func timeFanout(ctx context.Context, s *source.Source, next configuration.Configuration, address string, followers int) (float64, error) {
 	ctx, cancel := context.WithTimeout(ctx, fanoutTimeout)
 	defer cancel()
--- a/internal/capacity/measure/control.go
+++ b/internal/capacity/measure/control.go
@@ -26,8 +26,10 @@
 	}
 }
 
+// logCost is the size of a log in bytes and its recovery time in milliseconds.
 type logCost struct{ bytes, recovery float64 }
 
+// batchSize is the number of entries in one write.
 const batchSize = 256
 
 func encodeChange(i int) ([]byte, error) {
@@ -37,6 +39,7 @@
 	})
 }
 
+// entries returns n log entries, of which the first holds change number from.
 func entries(from, n int) ([]agreement.Entry, error) {
 	es := make([]agreement.Entry, 0, n)
 	for i := from; i < from+n; i++ {
@@ -49,6 +52,7 @@
 	return es, nil
 }
 
+// withTempFolder calls f with a temporary folder and then removes the folder.
 func withTempFolder(f func(*local.Folder) error) error {
 	path, err := os.MkdirTemp("", "wasabideal-measure-")
 	if err != nil {
@@ -97,6 +101,7 @@
 	return out, err
 }
 
+// syncMicros returns the time, in microseconds, to write and sync the given number of entries at once.
 func syncMicros(size float64) (float64, error) {
 	var t float64
 	err := withTempFolder(func(d *local.Folder) error {
--- a/internal/capacity/measure/cookie.go
+++ b/internal/capacity/measure/cookie.go
@@ -24,7 +24,7 @@
 	pool := []float64{14, 150, 1500}
 	known := []float64{150, 1500, 21_000}
 	return []Measurement{
-		{Name: CookieNanos, Per: "flow remembered", Unit: "ns a packet", Sizes: flows, Measure: cookieNanos},
+		{Name: CookieNanos, Per: "flow remembered", Unit: "ns a packet", Sizes: flows, Measure: laterPacketNanos},
 		{Name: CookieFlowBytes, Per: "flow remembered", Unit: "bytes held", Sizes: flows, Measure: cookieFlowBytes},
 		{Name: CookieOpeningNanos, Per: "upstream of a service", Unit: "ns an opening", Sizes: pool, Measure: cookieOpeningNanos},
 		{Name: ViewMicros, Per: "upstream of the service", Unit: "us to take over one upstream's news", Sizes: known, Measure: viewMicros},
@@ -39,7 +39,8 @@
 	cookieAddress = netip.MustParseAddrPort("198.18.0.1:443")
 )
 
-func cookieUpstream(n int) upstream.Upstream {
+// upstreamAt returns the n-th upstream of the measured service.
+func upstreamAt(n int) upstream.Upstream {
 	return upstream.Upstream{
 		Identity: upstream.Identity{
 			Service: "orders", Incarnation: uint64(n + 1),
@@ -49,6 +50,7 @@
 	}
 }
 
+// cookieRouter returns a router with one route and the given number of live upstreams.
 func cookieRouter(upstreams int) (*router.Router, error) {
 	r := router.New(router.Settings{Zone: "Port Tawfik"})
 	err := r.Configure(configuration.Configuration{Revision: 1, Routes: []configuration.Route{
@@ -56,13 +58,14 @@
 	}})
 	targets := make([]view.Target, upstreams)
 	for n := range targets {
-		targets[n] = view.Target{Upstream: cookieUpstream(n), Live: true}
+		targets[n] = view.Target{Upstream: upstreamAt(n), Live: true}
 	}
 	r.SetTargets(cookieEpoch, targets)
 	return r, err
 }
 
-func cookieOpening(n int) router.Packet {
+// opening returns an opening of the n-th caller.
+func opening(n int) router.Packet {
 	a := netip.AddrFrom4([4]byte{100, byte(n >> 16), byte(n >> 8), byte(n)})
 	return router.Packet{Caller: netip.AddrPortFrom(a, 40_000), Address: cookieAddress, Opening: true}
 }
@@ -71,7 +74,7 @@
 func openFlows(r *router.Router, flows int) []router.Packet {
 	packets := make([]router.Packet, flows)
 	for n := range packets {
-		p := cookieOpening(n)
+		p := opening(n)
 		p.Cookie = r.Route(cookieEpoch, p).Cookie
 		p.Opening = false
 		packets[n] = p
@@ -79,58 +82,66 @@
 	return packets
 }
 
-func cookieNanos(size float64) (float64, error) {
+// laterPacketNanos returns the time to route a later packet of an open flow, in nanoseconds, with
+// the given number of open flows.
+func laterPacketNanos(size float64) (float64, error) {
 	r, err := cookieRouter(14)
 	packets := openFlows(r, int(size))
 	return nanos(cookiePackets, func() {
 		for n := range cookiePackets {
-			p := packets[n*7919%len(packets)]
+			p := packets[n*7919%len(packets)] // 7919 is prime: consecutive packets belong to distant flows
 			p.Acknowledged = uint32(n)
 			r.Route(cookieEpoch, p)
 		}
 	}), err
 }
 
+// cookieFlowBytes returns the heap bytes that the given number of open flows occupies.
 func cookieFlowBytes(size float64) (float64, error) {
 	r, err := cookieRouter(14)
 	before := heap()
 	for n := range int(size) {
-		r.Route(cookieEpoch, cookieOpening(n))
+		r.Route(cookieEpoch, opening(n))
 	}
 	held := heap() - before
 	r.Tick(cookieEpoch) // keeps the router reachable until here
 	return held, err
 }
 
+// cookieOpeningNanos returns the time to route an opening, in nanoseconds, with the given number of
+// upstreams.
 func cookieOpeningNanos(size float64) (float64, error) {
 	r, err := cookieRouter(int(size))
 	n := 0
 	return nanos(cookiePackets/10, func() {
 		for range cookiePackets / 10 {
 			n++
-			r.Route(cookieEpoch, cookieOpening(n))
+			r.Route(cookieEpoch, opening(n))
 		}
 	}), err
 }
 
-func cookieDirectory(upstreams int) *directory.Directory {
+// newDirectory returns a voter's directory that knows the given number of upstreams.
+func newDirectory(upstreams int) *directory.Directory {
 	d := directory.New(directory.Settings{SilentAfter: time.Hour, ForgetAfter: time.Hour})
 	for n := range upstreams {
-		d.Announce(cookieEpoch, cookieUpstream(n), 0)
+		d.Announce(cookieEpoch, upstreamAt(n), 0)
 	}
 	return d
 }
 
+// viewMicros returns the time, in microseconds, in which a balancer applies a notice of one upstream
+// to its view and router, with the given number of upstreams.
 func viewMicros(size float64) (float64, error) {
 	v := view.New(view.Settings{ContactLease: time.Hour, UnconfirmedTTL: time.Hour, ForgetAfter: time.Hour})
-	v.ApplyNotices(cookieEpoch, "voter", 1, cookieDirectory(int(size)).Since(cookieEpoch, 0))
+	v.ApplyNotices(cookieEpoch, "voter", 1, newDirectory(int(size)).Since(cookieEpoch, 0))
 	r, err := cookieRouter(1)
 	c, _ := v.Changes(cookieEpoch)
 	r.Update(cookieEpoch, c)
 	const calls = 100
 	return nanos(calls, func() {
 		for n := range calls {
-			u := cookieUpstream(n)
+			u := upstreamAt(n)
 			u.State = upstream.State(n % 2)
 			v.ApplyNotices(cookieEpoch, "voter", 1, []directory.Notice{{Upstream: u}})
 			c, _ := v.Changes(cookieEpoch)
@@ -139,11 +150,12 @@
 	}) / 1000, err
 }
 
+// viewBytes returns the heap bytes that a view and a router occupy for the given number of upstreams.
 func viewBytes(size float64) (float64, error) {
 	r, err := cookieRouter(1)
 	before := heap()
 	v := view.New(view.Settings{ContactLease: time.Hour, UnconfirmedTTL: time.Hour, ForgetAfter: time.Hour})
-	v.ApplyNotices(cookieEpoch, "voter", 1, cookieDirectory(int(size)).Since(cookieEpoch, 0))
+	v.ApplyNotices(cookieEpoch, "voter", 1, newDirectory(int(size)).Since(cookieEpoch, 0))
 	c, _ := v.Changes(cookieEpoch)
 	r.Update(cookieEpoch, c)
 	held := heap() - before
@@ -153,13 +165,17 @@
 	return held, err
 }
 
+// firstResponseBytes returns the encoded size of a voter's response to the first poll of a balancer,
+// with the given number of upstreams.
 func firstResponseBytes(size float64) (float64, error) {
-	f := feed.New(1, cookieDirectory(int(size)), func() time.Time { return cookieEpoch })
+	f := feed.New(1, newDirectory(int(size)), func() time.Time { return cookieEpoch })
 	return encodedBytes(f.Since(context.Background(), feed.Request{}))
 }
 
+// pollMicros returns the time, in microseconds, of a poll of a voter without updates, with the given
+// number of upstreams.
 func pollMicros(size float64) (float64, error) {
-	d := cookieDirectory(int(size))
+	d := newDirectory(int(size))
 	f := feed.New(1, d, func() time.Time { return cookieEpoch })
 	q := feed.Request{Life: 1, Version: d.Version()}
 	return callMicros(1, func(s *rpc.Server) { f.Serve(s, token) }, func(ctx context.Context, c *rpc.Client) error {
--- a/internal/capacity/measure/fanout.go
+++ b/internal/capacity/measure/fanout.go
@@ -30,12 +30,13 @@
 	return []Measurement{
 		{Name: FollowMicros, Per: "upstream known", Unit: "us a follower's question without news, both ends", Sizes: known, Measure: followMicros},
 		{Name: FollowBytes, Per: "voter", Unit: "bytes of a follower's question and its answer without news", Sizes: []float64{3, 5, 9}, Measure: followBytes},
-		{Name: HandoverMicros, Per: "upstream known", Unit: "us an announcement of 20 in a call, both ends", Sizes: known, Measure: handoverMicros},
+		{Name: HandoverMicros, Per: "upstream known", Unit: "us an announcement of 20 in a call, both ends", Sizes: known, Measure: forwardMicros},
 		{Name: FleetBytes, Per: "balancer of the zone", Unit: "bytes of the list", Sizes: zone, Measure: fleetBytes},
 		{Name: PlaceMicros, Per: "balancer of the zone", Unit: "us to work out a place", Sizes: zone, Measure: placeMicros},
 	}
 }
 
+// voterName returns the address of the n-th voter.
 func voterName(n int) string { return fmt.Sprintf("10.%d.0.12:7720", n+1) }
 
 // newOrigins returns the state that a balancer has received from a number of voters.
@@ -63,14 +64,17 @@
 
 func (parentBalancer) ShuttingDown() bool { return false }
 
-const fiveVoters = 5
+// measuredVoters is the number of voters whose state the parent relays.
+const measuredVoters = 5
 
+// followMicros returns the time, in microseconds, of a poll of a parent without updates, with the
+// given number of upstreams.
 func followMicros(size float64) (float64, error) {
-	p := parentBalancer{origins: newOrigins(fiveVoters), view: view.New(view.Settings{ContactLease: time.Hour, ForgetAfter: time.Hour})}
-	for n := range fiveVoters {
+	p := parentBalancer{origins: newOrigins(measuredVoters), view: view.New(view.Settings{ContactLease: time.Hour, ForgetAfter: time.Hour})}
+	for n := range measuredVoters {
 		var notices []directory.Notice
-		for u := range int(size) / fiveVoters {
-			notices = append(notices, directory.Notice{Upstream: cookieUpstream(u*fiveVoters + n)})
+		for u := range int(size) / measuredVoters {
+			notices = append(notices, directory.Notice{Upstream: upstreamAt(u*measuredVoters + n)})
 		}
 		p.view.Apply(cookieEpoch, view.Update{Voter: voterName(n), Life: 1 << 60, Version: 100_000, Contact: cookieEpoch, Notices: notices})
 	}
@@ -82,6 +86,8 @@
 	})
 }
 
+// followBytes returns the encoded size of a poll and its response without updates, with the given
+// number of voters.
 func followBytes(size float64) (float64, error) {
 	o := newOrigins(int(size))
 	known := o.VoterVersions(cookieEpoch)
@@ -94,8 +100,10 @@
 	return request + response, err
 }
 
-func handoverMicros(size float64) (float64, error) {
-	f := feed.New(1, cookieDirectory(int(size)), func() time.Time { return cookieEpoch })
+// forwardMicros returns the time per announcement, in microseconds, of a call by which a balancer
+// forwards a batch of announcements to a voter that knows the given number of upstreams.
+func forwardMicros(size float64) (float64, error) {
+	f := feed.New(1, newDirectory(int(size)), func() time.Time { return cookieEpoch })
 	u := upstreams.New(upstreams.Settings{
 		Token: token, Clock: func() time.Time { return cookieEpoch }, Responsive: func() []owner.Voter { return nil },
 	}, f, hclog.NewNullLogger())
@@ -104,7 +112,7 @@
 		sequence++
 		var all []handover.Announcement
 		for n := range announcementsPerCall {
-			x := cookieUpstream(n)
+			x := upstreamAt(n)
 			x.Sequence, x.State = sequence, upstream.Ready
 			all = append(all, handover.Announcement{Upstream: x})
 		}
@@ -113,6 +121,7 @@
 	})
 }
 
+// zoneMembers returns the balancers of a zone.
 func zoneMembers(size float64) []member.Member {
 	var out []member.Member
 	for n := range int(size) {
@@ -122,8 +131,11 @@
 	return out
 }
 
+// fleetBytes returns the encoded size of the list of a zone's balancers.
 func fleetBytes(size float64) (float64, error) { return encodedBytes(zoneMembers(size)) }
 
+// placeMicros returns the time, in microseconds, in which a balancer computes its place in the fan-out
+// tree, with the given number of balancers in its zone.
 func placeMicros(size float64) (float64, error) {
 	var addresses []string
 	for _, m := range zoneMembers(size) {
--- a/internal/capacity/measure/flows.go
+++ b/internal/capacity/measure/flows.go
@@ -37,6 +37,7 @@
 	}
 }
 
+// flowBytes returns the heap bytes of a flow table with the given capacity.
 func flowBytes(size float64) (float64, error) {
 	before := heap()
 	t := table.New(int(size))
@@ -69,6 +70,8 @@
 	return ps
 }
 
+// newRouter returns a router of a group with the given number of balancers and upstreams, and with
+// capacity for the given number of flows.
 func newRouter(memberCount, poolSize, flows int) *router.Router {
 	m := memberAt(0)
 	r := router.New(router.Settings{
@@ -86,6 +89,7 @@
 	return r
 }
 
+// packets returns one packet of each of n flows: a SYN, or an ACK if syn is false.
 func packets(n int, syn bool) ([][]byte, error) {
 	ps := make([][]byte, 0, n)
 	for i := range n {
@@ -137,6 +141,8 @@
 	return nanos(len(ps), func() { routePackets(r, ps) }), nil
 }
 
+// openingNanos returns the time to route an opening, in nanoseconds, with the given number of
+// upstreams.
 func openingNanos(size float64) (float64, error) {
 	ps, err := packets(sampleFlows, true)
 	if err != nil {
@@ -152,6 +158,7 @@
 	return median(times), nil
 }
 
+// rankMillis returns the time, in milliseconds, to rank the given number of balancers.
 func rankMillis(size float64) (float64, error) {
 	ms := members(int(size))
 	return nanos(1, func() { ownership.New(ms, ms[0].Name) }) / float64(time.Millisecond), nil
--- a/internal/capacity/measure/group.go
+++ b/internal/capacity/measure/group.go
@@ -45,6 +45,7 @@
 	reduceTime time.Duration
 }
 
+// newGroup returns a group of n balancers, each with a budget for gossip in bytes per second.
 func newGroup(n int, budget int) *group {
 	g := &group{now: epoch, nodes: map[netip.AddrPort]*reducer.Reducer{}}
 	for i, m := range members(n) {
@@ -153,6 +154,8 @@
 
 func (g *group) seconds() float64 { return float64(countedTicks) * tick.Seconds() }
 
+// gossipBytesByMembers returns the gossip that each member sends, in bytes per second, with the given
+// number of members and no upstreams.
 func gossipBytesByMembers(size float64) (float64, error) {
 	g, err := runGossip(int(size), 0)
 	if err != nil {
@@ -161,6 +164,8 @@
 	return float64(g.sent) / g.seconds() / size, nil
 }
 
+// gossipMicros returns the processing time that each member spends on gossip, in microseconds per
+// second, with the given number of members.
 func gossipMicros(size float64) (float64, error) {
 	g, err := runGossip(int(size), 0)
 	if err != nil {
@@ -169,6 +174,8 @@
 	return float64(g.reduceTime.Microseconds()) / g.seconds() / size, nil
 }
 
+// gossipBytesByUpstreams returns the gossip that each of currentMembers sends, in bytes per second,
+// with the given number of upstreams.
 func gossipBytesByUpstreams(size float64) (float64, error) {
 	g, err := runGossip(currentMembers, int(size))
 	if err != nil {
@@ -177,6 +184,7 @@
 	return float64(g.sent) / g.seconds() / currentMembers, nil
 }
 
+// upstreamBytes returns the heap bytes of a registry with the given number of upstreams.
 func upstreamBytes(size float64) (float64, error) {
 	before := heap()
 	r := registry.New(registry.Settings{Zone: "zone-1", Lease: lease, Tombstone: lease})
