--- a/internal/cookie/follower/announcements_test.go
+++ b/internal/cookie/follower/announcements_test.go
@@ -28,7 +28,7 @@
 	recordState("failing", 0)
 	recordState("relayed", time.Second)
 	recordState("stale", 2*ContactLease)
-	f.polled["polled"] = &source{voter: true, responsive: true}
-	f.polled["failing"] = &source{voter: true}
+	f.polled["polled"] = &source{isVoter: true, responsive: true}
+	f.polled["failing"] = &source{isVoter: true}
 	require.ElementsMatch(t, []owner.Voter{{Address: "polled", Zone: "a"}, {Address: "relayed", Zone: "a"}}, f.Voters())
 }
--- a/internal/cookie/follower/follower.go
+++ b/internal/cookie/follower/follower.go
@@ -58,9 +58,9 @@
 	// OnVoterState receives the state that a voter sent.
 	OnVoterState(now time.Time, x origins.Update)
 	// Evacuations returns the evacuation orders in force. OnEvacuations receives the orders that
-	// the voter or balancer at an address sent. OnEvacuations is called before the rest of the same
-	// response is applied: otherwise flows would go to upstreams of that response in an evacuated
-	// zone.
+	// the voter or balancer at an address sent. OnEvacuations is called before the rest of a
+	// response is applied, so that no flow is placed on an upstream that the response adds in an
+	// evacuated zone.
 	Evacuations() evacuation.Evacuations
 	OnEvacuations(address string, e evacuation.Evacuations)
 }
@@ -105,17 +105,18 @@
 	followers *members.Members
 	fetcher   *fetcher
 	pool      *pool.Pool
-	running   sync.WaitGroup
+	// running counts the follower's goroutines.
+	running sync.WaitGroup
 }
 
 // source is a voter or balancer that is polled.
 type source struct {
-	// voter is false if the source is a balancer.
-	voter bool
-	stop  context.CancelFunc
-	// responsive is whether the last poll was answered.
+	// isVoter distinguishes voters from balancers.
+	isVoter bool
+	stop    context.CancelFunc
+	// responsive reports whether the last poll was answered.
 	responsive bool
-	// balancers is the number of balancers in all zones that the source knows.
+	// balancers is the number of balancers, over all zones, that the source has reported.
 	balancers int
 	reporter  *reporter
 }
@@ -297,7 +298,7 @@
 
 // countAnsweringVoters returns how many voters answered their last poll.
 func (f *Follower) countAnsweringVoters() int {
-	return lo.CountBy(lo.Values(f.polled), func(src *source) bool { return src.voter && src.responsive })
+	return lo.CountBy(lo.Values(f.polled), func(src *source) bool { return src.isVoter && src.responsive })
 }
 
 // knownVoters returns the addresses of all known voters.
@@ -318,7 +319,7 @@
 // startPolling starts polling a source. The caller holds the lock.
 func (f *Follower) startPolling(address string, voter bool) {
 	ctx, cancel := context.WithCancel(f.ctx)
-	src := &source{voter: voter, stop: cancel}
+	src := &source{isVoter: voter, stop: cancel}
 	src.reporter = &reporter{
 		token: f.settings.Token, to: address, clock: f.settings.Clock, log: f.log, wake: make(chan struct{}, 1),
 		followerReport: func() []members.Heartbeat { return f.followerReport(address) },
@@ -348,7 +349,7 @@
 	}
 	var out []string
 	for a, src := range f.polled {
-		if src.voter && src.responsive {
+		if src.isVoter && src.responsive {
 			out = append(out, a)
 		}
 	}
--- a/internal/cookie/follower/follower_test.go
+++ b/internal/cookie/follower/follower_test.go
@@ -229,15 +229,15 @@
 // balancers of the zone.
 func nonRootBalancer() (string, []members.Heartbeat) {
 	var addresses []string
-	var zone []members.Heartbeat
+	var heartbeats []members.Heartbeat
 	for n := range 20 {
 		a := fmt.Sprintf("127.9.9.%d:7720", n+1)
 		addresses = append(addresses, a)
-		zone = append(zone, members.Heartbeat{Member: member.Member{Zone: "a", Address: a}})
+		heartbeats = append(heartbeats, members.Heartbeat{Member: member.Member{Zone: "a", Address: a}})
 	}
 	for _, a := range addresses {
 		if testShape.PlaceOf(a, addresses).Level > 0 {
-			return a, zone
+			return a, heartbeats
 		}
 	}
 	return "", nil
--- a/internal/cookie/follower/serving.go
+++ b/internal/cookie/follower/serving.go
@@ -49,7 +49,7 @@
 		return nil
 	}
 	all := f.followers.Heartbeats(f.settings.Clock())
-	if src := f.polled[address]; src != nil && !src.voter {
+	if src := f.polled[address]; src != nil && !src.isVoter {
 		// Only a parent needs this heartbeat: a voter knows this balancer by its polls.
 		all = append(all, members.Heartbeat{Member: f.settings.Self})
 	}
--- a/internal/cookie/follower/status.go
+++ b/internal/cookie/follower/status.go
@@ -6,13 +6,15 @@
 type Status struct {
 	// Parent is empty if the voters are polled.
 	Parent string
-	Level  int
+	// Level is the level in the fan-out tree, 0 for a root.
+	Level int
 	// Fresh is the number of voters whose last contact, direct or relayed, is at most StaleAfter ago.
 	Fresh int
 	// Balancers is the number of known balancers in the zone, Followers the number of direct and
 	// indirect followers.
 	Balancers, Followers int
-	// Age is the time since the most recent contact with any voter, direct or relayed.
+	// Age is the time since the most recent contact with any voter, direct or relayed. It is also 0
+	// while no state of any voter is known.
 	Age time.Duration
 }
 
--- a/internal/cookie/follower/voters.go
+++ b/internal/cookie/follower/voters.go
@@ -110,7 +110,7 @@
 func (f *Follower) isolation() (isolated bool, voters int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return len(f.reportTargets()) == 0, lo.CountBy(lo.Values(f.polled), func(src *source) bool { return src.voter })
+	return len(f.reportTargets()) == 0, lo.CountBy(lo.Values(f.polled), func(src *source) bool { return src.isVoter })
 }
 
 // voterRequest returns the next poll for a voter.
--- a/internal/cookie/router/choose.go
+++ b/internal/cookie/router/choose.go
@@ -37,7 +37,7 @@
 )
 
 func (r *Router) rank(now time.Time, t *target) rank {
-	switch suspected := t.suspectedLocally(now) || t.suspectedByVoters() || now.Before(t.zone.refusals.until); {
+	switch suspected := t.suspectedLocally(now) || t.suspectedByVoters() || now.Before(t.zone.refusals.avoidUntil); {
 	case t.Live && !suspected:
 		return rankHealthy
 	case t.Live || !suspected:
--- a/internal/cookie/router/cold_test.go
+++ b/internal/cookie/router/cold_test.go
@@ -161,11 +161,11 @@
 	require.Equal(t, router.Cold, v.Reason)
 	v = f.routers[0].Route(epoch.Add(1200*time.Millisecond), opening(2))
 	require.Equal(t, router.Drop, v.Action)
-	require.True(t, v.Reason.Temporary(), "the opening is buffered")
+	require.True(t, v.Reason.Temporary(), "the balancer may buffer the opening and try again")
 	require.Equal(t, router.Forward, f.routers[0].Route(epoch.Add(coldFor), opening(2)).Action)
 }
 
-// Without a configured rate, cold upstreams get flows at half of their capacity.
+// Without a configured cold rate, no flow is rejected because its upstream is cold.
 func TestColdUpstreamsWithoutARateGetFlows(t *testing.T) {
 	f := newColdFleet(t, 0, epoch, coldBalancers)
 	x := coldTarget(1, "a", epoch.Add(coldFor))
--- a/internal/cookie/router/detection.go
+++ b/internal/cookie/router/detection.go
@@ -206,7 +206,7 @@
 func (r *Router) noteUpstreamAnswer(now time.Time, t *target) {
 	t.noteAnswer(now)
 	t.zone.lastAlive, t.zone.lastAnswered = now, t
-	t.zone.refusals.until = time.Time{}
+	t.zone.refusals.avoidUntil = time.Time{}
 	r.refuteSuspicions(now, t)
 }
 
--- a/internal/cookie/router/flow.go
+++ b/internal/cookie/router/flow.go
@@ -39,8 +39,7 @@
 	// retransmitted is set if the pending opening or request was sent again; reported is set if
 	// it was reported to the voters as unanswered.
 	retransmitted, reported bool
-	// inFlightAtSend is the number of flows of the service in flight when the request was
-	// sent.
+	// inFlightAtSend is the service's effectiveInFlight when the request was sent.
 	inFlightAtSend int
 	// nextSequence is the end of the data that the caller has sent; acknowledged is the end of
 	// the data that the caller has received.
@@ -54,7 +53,7 @@
 	f := r.addFlow(k, flow{target: t, lastPacket: now, opened: now, sent: now, opening: true})
 	t.addPending(1, 0)
 	t.noteSent()
-	t.zone.refusals.startTrial(now)
+	t.zone.refusals.noteNewFlow(now)
 	f.awaitAnswer(now)
 }
 
--- a/internal/cookie/router/load_test.go
+++ b/internal/cookie/router/load_test.go
@@ -16,16 +16,17 @@
 )
 
 // Parameters of the simulation: two slots and a queue of eight at each upstream, 3 ms of
-// transit between two hosts, and callers that retry twice.
+// transit between two hosts, and callers that retry twice. A request takes meanProcessingTime on
+// average and counts as in time if its response time does not exceed responseTimeObjective.
 const (
-	balancers        = 9
-	upstreamCount    = 14
-	slotsPerUpstream = 2
-	queueLength      = 8
-	transit          = 3 * time.Millisecond
-	work             = 25 * time.Millisecond
-	objective        = 120 * time.Millisecond
-	maxTries         = 3
+	balancers             = 9
+	upstreamCount         = 14
+	slotsPerUpstream      = 2
+	queueLength           = 8
+	transit               = 3 * time.Millisecond
+	meanProcessingTime    = 25 * time.Millisecond
+	responseTimeObjective = 120 * time.Millisecond
+	maxTries              = 3
 	// warmUp is excluded from the counts.
 	warmUp   = time.Second
 	duration = 5 * time.Second
@@ -75,8 +76,8 @@
 // newSimulationOf is newSimulation with the given numbers of balancers and upstreams.
 func newSimulationOf(t *testing.T, knownSince time.Time, routeObjective time.Duration, slow map[uint64]float64, balancers int, upstreams uint64) *simulation {
 	s := &simulation{
-		Clock: virtual.Clock{Now: epoch}, random: rand.New(rand.NewPCG(1, 2)), servers: map[uint64]*server{}, work: work,
-		objective: objective,
+		Clock: virtual.Clock{Now: epoch}, random: rand.New(rand.NewPCG(1, 2)), servers: map[uint64]*server{}, work: meanProcessingTime,
+		objective: responseTimeObjective,
 	}
 	var targets []view.Target
 	for id := uint64(1); id <= upstreams; id++ {
@@ -216,13 +217,13 @@
 }
 
 // capacity is the number of requests per second that all upstreams can process.
-var capacity = upstreamCount * slotsPerUpstream / work.Seconds()
+var capacity = upstreamCount * slotsPerUpstream / meanProcessingTime.Seconds()
 
 // Callers offer one and a half times the capacity. Without admission control, the queues of all
 // upstreams fill, and nearly every answer is late although the upstreams work at full speed.
 func TestOverloadRejectsOpenings(t *testing.T) {
 	without, _ := simulate(t, 1.5*capacity, 0, nil)
-	with, s := simulate(t, 1.5*capacity, objective, nil)
+	with, s := simulate(t, 1.5*capacity, responseTimeObjective, nil)
 	t.Logf("in time %.2f, without admission %.2f", with, without)
 	require.Greater(t, with, 0.5, "the capacity suffices for two thirds")
 	require.Greater(t, with, 2*without)
@@ -233,7 +234,7 @@
 // overload, and callers that had already waited were rejected three times in a row: one request in
 // six failed although the upstreams had capacity again within a second.
 func TestNoRejectionsDuringSettlePeriod(t *testing.T) {
-	s := newSimulation(t, epoch, objective, nil)
+	s := newSimulation(t, epoch, responseTimeObjective, nil)
 	s.tick()
 	s.offer(1.5 * capacity)
 	s.run(time.Second)
@@ -245,7 +246,7 @@
 func TestOrdinaryLoadIsAdmitted(t *testing.T) {
 	for _, share := range []float64{0.2, 0.5, 0.8} {
 		without, _ := simulate(t, share*capacity, 0, nil)
-		with, s := simulate(t, share*capacity, objective, nil)
+		with, s := simulate(t, share*capacity, responseTimeObjective, nil)
 		t.Logf("at %.1f of the capacity %.2f in time, %.2f without admission, rejected %d of %d", share, with, without, s.rejected, s.offered)
 		require.GreaterOrEqual(t, with, without-0.01, "at %.1f of the capacity", share)
 		require.Greater(t, with, 0.96)
@@ -256,7 +257,7 @@
 // fast one: one request in ten was late at low load.
 func TestSlowUpstreamsAreChosenLast(t *testing.T) {
 	slow := map[uint64]float64{1: 6, 4: 6, 7: 6, 10: 6, 13: 6}
-	with, s := simulate(t, 0.35*capacity, objective, slow)
+	with, s := simulate(t, 0.35*capacity, responseTimeObjective, slow)
 	t.Logf("in time %.2f, rejected %d of %d", with, s.rejected, s.offered)
 	require.GreaterOrEqual(t, with, 0.95)
 	require.Less(t, float64(s.rejected), 0.02*float64(s.offered), "nine others have capacity")
@@ -268,7 +269,7 @@
 func TestUploadsDoNotAffectAdmissionOfShortRequests(t *testing.T) {
 	r := router.New(router.Settings{Zone: "a"})
 	require.NoError(t, r.Configure(configuration.Configuration{Revision: 1, Routes: []configuration.Route{
-		{Name: "feed", Address: orders, Service: "mixed", Objective: objective, Priority: 2},
+		{Name: "feed", Address: orders, Service: "mixed", Objective: responseTimeObjective, Priority: 2},
 		{Name: "upload", Address: notes, Service: "mixed", Objective: time.Second, Class: configuration.Upload, Priority: 2},
 	}}))
 	r.SetTargets(epoch.Add(-time.Minute), []view.Target{target(1, "mixed", "a")})
@@ -295,7 +296,7 @@
 // openings, and callers offer their usual load in addition. It returns how many requests
 // found a full queue.
 func simulateRecovery(t *testing.T, paced bool) int {
-	s := newSimulation(t, epoch, objective, nil)
+	s := newSimulation(t, epoch, responseTimeObjective, nil)
 	s.routers = s.routers[:recoveringBalancers]
 	buffered := make([][]router.Packet, recoveringBalancers)
 	for n := range bufferedPackets {
@@ -340,7 +341,7 @@
 // Flows used to be rejected from half of the objective on: in a burst that the upstreams can
 // absorb, 0.5 % of the requests were not served, and without rejections all were.
 func TestBusyUpstreamsWithinObjectiveRejectFewFlows(t *testing.T) {
-	with, s := simulate(t, 0.8*capacity, objective, nil)
+	with, s := simulate(t, 0.8*capacity, responseTimeObjective, nil)
 	t.Logf("%.2f in time, rejected %d of %d", with, s.rejected, s.offered)
 	require.Less(t, float64(s.rejected), 0.03*float64(s.offered))
 	require.Greater(t, with, 0.95)
@@ -432,9 +433,9 @@
 		for _, r := range s.routers {
 			r.SetBalancers(fleetBalancers)
 		}
-		s.work, s.objective = work, fleetObjective
+		s.work, s.objective = meanProcessingTime, fleetObjective
 		s.tick()
-		s.offer(0.2 * fleetUpstreams * slotsPerUpstream / work.Seconds())
+		s.offer(0.2 * fleetUpstreams * slotsPerUpstream / meanProcessingTime.Seconds())
 		s.run(duration)
 		t.Logf("%.2f refuse: rejected %d of %d, connections refused %d, in time %d", share, s.rejected, s.offered, s.refused, s.inTime)
 		require.Zero(t, s.rejected)
@@ -531,9 +532,9 @@
 	}
 	s.AfterFunc(crash, func() { setRefuses(true) })
 	s.AfterFunc(restart, func() { setRefuses(false) })
-	s.work, s.objective = work, fleetObjective
+	s.work, s.objective = meanProcessingTime, fleetObjective
 	s.tick()
-	s.offer(0.3 * fleetUpstreams * slotsPerUpstream / work.Seconds())
+	s.offer(0.3 * fleetUpstreams * slotsPerUpstream / meanProcessingTime.Seconds())
 	s.run(2 * restart)
 	late := 0
 	for _, at := range s.unserved {
--- a/internal/cookie/router/overdue.go
+++ b/internal/cookie/router/overdue.go
@@ -8,7 +8,7 @@
 const (
 	// A pending request is overdue from the age overdueAfter, or overdueFactor times the
 	// median response time of its service if that is longer. An overdue request no longer counts
-	// towards the service's flows in flight: its packets were lost, or its upstream is down or
+	// towards the service's effectiveInFlight: its packets were lost, or its upstream is down or
 	// hangs.
 	overdueAfter  = 300 * time.Millisecond
 	overdueFactor = 4
--- a/internal/cookie/router/packet.go
+++ b/internal/cookie/router/packet.go
@@ -119,12 +119,13 @@
 type Verdict struct {
 	Action Action
 	Reason Reason
-	// To and Incarnation identify the upstream of a forwarded packet; Cookie is what both ends
-	// of the flow echo. Incarnation is also set if the flow is reset because of its upstream's
-	// state, or if its upstream has terminated.
-	To          netip.AddrPort
+	// To is the address of the upstream to which the packet is forwarded.
+	To netip.AddrPort
+	// Incarnation identifies the upstream of a forwarded packet. It is also set if the flow is
+	// reset because of its upstream's state, or if its upstream has terminated.
 	Incarnation uint64
-	Cookie      uint32
+	// Cookie is what both ends of the flow echo.
+	Cookie uint32
 	// Revision, Sequence and Live are the inputs of the decision: the revision of the
 	// configuration, the sequence of the upstream's latest announcement, and whether a voter
 	// received an announcement recently.
@@ -132,7 +133,7 @@
 	Sequence uint64
 	Live     bool
 	// Predicted and UnderWay explain an overload: the predicted response time of a request,
-	// and the number of requests in flight.
+	// and the number of the service's pending openings and requests that are not overdue.
 	Predicted time.Duration
 	UnderWay  int
 	// Limit is the concurrency limit that UnderWay exceeds, 0 for other reasons.
--- a/internal/cookie/router/place.go
+++ b/internal/cookie/router/place.go
@@ -9,10 +9,8 @@
 	"wasabideal/internal/cookie/mechanism"
 )
 
-// routeOpening decides on an opening. It drops an opening that would be reset but is not
-// Rejectable. A retransmission goes to the upstream chosen before: if two upstreams answered, the
-// caller would echo the cookie of the later answer, and its packets would go to an upstream where
-// the flow is not open.
+// routeOpening decides on an opening by decideOpening. It drops instead of resets an opening that
+// may already have opened the flow (see Rejectable).
 func (r *Router) routeOpening(now time.Time, p Packet) Verdict {
 	v := r.decideOpening(now, p)
 	if v.Action == Reset && !p.Rejectable() {
@@ -21,6 +19,9 @@
 	return v
 }
 
+// decideOpening decides on an opening without regard to Rejectable. A retransmitted opening goes to
+// the same upstream as before. Otherwise a second upstream would answer with another cookie, and
+// packets with that cookie would reach an upstream without the connection.
 func (r *Router) decideOpening(now time.Time, p Packet) Verdict {
 	if r.revision == 0 {
 		return Verdict{Action: Drop, Reason: Unconfigured}
--- a/internal/cookie/router/refused.go
+++ b/internal/cookie/router/refused.go
@@ -22,20 +22,19 @@
 	// checked is the decaying number of openings that have reached the age abandonedAfter;
 	// abandoned is the number of these that were abandoned.
 	checked, abandoned float64
-	// until is when the next trial flow may be sent to the zone, zero if the zone is not
-	// suspected.
-	until time.Time
+	// avoidUntil is when a new flow may next try the zone. It is zero if the zone is not suspected.
+	avoidUntil time.Time
 }
 
 // zoneSuspected reports whether the zone is suspected to refuse new flows. An answer from the zone
 // clears the suspicion.
-func (x *refusals) zoneSuspected() bool { return !x.until.IsZero() }
+func (x *refusals) zoneSuspected() bool { return !x.avoidUntil.IsZero() }
 
-// startTrial is called for each new flow to the zone. If the zone is suspected and until has
-// passed, the flow is a trial, and further flows avoid the zone for zoneTrialPeriod.
-func (x *refusals) startTrial(now time.Time) {
-	if x.zoneSuspected() && !now.Before(x.until) {
-		x.until = now.Add(zoneTrialPeriod)
+// noteNewFlow records a new flow to the zone. If the zone is suspected and avoidUntil has passed,
+// the flow is a trial, and further flows avoid the zone for zoneTrialPeriod.
+func (x *refusals) noteNewFlow(now time.Time) {
+	if x.zoneSuspected() && !now.Before(x.avoidUntil) {
+		x.avoidUntil = now.Add(zoneTrialPeriod)
 	}
 }
 
@@ -78,12 +77,12 @@
 	case answering || !x.mostAbandoned() && !x.zoneSuspected():
 		r.suspectLocally(now, p.flow)
 	case r.callersMayBeAtFault(z):
-		x.until = time.Time{}
+		x.avoidUntil = time.Time{}
 	default:
 		if !x.zoneSuspected() && r.settings.ZoneRefused != nil {
 			r.settings.ZoneRefused(p.target.Zone)
 		}
-		x.until = now.Add(zoneRefusalPeriod)
+		x.avoidUntil = now.Add(zoneRefusalPeriod)
 	}
 }
 
--- a/internal/cookie/router/router_test.go
+++ b/internal/cookie/router/router_test.go
@@ -351,9 +351,9 @@
 	}
 }
 
-// An upstream crashes and restarts with the same incarnation. Both instances used to have the same
-// cookie: flows of the crashed instance hung until their deadlines, or reached an upstream that did
-// not hold them.
+// An upstream crashes and restarts with the same incarnation. Each instance has its own cookie.
+// Otherwise flows of the crashed instance would hang until their deadlines, or reach an instance
+// that has no such connection.
 func TestFlowsOfAFormerInstanceGoToTheCurrentOne(t *testing.T) {
 	before := target(1, "orders", "a")
 	before.Born = 100
@@ -366,7 +366,7 @@
 	require.Equal(t, router.Placed, retransmitted.Reason, "a retransmitted opening goes to the current instance")
 	require.NotEqual(t, oldCookie, retransmitted.Cookie)
 	v := r.Route(epoch, router.Packet{Caller: caller(2), Address: orders, Cookie: oldCookie, Length: 9})
-	require.Equal(t, router.Forward, v.Action, "the upstream resets flows that it does not hold")
+	require.Equal(t, router.Forward, v.Action, "the upstream resets flows for which it has no connection")
 	require.Equal(t, restarted.Incarnation, v.Incarnation)
 	require.Equal(t, router.Cookie(restarted.Incarnation, restarted.Born), v.Cookie)
 	v = r.Route(epoch, router.Packet{Caller: caller(1), Address: orders, Cookie: retransmitted.Cookie, Length: 9})
@@ -378,7 +378,7 @@
 }
 
 // An opening reaches an upstream after its restart, but before the balancer receives the
-// announcement of the restart. The upstream's current instance holds the flow, which must not be
+// announcement of the restart. The flow is open at the upstream's current instance and must not be
 // reset.
 func TestFlowOpenedBeforeARestartIsAnnouncedStaysOpen(t *testing.T) {
 	before := target(1, "orders", "a")
--- a/internal/cookie/router/service.go
+++ b/internal/cookie/router/service.go
@@ -23,12 +23,12 @@
 	// coldRate is the number of requests per second that a cold upstream may get, 0 for no
 	// limit.
 	coldRate float64
-	// overdue counts the flows in flight whose answer is late.
+	// overdue counts the pending openings and requests whose answer is late.
 	overdue int
 	// openings and requests hold the pending answers until they are overdue. refusalChecks
 	// holds the pending answers to openings until the age abandonedAfter.
 	openings, requests, refusalChecks pendingQueue
-	// concurrency tracks the recent number of flows in flight.
+	// concurrency tracks the recent average of effectiveInFlight.
 	concurrency concurrency.InFlightAverage
 	// urgency determines which priorities are the most urgent among recent flows.
 	urgency urgency.Urgency
@@ -90,7 +90,7 @@
 	return &s.requestAdmission
 }
 
-// effectiveInFlight returns the number of flows in flight that are not overdue.
+// effectiveInFlight returns the number of pending openings and requests that are not overdue.
 func (s *service) effectiveInFlight() int { return s.inFlight - s.overdue }
 
 // addPending adds to the pending openings and requests of an upstream and its service.
--- a/internal/cookie/router/upstreams.go
+++ b/internal/cookie/router/upstreams.go
@@ -55,7 +55,7 @@
 		t.cookieCollision = r.cookies[t.cookie] != nil
 		t.service = r.service(x.Service)
 		r.targets[x.Incarnation] = t
-		r.zone(x.Zone).refusals.until = time.Time{}
+		r.zone(x.Zone).refusals.avoidUntil = time.Time{}
 	}
 	if x.Ended && !t.Ended {
 		t.endObserved = now
