--- a/internal/fanout/assignment/assignment_test.go
+++ b/internal/fanout/assignment/assignment_test.go
@@ -53,9 +53,10 @@
 	}
 }
 
-// Balancers restart, and for the first seconds each knows only itself or a few others. A balancer
-// alone in its list owns every key, so all of them sent flows to the same cold upstream.
-func TestStartingBalancerOwnsNoKeys(t *testing.T) {
+// Balancers restart, and for the first seconds each knows only itself or a few others. Without
+// startupGrace, each would own every key, and all would send flows to the same cold upstream.
+// After a change of the list, a balancer owns a gained key only once the previous list has expired.
+func TestKeysAreOwnedOnlyAfterStartupGraceAndOverlap(t *testing.T) {
 	a := assignment.New(epoch, "me")
 	require.False(t, a.Owns(epoch.Add(time.Hour), 7), "no list has been set")
 	a.Set(epoch, []string{"me"})
--- a/internal/fanout/tree/tree.go
+++ b/internal/fanout/tree/tree.go
@@ -42,18 +42,18 @@
 // balancer itself.
 func (s Shape) PlaceOf(self string, zone []string) Place {
 	own := node{address: self, hash: xxhash.Sum64String(self)}
-	var before []node
+	var predecessors []node
 	for _, a := range zone {
 		if n := (node{address: a, hash: xxhash.Sum64String(a)}); a != self && compareNodes(n, own) < 0 {
-			before = append(before, n)
+			predecessors = append(predecessors, n)
 		}
 	}
-	slices.SortFunc(before, compareNodes)
-	level, from, until := s.level(len(before))
+	slices.SortFunc(predecessors, compareNodes)
+	level, from, until := s.level(len(predecessors))
 	if level == 0 || !s.MultiLevel(zone) {
-		return Place{Candidates: candidates(self, before)}
+		return Place{Candidates: candidates(self, predecessors)}
 	}
-	return Place{Level: level, Candidates: candidates(self, before[from:until], before[:from])}
+	return Place{Level: level, Candidates: candidates(self, predecessors[from:until], predecessors[:from])}
 }
 
 // MultiLevel reports whether the zone has more than one level.
@@ -82,9 +82,9 @@
 	return level, from, until
 }
 
-// candidates returns the names of the nodes of several groups, group by group. Within a group,
-// the nodes are ordered by a hash that depends on the balancer, so that a node that joins or
-// leaves does not reorder the others.
+// candidates returns the addresses of at most maxCandidates nodes of several groups, group by group.
+// Within a group, the nodes are ordered by a hash that depends on the balancer, so that a node that
+// joins or leaves does not reorder the others.
 func candidates(self string, groups ...[]node) []string {
 	var out []string
 	for _, g := range groups {
