--- a/internal/silence/accrual/accrual.go
+++ b/internal/silence/accrual/accrual.go
@@ -168,7 +168,7 @@
 	d.decayedAt = now
 	for s, r := range d.records {
 		r.missed = slices.DeleteFunc(r.missed, func(e missedPacket) bool { return now.Sub(e.sent) > evidenceTTL })
-		if d.expire(now, r) {
+		if d.removable(now, r) {
 			delete(d.records, s)
 			continue
 		}
@@ -194,14 +194,14 @@
 	return time.Time{}
 }
 
-// expire reports whether all state of the record has expired, so that it can be deleted, and
-// raises the version if that ends a suspicion.
-func (d *Detector) expire(now time.Time, r *record) bool {
+// removable reports whether a record has expired and must be deleted. If its subject is suspected,
+// the deletion ends the suspicion, so removable raises the version.
+func (d *Detector) removable(now time.Time, r *record) bool {
 	if len(r.missed) > 0 || !r.unresponsiveAt.IsZero() && now.Sub(r.unresponsiveAt) < unresponsiveTTL {
 		return false
 	}
 	if now.Sub(r.lastResponse) < evidenceTTL {
-		// Packets that were sent before the response may still be reported.
+		// Packets sent before the response may still be reported; lastResponse discards them.
 		return false
 	}
 	if !r.suspectedAt.IsZero() {
@@ -210,7 +210,7 @@
 	return true
 }
 
-// evaluateRecord updates whether a subject is suspected or unresponsive.
+// evaluateRecord recomputes whether a subject is suspected or unresponsive.
 func (d *Detector) evaluateRecord(now time.Time, s evidence.Subject, r *record, balancers int, timeout time.Duration) {
 	weight, overdue := 0.0, 0.0
 	for _, e := range r.missed {
--- a/internal/silence/evidence/evidence.go
+++ b/internal/silence/evidence/evidence.go
@@ -19,8 +19,8 @@
 	// Zone is the upstream's availability zone.
 	Zone string
 	// Age is the time since the packet was first sent or the response was received. It is not an
-	// absolute time, since the clocks of VMs differ. Their drift within some hundred milliseconds
-	// is negligible.
+	// absolute time, since the clocks of VMs differ. The drift of the clocks during the few hundred
+	// milliseconds of an Age is negligible.
 	Age time.Duration
 	// Weight is 0 for a response. For an unanswered packet it is the negative logarithm of the
 	// probability that a live upstream leaves the packet unanswered.
@@ -36,7 +36,7 @@
 	Events []Event
 }
 
-// Suspicion is the suspicion of one subject as a voter reports it to balancers.
+// Suspicion is a voter's evaluation of one subject. Voters send it to balancers.
 type Suspicion struct {
 	_ struct{} `cbor:",toarray"`
 	Subject
