--- a/internal/upstream/view/view_test.go
+++ b/internal/upstream/view/view_test.go
@@ -78,19 +78,20 @@
 	require.True(t, next(after(11)).Ended)
 }
 
-// The only reachable voter restarts, and its first response is empty. Unless the earlier notices
-// are kept, the balancer has no upstreams for seconds.
-func TestRestartedVoterRemovesNoUpstreamAtOnce(t *testing.T) {
+// The only reachable voter restarts, and its first response is empty. The earlier notices stay valid
+// for UnconfirmedTTL: otherwise the balancer would have no upstreams for seconds.
+func TestNoticesSurviveAVoterRestartForUnconfirmedTTL(t *testing.T) {
 	v := newView()
 	v.ApplyNotices(epoch, "v1", 1, []directory.Notice{notice(1, upstream.Ready)})
 	v.ApplyNotices(after(1), "v1", 2, nil)
 	require.True(t, v.Targets(after(1))[0].Live)
 	v.ApplyNotices(after(6), "v1", 2, nil)
-	require.False(t, v.Targets(after(6))[0].Live, "no voter has received an announcement since")
+	require.False(t, v.Targets(after(6))[0].Live, "no voter has received an announcement since the restart")
 	v.ApplyNotices(after(7), "v1", 2, []directory.Notice{notice(3, upstream.Ready)})
 	require.True(t, v.Targets(after(7))[0].Live)
 }
 
+// A voter without contact for longer than ContactLease counts as unreachable.
 func TestNoticesOfUnreachableVotersCountOnlyIfAllAreUnreachable(t *testing.T) {
 	v := newView()
 	v.ApplyNotices(epoch, "far", 1, []directory.Notice{notice(1, upstream.Ready)})
