--- a/internal/overload/concurrency/concurrency.go
+++ b/internal/overload/concurrency/concurrency.go
@@ -6,24 +6,28 @@
 )
 
 // ordinaryPerSlot and urgentPerSlot are the limits of in-flight requests per slot of a service's
-// upstreams, for all balancers together. New flows beyond them are rejected. The share of requests
-// served, weighted by value, with 150 upstreams and 70 balancers at four and six times the load:
-// 0.913 and 0.718 with limits of three and eight, 0.891 and 0.704 with two and five, 0.896 and 0.684
-// with three and four and a half.
+// upstreams, for all balancers together. New flows beyond them are rejected. With 150 upstreams and
+// 70 balancers, the share of requests served, weighted by value, was:
+//
+//	ordinary  urgent  at 4 times the load  at 6 times the load
+//	3         8       0.913                0.718
+//	2         5       0.891                0.704
+//	3         4.5     0.896                0.684
 const (
 	// ordinaryPerSlot is one request in progress and two in the queue: half of a queue that
 	// holds four per slot. An upstream with a full queue refuses requests, and each refusal
 	// costs as much as a request.
 	ordinaryPerSlot = 3.0
-	// urgentPerSlot is higher because requests of open flows cannot be rejected, and would
-	// leave no capacity for urgent flows.
+	// urgentPerSlot is higher because requests of open flows count towards the limit but cannot be
+	// rejected. With ordinaryPerSlot for both, they alone would reach the limit, and urgent flows
+	// would be rejected.
 	urgentPerSlot = 8.0
 	// minLimit is the least limit of a balancer. Where many balancers share few slots, each has
 	// several requests in flight at times, and mostly none.
 	minLimit = 6
-	// averageTimeConstant is the time constant of the average of in-flight requests. Their
-	// number at one balancer is small, and at random doubles for a few milliseconds: without
-	// the average, one flow in ten was rejected at 0.85 of the capacity.
+	// averageTimeConstant is the time constant of the average of in-flight requests. Their number
+	// at one balancer is small and sometimes doubles by chance for a few milliseconds. Without
+	// averaging, one flow in ten was rejected at 0.85 of the capacity.
 	averageTimeConstant = 400 * time.Millisecond
 )
 
--- a/internal/overload/uplink/uplink.go
+++ b/internal/overload/uplink/uplink.go
@@ -106,8 +106,9 @@
 	return bytesPerSecond > 0 && window/bytesPerSecond > minPacedDelay.Seconds()
 }
 
-// Limit returns the maximum number of active uploads: so many that the link transmits one window
-// of each within maxQueueDelay.
+// Limit returns the maximum number of active uploads. With that number, the link transmits one window
+// of each upload within maxQueueDelay. The limit is 0 if other traffic takes the share maxOtherShare
+// of the bandwidth or more, and at least 1 otherwise.
 func (u *Pacer[K, T]) Limit(now time.Time) int {
 	left := u.bytesPerSecond - u.others.Rate(now)
 	if left <= (1-maxOtherShare)*u.bytesPerSecond {
@@ -116,7 +117,7 @@
 	return max(int(math.Round(left*maxQueueDelay.Seconds()/window)), 1)
 }
 
-// Active returns the number of active uploads.
+// Active removes uploads without recent packets and returns the number of active uploads.
 func (u *Pacer[K, T]) Active(now time.Time) int {
 	for k, seen := range u.lastPacket {
 		if now.Sub(seen) > inactivityTimeout {
@@ -126,7 +127,8 @@
 	return len(u.lastPacket)
 }
 
-// Admit reports whether an upload may start; an active upload stays admitted.
+// Admit reports whether an upload may start, and if so records it as active. An active upload stays
+// admitted.
 func (u *Pacer[K, T]) Admit(now time.Time, flow K) bool {
 	if _, active := u.lastPacket[flow]; !active && u.Active(now) >= u.Limit(now) {
 		return false
