--- a/internal/balancer/trace/trace.go
+++ b/internal/balancer/trace/trace.go
@@ -72,8 +72,8 @@
 	return nil
 }
 
-// Replay reduces the events of a trace and writes their effects as JSON lines. Without
-// the group's token, signed gossip is rejected.
+// Replay applies the events of a trace to a new reducer and writes the resulting effects as JSON
+// lines. Without the group's token, signed gossip is rejected.
 func Replay(in io.Reader, out io.Writer, token string) error {
 	s := bufio.NewScanner(in)
 	s.Buffer(make([]byte, 0, 1<<16), lineLimit)
--- a/internal/disk/wal/wal.go
+++ b/internal/disk/wal/wal.go
@@ -102,8 +102,9 @@
 	return nil
 }
 
-// fail makes all later writes fail: after a failed sync, the content of the disk is
-// unknown, so nothing more may be acknowledged.
+// fail makes all later writes fail. After a failed write or sync, the content of the disk is
+// unknown. After a failed encode, a record is missing. In both cases nothing more may be
+// acknowledged.
 func (l *Log) fail(operation string, err error) error {
 	l.failed = &FailedError{Operation: operation, Cause: err}
 	return l.failed
--- a/internal/member/swim/swim.go
+++ b/internal/member/swim/swim.go
@@ -203,28 +203,29 @@
 	}
 }
 
-// TakeUrgent reports whether a member joined, left, failed, was suspected or refuted
-// since the last call. Until the update reaches all balancers, some of them send packets that
-// are lost.
+// TakeUrgent reports whether a member joined, left, failed, was suspected or refuted since the last
+// call, and clears this state. Such a change is urgent: until all balancers know of it, some forward
+// packets to a member that is gone, and these packets are lost.
 func (s *Swim) TakeUrgent() bool {
 	u := s.urgentChange
 	s.urgentChange = false
 	return u
 }
 
-// MayPush reports whether the byte budget allows a push. When many upstreams join at
-// once, a push for each would use ten times the budget of control traffic.
+// MayPush reports whether the byte budget allows a push. Updates of upstreams are also sent in
+// pushes: when many upstreams join at once, a push for each would use ten times the budget of
+// control traffic.
 func (s *Swim) MayPush() bool { return s.budget > 0 }
 
-// Push sends updates to a few members without waiting for the next probes.
+// Push sends updates to a few members, as sync messages, without waiting for the next probes.
 func (s *Swim) Push(now time.Time, out *effect.List) {
 	for _, m := range s.randomPeers(pushFanout, "") {
 		s.send(now, m.Address, message{Kind: kindSync}, out)
 	}
 }
 
-// Tick probes the next member and expires suspicions. It must be called at a fixed
-// interval.
+// Tick expires suspicions and, at every probeEvery-th call, probes the next member. It must be
+// called at a fixed interval.
 func (s *Swim) Tick(now time.Time, out *effect.List) {
 	if !s.lastTick.IsZero() {
 		s.budget += now.Sub(s.lastTick).Seconds() * float64(s.settings.BytesPerSecond)
--- a/internal/operator/document/document.go
+++ b/internal/operator/document/document.go
@@ -29,7 +29,7 @@
 // Unwrap returns the underlying error.
 func (e *InvalidError) Unwrap() error { return e.Cause }
 
-// Read reads and validates a file. A file with the key Presets is a configuration, others are settings.
+// Read reads and validates a file. A file with the key Presets is a configuration; all others are settings.
 func Read(file string) (Document, error) {
 	b, err := os.ReadFile(file)
 	if err != nil {
--- a/internal/setting/wiring/wiring.go
+++ b/internal/setting/wiring/wiring.go
@@ -21,7 +21,7 @@
 )
 
 const (
-	// repairShare is the share of ControlBytes for replicating flows. The rest is for membership
+	// repairShare is the share of ControlBytes for repair, which replicates flows. The rest is for membership
 	// probes and the updates that the probes carry.
 	repairShare = 0.25
 	// sourceHold, sourceGrace and sourceRetry are Hold, Grace and RetryAfter of the puller.
@@ -37,7 +37,8 @@
 	nanosecondsPerSecond = float64(time.Second)
 )
 
-// Wiring converts settings; Clock is shared by all components of a process.
+// Wiring converts settings into those of the components of a process. Clock is shared by the
+// components.
 type Wiring struct{ Clock func() time.Time }
 
 // Balancer returns the settings of a balancer.
@@ -47,7 +48,7 @@
 		return balancer.Settings{}, err
 	}
 	b := s.Balancer
-	repair := float64(b.ControlBytes) * repairShare
+	repairBytesPerSecond := float64(b.ControlBytes) * repairShare
 	return balancer.Settings{
 		Fabric: s.Listen.Fabric, Peer: s.Listen.Peer, Rpc: s.Listen.Rpc, Admin: s.Listen.Admin,
 		GroupToken: s.GroupToken, OperatorToken: s.OperatorToken, Tick: b.Tick.Value(),
@@ -62,7 +63,7 @@
 				Self: s.Name, Zone: s.Zone, MaxFlows: b.MaxFlows, Settle: b.Settle.Value(),
 				OpeningTimeout: b.OpeningTimeout.Value(), IdleTimeout: b.IdleTimeout.Value(),
 				ClosingTimeout: b.ClosingTimeout.Value(), Lost: router.LostPolicy(b.Lost),
-				RepairBytes: int(repair * float64(b.Tick.Value()) / nanosecondsPerSecond),
+				RepairBytes: int(repairBytesPerSecond * float64(b.Tick.Value()) / nanosecondsPerSecond),
 			},
 			Swim: swim.Settings{
 				Self:  swim.Member{Name: s.Name, Zone: s.Zone, Start: uint64(w.Clock().UnixNano())},
--- a/internal/wire/rpc/server.go
+++ b/internal/wire/rpc/server.go
@@ -82,6 +82,7 @@
 	return decompress(r.Compressed)
 }
 
+// decompress returns the content of a body in S2 block format.
 func decompress(b []byte) ([]byte, error) {
 	size, err := s2.DecodedLen(b)
 	if err != nil || size > maxBodySize {
@@ -94,7 +95,8 @@
 // thousands of routes fit.
 const maxBodySize = 64 << 20
 
-// OversizeError reports a compressed body that is too large or has an invalid length.
+// OversizeError reports a compressed body of a request or response that is too large or has an
+// invalid length. Size is the decompressed size in bytes, 0 if the length is invalid.
 type OversizeError struct{ Size int }
 
 func (e *OversizeError) Error() string {
