--- a/internal/cookie/router/choose.go
+++ b/internal/cookie/router/choose.go
@@ -9,7 +9,7 @@
 
 const (
 	// coldCapacityFactor scales the slots of an upstream that has just started: its
-	// requests take more than one and a half times as long.
+	// requests take more than one and a half times as long as those of a warm upstream.
 	coldCapacityFactor = 0.5
 	// idleFlowLoad is the load of an open flow without a request in flight: callers pause
 	// for about a second between requests of some 25 ms.
@@ -30,8 +30,9 @@
 
 const (
 	rankHealthy rank = iota
-	// rankSuspected upstreams show one of two signs of failure: they are not live, or they are
-	// suspected by the voters or this balancer. rankUnhealthy upstreams show both signs.
+	// rankSuspected upstreams show one of two signs of failure: they are not live (their
+	// announcements are overdue), or the voters or this balancer suspect them. rankUnhealthy
+	// upstreams show both signs.
 	rankSuspected
 	rankUnhealthy
 )
@@ -71,11 +72,11 @@
 	return (1 + r.load(now, t)) * slowness
 }
 
-// sampleSize is the number of upstreams of a zone compared for a new flow if the zone has
-// more than fullScanMax. The start index rotates so that equal upstreams are chosen evenly.
-// With 3,000 upstreams, comparing all takes 78 µs and comparing eight 1 µs; the busiest
-// upstream then has 1.04 times the mean number of flows (BenchmarkOpening,
-// TestLargePoolStaysBalanced).
+// A pool has one list for the balancer's own zone and one for all other zones. If a list has more
+// than fullScanMax upstreams, only sampleSize of them are compared for a new flow. The start index
+// rotates so that equal upstreams are chosen evenly. With 3,000 upstreams, comparing all takes 78
+// µs and comparing eight 1 µs; the busiest upstream then has 1.04 times the mean number of flows
+// (BenchmarkOpening, TestLargePoolStaysBalanced).
 const (
 	sampleSize  = 8
 	fullScanMax = 16
@@ -89,7 +90,8 @@
 	cost   float64
 }
 
-// betterThan reports whether the candidate is preferred to another one.
+// betterThan reports whether the candidate is preferred to another one. Any
+// candidate is preferred to one without an upstream.
 func (c candidate) betterThan(other candidate) bool {
 	return other.target == nil || c.target != nil && (c.rank < other.rank || c.rank == other.rank && c.cost < other.cost)
 }
@@ -155,10 +157,10 @@
 }
 
 // A buffered packet is placed only if this balancer has fewer than bufferedPendingMax openings and
-// requests pending at the upstream. After a power loss of the whole site, each balancer buffers an
-// equal share of the packets and places as many at a time; an upstream has room for ten. When all
-// packets were placed at once, 230 of 28,000 requests found full queues and were rejected three
-// times in a row; with this limit, 25 were.
+// requests pending at the upstream. After a power loss of the whole site, each balancer buffers
+// about as many packets as the others, and all balancers place theirs at the same time. An upstream
+// has room for ten requests. When all packets were placed at once, 230 of 28,000 requests found
+// full queues and were rejected three times in a row; with this limit, 25 were.
 const bufferedPendingMax = 1
 
 // MayPlace reports whether a buffered packet may be placed now. Packets that have just arrived skip
@@ -180,8 +182,8 @@
 	return t == nil || t.openings+t.requests < bufferedPendingMax
 }
 
-// pickBackend returns the service for a new flow of a route, by weight. The hash is the
-// same for an opening and its retransmissions.
+// pickBackend returns the service for a new flow of a route by weight, or "" if all weights
+// are 0. The hash is the same for an opening and its retransmissions.
 func pickBackend(backends []configuration.Backend, hash uint64) string {
 	total := 0
 	for _, b := range backends {
--- a/internal/cookie/router/cold.go
+++ b/internal/cookie/router/cold.go
@@ -36,9 +36,9 @@
 
 // withinColdLimit reports whether this balancer may send another flow to an upstream: always if the
 // upstream is warm, otherwise within its cold rate. Each cold upstream is assigned to one balancer
-// of its own zone, since no balancer knows what the others send: with 70 balancers, one upstream
-// got 17 flows in a second at a limit of 6. If the rate were divided among all, each balancer could
-// send one flow in twelve seconds, and no upstream stays cold for that long.
+// of its own zone, since no balancer knows what the others send. Without the assignment, 70
+// balancers sent one upstream 17 flows in a second at a limit of 6. If the rate were divided among
+// all, each balancer could send one flow in twelve seconds; no upstream stays cold for that long.
 func (r *Router) withinColdLimit(now time.Time, t *target) bool {
 	until, bounded := t.coldUntil()
 	if !bounded || !now.Before(until) || r.settings.Off.Has(mechanism.SlowStart) {
@@ -54,8 +54,8 @@
 	}
 }
 
-// anyColdLimited reports whether a service has ready upstreams that are excluded because of
-// their cold rate.
+// anyColdLimited reports whether a service has ready upstreams that get no flow now because of
+// withinColdLimit.
 func (r *Router) anyColdLimited(now time.Time, service string) bool {
 	p := r.pools[service]
 	limited := func(t *target) bool { return !r.withinColdLimit(now, t) }
--- a/internal/cookie/router/detection.go
+++ b/internal/cookie/router/detection.go
@@ -13,10 +13,10 @@
 )
 
 const (
-	// minLossRate and maxLossRate bound the estimated rate of packets lost in transit to a
-	// live upstream. At the minimum, three packets are enough evidence; at the maximum, no
-	// number of packets suffices. maxLossRate also bounds the probability that a missing
-	// answer is only late.
+	// minLossRate and maxLossRate bound the estimated rate of packets lost in transit to a live
+	// upstream. At the minimum, three unanswered packets are enough evidence for the voters; at the
+	// maximum, no number of packets suffices. maxLossRate also bounds the probability that a
+	// missing answer is only late.
 	minLossRate, maxLossRate = 0.01, 0.9
 	// An upstream without recent answers is assumed to respond in unmeasuredFactor times the
 	// median response time of its service. Without a median, unmeasuredResponseTime is assumed.
@@ -51,8 +51,8 @@
 	refuted bool
 }
 
-// active reports whether this balancer has seen no answer since the first unanswered packet
-// was sent.
+// active reports whether there is a suspicion, and this balancer has seen no answer since the
+// first unanswered packet was sent.
 func (s *voterSuspicion) active(lastAlive time.Time) bool {
 	return s != nil && lastAlive.Before(s.First)
 }
@@ -67,8 +67,8 @@
 	// answered is the decaying number of answered requests and openings.
 	// answeredAfterRetransmission is the number of these that were sent more than once.
 	answered, answeredAfterRetransmission float64
-	// zoneRate is the recent share of unanswered packets in the balancer's own zone if most
-	// of its upstreams have some, otherwise 0.
+	// zoneRate is the recent share of unanswered packets in the balancer's own zone if at least
+	// half of the zone's recently used upstreams left packets unanswered, otherwise 0.
 	zoneRate float64
 }
 
@@ -81,7 +81,7 @@
 type packetCounts struct{ sent, unanswered float64 }
 
 // updateLossRates decays the counters, refills the report budget and compares the upstreams of the
-// balancer's own zone. If most of these upstreams leave packets unanswered at the same time, the
+// balancer's own zone. If at least half of them leave packets unanswered at the same time, the
 // cause is probably packet loss: it is unlikely that all of them are down.
 func (r *Router) updateLossRates() {
 	r.reportBudget = min(r.reportBudget+reportsPerTick, reportBurst)
@@ -211,8 +211,8 @@
 }
 
 // refuteSuspicions reports the latest answer of an upstream to the voters if the answer came after
-// the first unanswered packet of a suspicion. It reports at most one answer between two updates
-// from the voters.
+// the first unanswered packet of a suspicion. Each suspicion is refuted at most once between
+// two updates from the voters.
 func (r *Router) refuteSuspicions(now time.Time, t *target) {
 	refutes := false
 	for _, s := range [...]*voterSuspicion{t.voterSuspicion, t.zone.voterSuspicion} {
@@ -227,10 +227,10 @@
 	}
 }
 
-// SetSuspicions replaces all suspicions received from the voters, and resets flows of
-// unresponsive upstreams. It returns a Packet for each of these flows, with the fields needed
-// to send the reset. Without a reset the caller waits until its timeout, and its next request
-// on the flow is lost as well.
+// SetSuspicions replaces all suspicions received from the voters, and resets the flows of
+// unresponsive upstreams for which mayReset returns true. It returns a Packet for each of these
+// flows, with the fields needed to send the reset. Without a reset the caller waits until its
+// timeout, and its next request on the flow is lost as well.
 func (r *Router) SetSuspicions(now time.Time, all map[evidence.Subject]suspicions.Suspicion) []Packet {
 	for _, t := range r.suspects {
 		t.voterSuspicion = nil
--- a/internal/cookie/router/detection_test.go
+++ b/internal/cookie/router/detection_test.go
@@ -23,12 +23,12 @@
 // Parameters of the simulated pool: callers keep flows open, send requests on them one
 // after another, and retransmit a packet after 0.2, 0.6 and 1.4 s.
 const (
-	poolBalancers = 7
-	poolUpstreams = 14
-	poolCallers   = 300
-	poolThinkTime = 700 * time.Millisecond
-	poolDeadline  = 1500 * time.Millisecond
-	poolWork      = 20 * time.Millisecond
+	poolBalancers      = 7
+	poolUpstreams      = 14
+	poolCallers        = 300
+	poolThinkTime      = 700 * time.Millisecond
+	poolDeadline       = 1500 * time.Millisecond
+	poolProcessingTime = 20 * time.Millisecond
 	// voterTransit is the transit time of a report to a voter, and of suspicions back.
 	voterTransit = 3 * time.Millisecond
 )
@@ -133,8 +133,8 @@
 
 func (s *poolSimulation) packetLost() bool { return s.random.Float64() < s.loss }
 
-// sendToBalancer delivers a packet to a balancer, or loses it. A stalled balancer receives it
-// after the stall.
+// sendToBalancer delivers a packet to a balancer, or loses it. A stalled balancer receives the
+// packet after the stall.
 func (s *poolSimulation) sendToBalancer(c *client, p router.Packet, then func(router.Verdict)) {
 	if s.packetLost() {
 		return
@@ -359,8 +359,8 @@
 // starve starves an upstream's process of CPU, or all callers if id is 0.
 func (s *poolSimulation) starve(id uint64, lasts time.Duration) { s.starved[id] = s.Now.Add(lasts) }
 
-// whenScheduled runs a function as soon as an upstream's process gets CPU, or the callers if id
-// is 0.
+// whenScheduled runs a function as soon as the process of an upstream gets CPU, or that of all
+// callers if id is 0.
 func (s *poolSimulation) whenScheduled(id uint64, do func()) {
 	if !s.Now.Before(s.starved[id]) {
 		do()
@@ -378,7 +378,7 @@
 }
 
 func (s *poolSimulation) work(c *client, request int, upstream uint64) {
-	work := time.Duration((0.5 + s.random.ExpFloat64()/2) * float64(poolWork) * max(s.slow[upstream], 1))
+	work := time.Duration((0.5 + s.random.ExpFloat64()/2) * float64(poolProcessingTime) * max(s.slow[upstream], 1))
 	s.AfterFunc(work+transit, func() { s.whenScheduled(0, func() { s.answer(c, request, upstream) }) })
 }
 
@@ -465,7 +465,7 @@
 // narrow links, which batch what they relay. A timeout for refutations of 60 ms suffices for direct
 // polls, but reset flows of live upstreams behind relays.
 func TestRelayedRefutationsArriveInTime(t *testing.T) {
-	// With a limit of 60 ms, seed 353 reset a flow of a live upstream.
+	// With a timeout of 60 ms, seed 353 reset a flow of a live upstream.
 	for _, seed := range append([]uint64{353}, lo.RangeFrom(uint64(0), *seeds)...) {
 		s := newPoolSimulation(t, seed, true)
 		s.relays, s.relayDelayMax = 2, 75*time.Millisecond
@@ -480,7 +480,7 @@
 	}
 }
 
-// Guards against reports of unanswered packets that fill the links to the voters.
+// Reports of unanswered packets must not fill the links to the voters.
 func TestReportsAreRateLimited(t *testing.T) {
 	r := newRouter(t, target(1, "orders", "a"))
 	for n := range 500 {
--- a/internal/cookie/router/evacuate.go
+++ b/internal/cookie/router/evacuate.go
@@ -8,7 +8,8 @@
 
 // Evacuate applies evacuation orders for availability zones; older revisions are ignored.
 // Open flows stay, and a retransmitted opening keeps its upstream, for the reason given at
-// routeOpening; the caller sends the last retransmission 0.6 s after the opening.
+// decideOpening. The caller sends the last retransmission 0.6 s after the opening, so evacuated
+// upstreams receive openings for at most this time after the order.
 func (r *Router) Evacuate(now time.Time, e evacuation.Evacuations) {
 	if e.Revision <= r.evacuations.Revision {
 		return
@@ -23,7 +24,7 @@
 }
 
 // recordRevocation records when the evacuation of a zone was revoked. A balancer that has just
-// started has not seen the change and relies on the time of the order.
+// started has not seen the zone evacuated and relies on the time of the order.
 func (r *Router) recordRevocation(now time.Time, z evacuation.Zone) {
 	switch {
 	case z.Evacuated:
@@ -37,9 +38,9 @@
 // EvacuationRevision returns the revision of the evacuation orders in force.
 func (r *Router) EvacuationRevision() uint64 { return r.evacuations.Revision }
 
-// hasEvacuated reports whether a service has ready upstreams in evacuated zones. If it has
-// only these, new flows are reset at once: placing them would violate the operator's order,
-// and waiting would not add an upstream.
+// hasEvacuated reports whether a service has ready upstreams in evacuated zones. If the service has
+// only such upstreams, new flows are reset at once: placing them would violate the operator's
+// order, and waiting would not add an upstream.
 func (r *Router) hasEvacuated(service string) bool {
 	return len(r.pool(service).lists[evacuated]) > 0
 }
--- a/internal/cookie/router/flow.go
+++ b/internal/cookie/router/flow.go
@@ -33,8 +33,8 @@
 	// sent is when the pending opening or request was first sent.
 	sent           time.Time
 	requestPending bool
-	// overdue is set if the answer is late; the flow then no longer counts towards the
-	// concurrency limit.
+	// overdue is set if the answer is late, or if the upstream was suspected when the packet was
+	// sent. An overdue flow does not count towards the concurrency limit.
 	overdue bool
 	// retransmitted is set if the pending opening or request was sent again; reported is set if
 	// it was reported to the voters as unanswered.
@@ -94,8 +94,8 @@
 	}
 }
 
-// noteEstablished updates a flow from a packet of its caller: an acknowledged answer shows
-// that the upstream is alive, a retransmitted request that it may be down.
+// noteEstablished updates a flow from a packet of its caller. An acknowledged answer shows
+// that the upstream is alive. A retransmitted request shows that the upstream may be down.
 func (r *Router) noteEstablished(now time.Time, k Flow, t *target, p Packet) {
 	f := r.flows[k]
 	if f == nil || f.target != t {
--- a/internal/cookie/router/load_test.go
+++ b/internal/cookie/router/load_test.go
@@ -56,9 +56,9 @@
 	queueFull, refused int
 	// unserved holds the start times of the requests that callers gave up.
 	unserved []time.Time
-	// work is the mean processing time of a request. A request counts in inTime if its response
-	// time does not exceed objective.
-	work, objective time.Duration
+	// meanProcessingTime applies to servers with factor 1. A request counts in inTime if its
+	// response time does not exceed responseTimeObjective.
+	meanProcessingTime, responseTimeObjective time.Duration
 	// urgentOffered and urgentInTime count the requests of the more urgent priority.
 	urgentOffered, urgentInTime int
 }
@@ -76,8 +76,8 @@
 // newSimulationOf is newSimulation with the given numbers of balancers and upstreams.
 func newSimulationOf(t *testing.T, knownSince time.Time, routeObjective time.Duration, slow map[uint64]float64, balancers int, upstreams uint64) *simulation {
 	s := &simulation{
-		Clock: virtual.Clock{Now: epoch}, random: rand.New(rand.NewPCG(1, 2)), servers: map[uint64]*server{}, work: meanProcessingTime,
-		objective: responseTimeObjective,
+		Clock: virtual.Clock{Now: epoch}, random: rand.New(rand.NewPCG(1, 2)), servers: map[uint64]*server{}, meanProcessingTime: meanProcessingTime,
+		responseTimeObjective: responseTimeObjective,
 	}
 	var targets []view.Target
 	for id := uint64(1); id <= upstreams; id++ {
@@ -169,7 +169,7 @@
 // arrive processes a request at a server, or refuses it if the queue is full.
 func (s *simulation) arrive(c *call, r *router.Router, p router.Packet, x *server) {
 	finish := func() {
-		took := time.Duration((0.5 + s.random.ExpFloat64()/2) * float64(s.work) * x.slow)
+		took := time.Duration((0.5 + s.random.ExpFloat64()/2) * float64(s.meanProcessingTime) * x.slow)
 		s.AfterFunc(took, func() {
 			x.busy--
 			if len(x.queue) > 0 {
@@ -199,7 +199,7 @@
 	switch {
 	case !served:
 		s.try(c)
-	case s.Now.Sub(c.begun) <= s.objective && c.begun.Sub(epoch) > warmUp:
+	case s.Now.Sub(c.begun) <= s.responseTimeObjective && c.begun.Sub(epoch) > warmUp:
 		s.inTime++
 		if c.address == notes {
 			s.urgentInTime++
@@ -350,15 +350,15 @@
 // Parameters of the fleet simulations: a zone of a large deployment with long requests and
 // a long objective.
 const (
-	fleetBalancers = 22
-	fleetUpstreams = 40
-	fleetWork      = 44 * time.Millisecond
-	fleetObjective = 500 * time.Millisecond
+	fleetBalancers      = 22
+	fleetUpstreams      = 40
+	fleetProcessingTime = 44 * time.Millisecond
+	fleetObjective      = 500 * time.Millisecond
 )
 
 // simulateFleet simulates callers that offer a load, given as a share of the capacity. The
-// balancers assume the known number of balancers; 0 means unknown. Hanging upstreams accept
-// requests and never answer.
+// balancers are told that their number is the parameter known; 0 means unknown. Hanging upstreams
+// accept requests and never answer.
 func simulateFleet(t *testing.T, load float64, known, hanging int) *simulation {
 	return simulateFleetSeeded(t, load, known, hanging, 1)
 }
@@ -369,22 +369,22 @@
 		slow[uint64(id+1)] = 1e6
 	}
 	s := newSimulationOf(t, epoch.Add(-time.Minute), fleetObjective, slow, fleetBalancers, fleetUpstreams)
-	s.work, s.objective = fleetWork, fleetObjective
+	s.meanProcessingTime, s.responseTimeObjective = fleetProcessingTime, fleetObjective
 	s.random = rand.New(rand.NewPCG(seed, 2))
 	for _, r := range s.routers {
 		r.SetBalancers(known)
 	}
 	s.tick()
-	s.offer(load * fleetUpstreams * slotsPerUpstream / fleetWork.Seconds())
+	s.offer(load * fleetUpstreams * slotsPerUpstream / fleetProcessingTime.Seconds())
 	s.run(duration)
 	return s
 }
 
-// Callers offer one and a half times the capacity. The objective is 500 ms, but a queue is full at
-// 200, so response times never reach the objective. Upstreams used to refuse requests before
-// balancers rejected flows, and each refusal costs a whole request and up to two more: in a burst
-// of six times the load, upstreams refused 8,000 requests, and a third of all requests failed until
-// six seconds after the burst.
+// Callers offer one and a half times the capacity. The objective is 500 ms, but the response time
+// with a full queue is 200 ms, so response times never reach the objective. Upstreams used to
+// refuse requests before balancers rejected flows, and each refusal costs a whole request and up to
+// two more: in a burst of six times the load, upstreams refused 8,000 requests, and a third of all
+// requests failed until six seconds after the burst.
 func TestFlowsAreRejectedBeforeQueuesAreFull(t *testing.T) {
 	without := simulateFleet(t, 1.5, 0, 0)
 	with := simulateFleet(t, 1.5, fleetBalancers, 0)
@@ -433,7 +433,7 @@
 		for _, r := range s.routers {
 			r.SetBalancers(fleetBalancers)
 		}
-		s.work, s.objective = meanProcessingTime, fleetObjective
+		s.meanProcessingTime, s.responseTimeObjective = meanProcessingTime, fleetObjective
 		s.tick()
 		s.offer(0.2 * fleetUpstreams * slotsPerUpstream / meanProcessingTime.Seconds())
 		s.run(duration)
@@ -532,7 +532,7 @@
 	}
 	s.AfterFunc(crash, func() { setRefuses(true) })
 	s.AfterFunc(restart, func() { setRefuses(false) })
-	s.work, s.objective = meanProcessingTime, fleetObjective
+	s.meanProcessingTime, s.responseTimeObjective = meanProcessingTime, fleetObjective
 	s.tick()
 	s.offer(0.3 * fleetUpstreams * slotsPerUpstream / meanProcessingTime.Seconds())
 	s.run(2 * restart)
--- a/internal/cookie/router/overdue.go
+++ b/internal/cookie/router/overdue.go
@@ -31,7 +31,7 @@
 }
 
 // pendingQueue holds pending answers in the order in which their packets were sent; processed
-// is how many at its front have reached the queue's age limit.
+// is how many at its front have reached the queue's age limit and are not yet removed.
 type pendingQueue struct {
 	pending   []pendingAnswer
 	processed int
@@ -54,7 +54,7 @@
 }
 
 // awaitAnswer queues the flow's pending answer. If the upstream is suspected, the answer
-// counts as overdue at once and does not occupy the upstream.
+// counts as overdue at once, and not towards the service's effectiveInFlight.
 func (f *flow) awaitAnswer(now time.Time) {
 	s := f.target.service
 	if f.opening {
@@ -78,7 +78,7 @@
 }
 
 // setOverdue sets whether the flow's pending answer is overdue, and updates the service's
-// count.
+// count of overdue answers.
 func (f *flow) setOverdue(overdue bool) {
 	if f.overdue == overdue {
 		return
--- a/internal/cookie/router/packet.go
+++ b/internal/cookie/router/packet.go
@@ -14,8 +14,9 @@
 	// sent it before.
 	Opening bool
 	Copy    uint32
-	Finish  bool
-	Reset   bool
+	// Finish and Reset are set if the packet ends the flow (FIN, RST).
+	Finish bool
+	Reset  bool
 	// Cookie is the cookie that the caller echoes, 0 for none.
 	Cookie uint32
 	// Sequence, Acknowledged and Length are the transport's sequence number, acknowledgment
@@ -87,16 +88,16 @@
 	// Waiting means that the opening is buffered until the link has capacity for another
 	// upload.
 	Waiting
-	// Overloaded means that the service exceeds its response time objective or its
-	// concurrency limit.
+	// Overloaded means that the service's predicted response time is too long for the route's
+	// objective, or that the service has reached its concurrency limit.
 	Overloaded
-	// Unresponsive means that the upstream leaves the packets of all balancers unanswered.
+	// Unresponsive means that the voters confirmed their suspicion of the upstream or its zone.
 	Unresponsive
-	// Evacuated means that all upstreams of the service are in evacuated availability
+	// Evacuated means that all ready upstreams of the service are in evacuated availability
 	// zones.
 	Evacuated
-	// Cold means that all upstreams of the service have just started and are at their cold
-	// rate limit.
+	// Cold means that all upstreams of the service that could get the flow are cold, and that
+	// each is at its cold rate limit or assigned to another balancer.
 	Cold
 	// Stray means that the packet neither belongs to a flow nor opens one.
 	Stray
@@ -124,7 +125,7 @@
 	// Incarnation identifies the upstream of a forwarded packet. It is also set if the flow is
 	// reset because of its upstream's state, or if its upstream has terminated.
 	Incarnation uint64
-	// Cookie is what both ends of the flow echo.
+	// Cookie is the cookie of a forwarded packet's upstream, which both ends of the flow echo.
 	Cookie uint32
 	// Revision, Sequence and Live are the inputs of the decision: the revision of the
 	// configuration, the sequence of the upstream's latest announcement, and whether a voter
@@ -136,6 +137,7 @@
 	// and the number of the service's pending openings and requests that are not overdue.
 	Predicted time.Duration
 	UnderWay  int
-	// Limit is the concurrency limit that UnderWay exceeds, 0 for other reasons.
+	// Limit is the concurrency limit that UnderWay has reached, 0 if the flow is not rejected for
+	// this limit.
 	Limit int
 }
--- a/internal/cookie/router/place.go
+++ b/internal/cookie/router/place.go
@@ -91,8 +91,8 @@
 	r.suspectLocally(now, f)
 }
 
-// suspectLocally suspects the upstream of a flow that got no answer, so that it gets no new
-// flows.
+// suspectLocally suspects the upstream of a flow that got no answer, so that new flows
+// avoid this upstream.
 func (r *Router) suspectLocally(now time.Time, f *flow) {
 	t := f.target
 	if r.settings.Off.Has(mechanism.Suspicion) || !t.noteUnanswered(now, f.sent) {
--- a/internal/cookie/router/pool.go
+++ b/internal/cookie/router/pool.go
@@ -26,7 +26,7 @@
 	slots int
 }
 
-// position is the location of an upstream in its pool, and its part of the pool's slots.
+// position is the location of an upstream in its pool, and the slots that it adds to the pool's.
 type position struct {
 	pool  *pool
 	list  poolList
--- a/internal/cookie/router/refused.go
+++ b/internal/cookie/router/refused.go
@@ -43,7 +43,8 @@
 	x.abandoned *= recentDecay
 }
 
-// mostAbandoned reports whether at least half of the checked openings were abandoned.
+// mostAbandoned reports whether at least half of the checked openings were abandoned. It is false
+// if fewer than minSample were checked.
 func (x *refusals) mostAbandoned() bool { return x.checked >= minSample && 2*x.abandoned >= x.checked }
 
 // detectAbandoned checks the openings that have reached the age abandonedAfter, and calls
--- a/internal/cookie/router/reset.go
+++ b/internal/cookie/router/reset.go
@@ -18,8 +18,8 @@
 	// Evidence is the time of the first unanswered packet, or when this balancer
 	// first observed that the upstream has terminated.
 	Evidence time.Time
-	// Voter is the voter that confirmed the upstream as unresponsive, empty for other
-	// reasons.
+	// Voter is the voter that confirmed the upstream as unresponsive, empty if Reason is not
+	// Unresponsive.
 	Voter string
 }
 
--- a/internal/cookie/router/router.go
+++ b/internal/cookie/router/router.go
@@ -44,8 +44,10 @@
 	settings Settings
 	revision uint64
 	routes   map[netip.AddrPort]route
-	targets  map[uint64]*target
-	cookies  map[uint32]*target
+	// targets holds the upstreams by incarnation. cookies holds them by cookie, and also holds
+	// former instances.
+	targets map[uint64]*target
+	cookies map[uint32]*target
 	// pools holds the ready upstreams of each service.
 	pools map[string]*pool
 	flows map[Flow]*flow
--- a/internal/cookie/router/router_test.go
+++ b/internal/cookie/router/router_test.go
@@ -121,7 +121,7 @@
 // Two upstreams of different services have the same cookie, and a flow is open at the earlier one.
 // Once the later upstream was announced, the flow's packets used to go there.
 func TestCookieCollisionExcludesTheLaterUpstream(t *testing.T) {
-	// The fold is linear: this incarnation has the same cookie as 1.
+	// The fold is linear: this incarnation has the same cookie as incarnation 1.
 	const colliding = uint64(1)<<32 | (1 ^ 0x9e3779b1)
 	require.Equal(t, router.Cookie(1, 0), router.Cookie(colliding, 0))
 	r := newRouter(t, target(1, "orders", "a"))
@@ -339,7 +339,7 @@
 }
 
 // All upstreams of a large pool but one are silent. Only a sample is compared for each flow, but
-// new flows must not go to dead upstreams.
+// new flows must not go to the silent upstreams.
 func TestLastHealthyUpstreamOfALargePoolIsFound(t *testing.T) {
 	targets := targetsInZones(500)
 	for i := range targets {
--- a/internal/cookie/router/service.go
+++ b/internal/cookie/router/service.go
@@ -23,7 +23,8 @@
 	// coldRate is the number of requests per second that a cold upstream may get, 0 for no
 	// limit.
 	coldRate float64
-	// overdue counts the pending openings and requests whose answer is late.
+	// overdue counts the pending openings and requests whose answer is late or whose upstream
+	// was suspected when they were sent.
 	overdue int
 	// openings and requests hold the pending answers until they are overdue. refusalChecks
 	// holds the pending answers to openings until the age abandonedAfter.
@@ -36,7 +37,8 @@
 	medianResponseTime time.Duration
 	// active are the upstreams with recent packets. Only these are processed ten times a
 	// second, a few of the thousands that a service may have.
-	active    []*target
+	active []*target
+	// responses is a buffer that compareResponseTimes reuses.
 	responses []*response.Tracker
 }
 
@@ -55,7 +57,7 @@
 }
 
 // compareResponseTimes finds the upstreams that are slower than others, and removes
-// upstreams without recent packets from the active ones.
+// upstreams without recent packets and answers from the active ones.
 func (s *service) compareResponseTimes(now time.Time) {
 	s.responses = s.responses[:0]
 	for _, t := range s.active {
@@ -145,8 +147,8 @@
 // SetBalancers sets how many balancers share the upstreams, 0 if unknown.
 func (r *Router) SetBalancers(n int) { r.balancers = n }
 
-// recordResponseTime records the response time of a request. For admission it is divided by
-// the upstream's slowness, since a slow upstream does not indicate how much capacity the
+// recordResponseTime records the response time of a request. For admission, the time is divided
+// by the upstream's slowness, since a slow upstream does not indicate how much capacity the
 // others have.
 func (r *Router) recordResponseTime(now time.Time, f *flow, class configuration.Class) {
 	t, took := f.target, now.Sub(f.sent)
--- a/internal/cookie/router/target.go
+++ b/internal/cookie/router/target.go
@@ -30,7 +30,7 @@
 	// cookieCollision is set if another upstream has the same cookie; the upstream then
 	// gets no new flows.
 	cookieCollision bool
-	// position is its location in the pool of its service.
+	// position is the upstream's location in the pool of its service.
 	position position
 	// openings counts the flows that await the completion of the handshake; requests counts the
 	// flows that await the answer to a request.
--- a/internal/cookie/router/upstreams.go
+++ b/internal/cookie/router/upstreams.go
@@ -29,7 +29,7 @@
 	}
 }
 
-// removeOthers removes all upstreams that are not listed.
+// removeOthers removes all upstreams except the given ones.
 func (r *Router) removeOthers(kept []view.Target) {
 	keep := make(map[uint64]bool, len(kept))
 	for _, x := range kept {
@@ -51,7 +51,7 @@
 	if t == nil {
 		t = &target{cookie: Cookie(x.Incarnation, x.Born)}
 		// Two upstreams with the same cookie cannot be distinguished: the later one gets no
-		// flow, so that it receives no packet of the other's flows.
+		// flows, so that all packets with the cookie belong to the earlier one.
 		t.cookieCollision = r.cookies[t.cookie] != nil
 		t.service = r.service(x.Service)
 		r.targets[x.Incarnation] = t
@@ -67,8 +67,8 @@
 	r.updatePool(t)
 }
 
-// endInstance records that an upstream has restarted. Packets of the old instance's flows
-// go to the new instance while any of them may be open; see successor.
+// endInstance records that an upstream has restarted. While flows of the old instance may be
+// open, their packets go to the new instance; see successor.
 func (r *Router) endInstance(now time.Time, t *target) {
 	t.Ended, t.endObserved = true, now
 	t.removeFromPool()
@@ -79,7 +79,7 @@
 }
 
 // successor returns the current instance of an upstream that has restarted, or nil if there is none
-// in the same service. Only the current instance knows which flows it holds: some flows with the
+// in the same service. Only the current instance knows which flows are open: some flows with the
 // old cookie were opened after the restart, before the restart was announced. The current instance
 // resets the other flows.
 func (r *Router) successor(t *target) *target {
