--- a/internal/cookie/follower/announcements.go
+++ b/internal/cookie/follower/announcements.go
@@ -54,8 +54,9 @@
 }
 
 // reachableVoters returns the polled voters that answer, and the unpolled voters whose state is at
-// most ContactLease old. Unpolled voters count because an upstream whose owner changes is announced
-// to the whole fleet again. The caller holds the lock.
+// most ContactLease old. Without the unpolled voters, upstreams would change owners whenever fewer
+// voters are polled, and each of them would be announced to the whole fleet again. The
+// caller holds the lock.
 func (f *Follower) reachableVoters() []owner.Voter {
 	now := f.settings.Clock()
 	var out []owner.Voter
--- a/internal/cookie/follower/fetcher.go
+++ b/internal/cookie/follower/fetcher.go
@@ -27,9 +27,9 @@
 	fetchBackoff    = 50 * time.Millisecond
 	maxFetchBackoff = time.Second
 	// unavailableAfter is how long a balancer may fail to get an announced configuration before it
-	// announces the revision to its followers, which then fetch it elsewhere. After an earlier
-	// announcement, the followers would request from the voters what this balancer is about to
-	// receive.
+	// announces the revision to its followers, which then fetch it elsewhere. If it
+	// announced the revision earlier, the followers would request from the voters what this
+	// balancer is about to receive.
 	unavailableAfter = time.Second
 )
 
--- a/internal/cookie/follower/follower.go
+++ b/internal/cookie/follower/follower.go
@@ -218,8 +218,8 @@
 	}
 	for a := range wanted {
 		if f.polled[a] == nil {
-			_, voter := f.voterSeen[a]
-			f.startPolling(a, voter)
+			_, isVoter := f.voterSeen[a]
+			f.startPolling(a, isVoter)
 		}
 	}
 }
@@ -317,9 +317,9 @@
 }
 
 // startPolling starts polling a source. The caller holds the lock.
-func (f *Follower) startPolling(address string, voter bool) {
+func (f *Follower) startPolling(address string, isVoter bool) {
 	ctx, cancel := context.WithCancel(f.ctx)
-	src := &source{isVoter: voter, stop: cancel}
+	src := &source{isVoter: isVoter, stop: cancel}
 	src.reporter = &reporter{
 		token: f.settings.Token, to: address, clock: f.settings.Clock, log: f.log, wake: make(chan struct{}, 1),
 		followerReport: func() []members.Heartbeat { return f.followerReport(address) },
@@ -333,7 +333,7 @@
 	go func() {
 		defer f.running.Done()
 		defer cancel()
-		if voter {
+		if isVoter {
 			f.pollVoter(ctx, address, src)
 		} else {
 			f.pollParent(ctx, address)
@@ -398,7 +398,7 @@
 	return most
 }
 
-// setFleetSize records how many balancers a source knows.
+// setFleetSize records how many balancers a source reported.
 func (f *Follower) setFleetSize(address string, balancers int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/cookie/follower/follower_test.go
+++ b/internal/cookie/follower/follower_test.go
@@ -137,8 +137,8 @@
 	return startFollowerHolding(t, 1, addresses...)
 }
 
-// startFollowerHolding starts a follower that already holds a revision of the configuration, none for
-// 0.
+// startFollowerHolding starts a follower that already holds a revision of the configuration; 0
+// means none.
 func startFollowerHolding(t *testing.T, revision uint64, addresses ...string) *handler {
 	h := &handler{notices: map[string]int{}, current: configuration.Configuration{Revision: revision}}
 	f := follower.New(follower.Settings{Token: "group", From: "balancer", Clock: time.Now}, h, hclog.NewNullLogger())
@@ -261,10 +261,10 @@
 // All VMs lose power, and a voter with an empty disk answers first. Any one response used to end
 // the startup phase: balancers stayed unready for seconds although voters answered.
 func TestVoterWithEmptyDiskDoesNotEndStartup(t *testing.T) {
-	self, zone := nonRootBalancer()
+	self, heartbeats := nonRootBalancer()
 	empty, complete := startVoter(t, 1), startVoter(t, 2)
 	for _, v := range []*voter{empty, complete} {
-		v.feed.RecordFollowers(time.Now(), zone)
+		v.feed.RecordFollowers(time.Now(), heartbeats)
 	}
 	complete.feed.Announce(time.Now(), upstream.Upstream{Identity: upstream.Identity{Incarnation: 5}, Sequence: 1}, 0)
 	complete.publish(7)
@@ -277,12 +277,12 @@
 // All VMs of a large fleet lose power. Each balancer used to request all upstreams from every seed:
 // balancers became ready 265 ms after the first voter, the earliest of them after 97 ms.
 func TestStartupPollsOneVoter(t *testing.T) {
-	self, zone := nonRootBalancer()
+	self, heartbeats := nonRootBalancer()
 	var voters []*voter
 	var addresses []string
 	for life := range uint64(3) {
 		v := startVoter(t, life+1)
-		v.feed.RecordFollowers(time.Now(), zone)
+		v.feed.RecordFollowers(time.Now(), heartbeats)
 		v.feed.Announce(time.Now(), upstream.Upstream{Identity: upstream.Identity{Incarnation: 5}, Sequence: 1}, 0)
 		v.publish(7)
 		voters = append(voters, v)
--- a/internal/cookie/follower/parent.go
+++ b/internal/cookie/follower/parent.go
@@ -54,6 +54,8 @@
 	f.reconcile(now)
 }
 
+// pollParentOnce polls a balancer and applies the response. It reports whether the response
+// contained updates.
 func (f *Follower) pollParentOnce(ctx context.Context, client *rpc.Client, address string) (bool, error) {
 	q := f.parentRequest(address)
 	call, cancel := context.WithTimeout(ctx, parentHold+parentGrace)
--- a/internal/cookie/follower/reporter.go
+++ b/internal/cookie/follower/reporter.go
@@ -21,9 +21,10 @@
 	reportInterval = 20 * time.Millisecond
 	// reportTimeout bounds one report; evidence older than that is worthless.
 	reportTimeout = 300 * time.Millisecond
-	// maxEvents bounds the events of one report, at 40 bytes each.
+	// maxEvents is the number of events of one report, at 40 bytes each, above which unanswered
+	// packets are dropped.
 	maxEvents = 64
-	// maxAnsweredEvents bounds a report that consists of liveness reports only.
+	// maxAnsweredEvents bounds a report whose liveness reports make it longer than maxEvents.
 	maxAnsweredEvents = 2 * maxEvents
 	// firstFollowerReport is the delay of the first follower report to a new parent or voter. It is
 	// short so that restarted voters relearn the fleet soon.
@@ -50,9 +51,9 @@
 	wake           chan struct{}
 }
 
-// enqueue adds a balancer's events to the next report. Above the limit, the oldest unanswered
-// packets are dropped first, since the loss of a liveness report could make a live upstream
-// unresponsive.
+// enqueue adds a balancer's events to the next report. If there are more than maxEvents, the excess
+// oldest events are dropped, except for liveness reports: the loss of a liveness report could make
+// a live upstream unresponsive. More than maxAnsweredEvents are never kept.
 func (r *reporter) enqueue(from string, events []evidence.Event) {
 	now := r.clock()
 	r.mu.Lock()
--- a/internal/cookie/follower/retry.go
+++ b/internal/cookie/follower/retry.go
@@ -7,14 +7,14 @@
 )
 
 const (
-	// minRetryPause and maxRetryPause bound the pause after a failed call while another voter
-	// answers.
+	// minRetryPause and maxRetryPause bound the pause after a failed call while the balancer has
+	// a parent or another voter answers.
 	minRetryPause = 25 * time.Millisecond
 	maxRetryPause = 200 * time.Millisecond
-	// isolatedRetryPause and isolatedDialTimeout apply while no voter answers. After a full power
-	// loss, requests fail until the first response arrives, and a connection attempt made before the
-	// voter is up hangs until its timeout. With these values balancers are ready 20 ms after the
-	// first voter starts instead of 67 ms (mean of 20 starts).
+	// isolatedRetryPause and isolatedDialTimeout apply while the balancer has no parent and no
+	// voter answers. After a full power loss, requests fail until the first response arrives, and a
+	// connection attempt made before the voter is up hangs until its timeout. With these values
+	// balancers are ready 20 ms after the first voter starts instead of 67 ms (mean of 20 starts).
 	isolatedRetryPause  = 10 * time.Millisecond
 	isolatedDialTimeout = 30 * time.Millisecond
 	// isolatedDialInterval is the least mean time between connection attempts while no voter answers,
--- a/internal/cookie/follower/voters.go
+++ b/internal/cookie/follower/voters.go
@@ -93,11 +93,11 @@
 
 // dropIfExpired stops polling a voter that has failed for voterExpiry and that no source has listed
 // for as long. It reports whether it stopped.
-func (f *Follower) dropIfExpired(address string, src *source, failing time.Duration) bool {
+func (f *Follower) dropIfExpired(address string, src *source, failingFor time.Duration) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.settings.Clock()
-	if failing < voterExpiry || now.Sub(f.voterSeen[address]) < voterExpiry || f.polled[address] != src {
+	if failingFor < voterExpiry || now.Sub(f.voterSeen[address]) < voterExpiry || f.polled[address] != src {
 		return false
 	}
 	delete(f.polled, address)
