--- a/internal/overload/admission/admission.go
+++ b/internal/overload/admission/admission.go
@@ -23,7 +23,7 @@
 	// one do not mean that a queue has doubled.
 	growthOffset = 4
 	// minGrowth and maxGrowth bound the extrapolation from the load at the recorded responses
-	// to the current load, which none of them may reflect.
+	// to the current load, which the responses may not reflect yet.
 	minGrowth, maxGrowth = 0.5, 3
 	// slowestShare is the least prediction, as a share of the slowest response that is not
 	// ignored. Upstreams with full queues may refuse requests at once, and the more they
@@ -36,10 +36,13 @@
 // rejected. Ordinary flows leave headroom for the slowest requests, which take more than twice the
 // mean; urgent flows are rejected only when no other is admitted.
 //
-// The shares of requests in time, with 14 upstreams of two slots, in bursts of three and four times
-// the ordinary load: 0.90 and 0.75 with these values, 0.89 and 0.58 with ordinary shares of 0.5 and
-// 0.6, 0.66 and 0.50 if all flows are admitted. In bursts of two and a half times: 0.98 with these
-// values, and 0.98 if all flows are admitted.
+// With 14 upstreams of two slots, in bursts of a multiple of the ordinary load, the share of
+// requests in time was:
+//
+//	                              2.5 times  3 times  4 times
+//	these values                  0.98       0.90     0.75
+//	ordinary shares 0.5 and 0.6              0.89     0.58
+//	all flows admitted            0.98       0.66     0.50
 const (
 	ordinaryFirst, ordinaryAll = 0.42, 0.48
 	urgentFirst, urgentAll     = 0.6, 0.8
@@ -48,8 +51,8 @@
 const (
 	// overloadThreshold is the predicted response time, as a share of the objective, from
 	// which a service counts as overloaded. Upstreams that are busy nearly all the time still
-	// respond in half of the objective. Rejecting from there on left 0.5 % of the requests
-	// unserved in a burst of four times the load; without rejections all were served.
+	// respond in half of the objective. In a burst of four times the load, rejections from half
+	// of the objective on left 0.5 % of the requests unserved; without rejections all were served.
 	overloadThreshold = 0.8
 	// overloadHold is how long a service still counts as overloaded after its predicted
 	// response time, as a share of the objective, has fallen below ordinaryFirst. Only
--- a/internal/overload/concurrency/concurrency.go
+++ b/internal/overload/concurrency/concurrency.go
@@ -19,11 +19,11 @@
 	// costs as much as a request.
 	ordinaryPerSlot = 3.0
 	// urgentPerSlot is higher because requests of open flows count towards the limit but cannot be
-	// rejected. With ordinaryPerSlot for both, they alone would reach the limit, and urgent flows
-	// would be rejected.
+	// rejected. With ordinaryPerSlot for both, requests of open flows alone would reach the limit,
+	// and urgent flows would be rejected.
 	urgentPerSlot = 8.0
-	// minLimit is the least limit of a balancer. Where many balancers share few slots, each has
-	// several requests in flight at times, and mostly none.
+	// minLimit is the least limit of a balancer. Where many balancers share few slots, each
+	// balancer has no request in flight most of the time, and several at times.
 	minLimit = 6
 	// averageTimeConstant is the time constant of the average of in-flight requests. Their number
 	// at one balancer is small and sometimes doubles by chance for a few milliseconds. Without
@@ -62,8 +62,8 @@
 	updated time.Time
 }
 
-// Update adds the current number to the average, and reports whether both the number and the
-// average have reached the limit.
+// Update adds the current number of in-flight requests to the average, and reports whether both
+// the number and the average have reached the limit.
 func (i *InFlightAverage) Update(now time.Time, inFlight, limit int) bool {
 	interval := now.Sub(i.updated).Seconds() / averageTimeConstant.Seconds()
 	weight := interval - interval*interval/2
--- a/internal/overload/meter/meter.go
+++ b/internal/overload/meter/meter.go
@@ -29,8 +29,8 @@
 }
 
 // decayParts is the number of decays per time constant. Between two decays the rate is too high
-// by at most 2 %; in return, several hundred new flows a second do not compute an exponential
-// each.
+// by at most 2 %; in return, several hundred new flows a second do not each compute an
+// exponential.
 const decayParts = 50
 
 func (m *Meter) decay(now time.Time) {
--- a/internal/overload/pending/pending.go
+++ b/internal/overload/pending/pending.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// capacity bounds the buffered packets: about a hundred callers send as many in a
-	// second. At no more than 1.3 kB each they take 0.7 MB.
+	// capacity bounds the buffered packets: about a hundred callers send as many packets in
+	// a second. At no more than 1.3 kB each they take 0.7 MB.
 	capacity = 512
 	// maxAge is how long a packet is buffered: callers give up a handshake after 1.4 s,
 	// and retransmit a packet after 1.6 s at the latest.
--- a/internal/overload/uplink/uplink.go
+++ b/internal/overload/uplink/uplink.go
@@ -39,7 +39,7 @@
 	inactivityTimeout = 450 * time.Millisecond
 	// maxBurst is the number of bytes that may leave at once after a pause.
 	maxBurst = 2 * 1244
-	// maxQueuedWindows bounds the queue: twice the windows that leave the link within
+	// maxQueuedWindows bounds the queue: twice the windows that leave a link of 2 Mbit/s within
 	// maxQueueDelay. Further packets are dropped, as the link's own queue would do.
 	maxQueuedWindows = 4
 )
@@ -76,8 +76,9 @@
 	lastPacket  map[K]time.Time
 	queue       []Packet[K, T]
 	queuedBytes int
-	tokens      float64
-	lastRefill  time.Time
+	// tokens is the number of bytes that could be sent at lastRefill.
+	tokens     float64
+	lastRefill time.Time
 }
 
 // New returns the Pacer of a link with the given bandwidth.
@@ -140,7 +141,8 @@
 // Remove ends an upload, which no longer counts as active.
 func (u *Pacer[K, T]) Remove(flow K) { delete(u.lastPacket, flow) }
 
-// Enqueue queues a packet of an upload, which may have been admitted by another balancer.
+// Enqueue queues a packet of an upload and records the upload as active. Another balancer may have
+// admitted the upload.
 func (u *Pacer[K, T]) Enqueue(now time.Time, p Packet[K, T]) Verdict {
 	u.lastPacket[p.Flow] = now
 	for _, q := range u.queue {
@@ -156,7 +158,7 @@
 	return Queued
 }
 
-// rate returns the pacing rate of all uploads in bytes per second.
+// rate returns the pacing rate of all uploads together, in bytes per second.
 func (u *Pacer[K, T]) rate(now time.Time) float64 {
 	wanted := float64(max(u.Active(now), 1)) * window / pacingInterval.Seconds()
 	return min(wanted, u.free(now))
--- a/internal/overload/urgency/urgency_test.go
+++ b/internal/overload/urgency/urgency_test.go
@@ -9,10 +9,10 @@
 	"wasabideal/internal/overload/urgency"
 )
 
-// A service has routes of three priorities: the best one receives one probe a second, the second
-// one orders, the last one feeds. When orders were urgent only if no route had a better priority,
-// 55 % of the orders were rejected in a burst of six times the load. The feeds, which have half the
-// value of orders, were served.
+// A service has routes of three priorities: the best one receives one probe a second, the middle
+// one receives orders, and the last one receives feeds. When orders were urgent only if no route
+// had a better priority, 55 % of the orders were rejected in a burst of six times the load. The
+// feeds, which have half the value of orders, were served.
 func TestRoutesWithoutDemandDoNotAffectUrgency(t *testing.T) {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	var u urgency.Urgency
