--- a/internal/cookie/router/detection_test.go
+++ b/internal/cookie/router/detection_test.go
@@ -271,7 +271,8 @@
 	}
 }
 
-// startRequest starts a client's next request, and counts it if it misses its deadline.
+// startRequest starts a client's next request. The request counts as unanswered if it misses its
+// deadline.
 func (s *poolSimulation) startRequest(c *client) {
 	c.request++
 	c.started, c.pending = s.Now, true
@@ -374,12 +375,12 @@
 	if s.dead[upstream] || s.packetLost() || s.packetLost() {
 		return
 	}
-	s.whenScheduled(upstream, func() { s.work(c, request, upstream) })
+	s.whenScheduled(upstream, func() { s.process(c, request, upstream) })
 }
 
-func (s *poolSimulation) work(c *client, request int, upstream uint64) {
-	work := time.Duration((0.5 + s.random.ExpFloat64()/2) * float64(poolProcessingTime) * max(s.slow[upstream], 1))
-	s.AfterFunc(work+transit, func() { s.whenScheduled(0, func() { s.answer(c, request, upstream) }) })
+func (s *poolSimulation) process(c *client, request int, upstream uint64) {
+	took := time.Duration((0.5 + s.random.ExpFloat64()/2) * float64(poolProcessingTime) * max(s.slow[upstream], 1))
+	s.AfterFunc(took+transit, func() { s.whenScheduled(0, func() { s.answer(c, request, upstream) }) })
 }
 
 func (s *poolSimulation) answer(c *client, request int, upstream uint64) {
--- a/internal/cookie/router/router_test.go
+++ b/internal/cookie/router/router_test.go
@@ -306,8 +306,8 @@
 	return targets
 }
 
-// 20 balancers of a zone open flows at 600 upstreams, and some flows end at once. Only a sample of
-// the upstreams is compared for each flow, but no upstream may get twice the flows of others.
+// 20 balancers open flows at the 600 upstreams of their zone, and some flows end at once. Only a
+// sample of the upstreams is compared for each flow, but no upstream may get twice the flows of others.
 func TestLargePoolStaysBalanced(t *testing.T) {
 	const balancers, each = 20, 15_000
 	flows := map[uint64]int{}
--- a/internal/overload/backlog/backlog_test.go
+++ b/internal/overload/backlog/backlog_test.go
@@ -44,8 +44,9 @@
 func TestQueuedUploadsAreNotRejected(t *testing.T) {
 	const (
 		uploads = 400
-		every   = 300
-		lasts   = 280
+		// every and lasts are in milliseconds, as are all times below.
+		every = 300
+		lasts = 280
 	)
 	rejected := func(wait bool) int {
 		link := uplink.New[int, string](250_000)
