--- a/internal/cookie/router/detection_test.go
+++ b/internal/cookie/router/detection_test.go
@@ -23,12 +23,12 @@
 // Parameters of the simulated pool: callers keep flows open, send requests on them one
 // after another, and retransmit a packet after 0.2, 0.6 and 1.4 s.
 const (
-	poolBalancers = 7
-	poolUpstreams = 14
-	poolCallers   = 300
-	poolThinkTime = 700 * time.Millisecond
-	poolDeadline  = 1500 * time.Millisecond
-	poolWork      = 20 * time.Millisecond
+	poolBalancers      = 7
+	poolUpstreams      = 14
+	poolCallers        = 300
+	poolThinkTime      = 700 * time.Millisecond
+	poolDeadline       = 1500 * time.Millisecond
+	poolProcessingTime = 20 * time.Millisecond
 	// voterTransit is the transit time of a report to a voter, and of suspicions back.
 	voterTransit = 3 * time.Millisecond
 )
@@ -133,8 +133,8 @@
 
 func (s *poolSimulation) packetLost() bool { return s.random.Float64() < s.loss }
 
-// sendToBalancer delivers a packet to a balancer, or loses it. A stalled balancer receives it
-// after the stall.
+// sendToBalancer delivers a packet to a balancer, or loses it. A stalled balancer receives the
+// packet after the stall.
 func (s *poolSimulation) sendToBalancer(c *client, p router.Packet, then func(router.Verdict)) {
 	if s.packetLost() {
 		return
@@ -271,7 +271,8 @@
 	}
 }
 
-// startRequest starts a client's next request, and counts it if it misses its deadline.
+// startRequest starts a client's next request. The request counts as unanswered if it misses its
+// deadline.
 func (s *poolSimulation) startRequest(c *client) {
 	c.request++
 	c.started, c.pending = s.Now, true
@@ -359,8 +360,8 @@
 // starve starves an upstream's process of CPU, or all callers if id is 0.
 func (s *poolSimulation) starve(id uint64, lasts time.Duration) { s.starved[id] = s.Now.Add(lasts) }
 
-// whenScheduled runs a function as soon as an upstream's process gets CPU, or the callers if id
-// is 0.
+// whenScheduled runs a function as soon as the process of an upstream gets CPU, or that of all
+// callers if id is 0.
 func (s *poolSimulation) whenScheduled(id uint64, do func()) {
 	if !s.Now.Before(s.starved[id]) {
 		do()
@@ -374,12 +375,12 @@
 	if s.dead[upstream] || s.packetLost() || s.packetLost() {
 		return
 	}
-	s.whenScheduled(upstream, func() { s.work(c, request, upstream) })
+	s.whenScheduled(upstream, func() { s.process(c, request, upstream) })
 }
 
-func (s *poolSimulation) work(c *client, request int, upstream uint64) {
-	work := time.Duration((0.5 + s.random.ExpFloat64()/2) * float64(poolWork) * max(s.slow[upstream], 1))
-	s.AfterFunc(work+transit, func() { s.whenScheduled(0, func() { s.answer(c, request, upstream) }) })
+func (s *poolSimulation) process(c *client, request int, upstream uint64) {
+	took := time.Duration((0.5 + s.random.ExpFloat64()/2) * float64(poolProcessingTime) * max(s.slow[upstream], 1))
+	s.AfterFunc(took+transit, func() { s.whenScheduled(0, func() { s.answer(c, request, upstream) }) })
 }
 
 func (s *poolSimulation) answer(c *client, request int, upstream uint64) {
@@ -465,7 +466,7 @@
 // narrow links, which batch what they relay. A timeout for refutations of 60 ms suffices for direct
 // polls, but reset flows of live upstreams behind relays.
 func TestRelayedRefutationsArriveInTime(t *testing.T) {
-	// With a limit of 60 ms, seed 353 reset a flow of a live upstream.
+	// With a timeout of 60 ms, seed 353 reset a flow of a live upstream.
 	for _, seed := range append([]uint64{353}, lo.RangeFrom(uint64(0), *seeds)...) {
 		s := newPoolSimulation(t, seed, true)
 		s.relays, s.relayDelayMax = 2, 75*time.Millisecond
@@ -480,7 +481,7 @@
 	}
 }
 
-// Guards against reports of unanswered packets that fill the links to the voters.
+// Reports of unanswered packets must not fill the links to the voters.
 func TestReportsAreRateLimited(t *testing.T) {
 	r := newRouter(t, target(1, "orders", "a"))
 	for n := range 500 {
