--- a/internal/control/agreement/agreement_test.go
+++ b/internal/control/agreement/agreement_test.go
@@ -35,7 +35,8 @@
 	network     []envelope
 	loss        float64
 	partitioned map[string]bool
-	leaders     map[uint64]string
+	// leaders holds the id of each term's leader, by term.
+	leaders map[uint64]string
 	// committed holds the first entry that any voter applied, by index.
 	committed map[uint64]agreement.Entry
 	// results holds the answers to proposed changes, by change key.
@@ -276,7 +277,8 @@
 	return nil
 }
 
-// propose proposes a change at a voter, which returns an error if it is not the leader.
+// propose proposes a change at a voter and returns an error if the voter is not the leader. It
+// does nothing if the voter is stopped.
 func (c *cluster) propose(n *node, key string, expect uint64, preset string) error {
 	if !n.up {
 		return nil
@@ -305,7 +307,7 @@
 	n.reduce(agreement.Event{Compact: data})
 }
 
-// heal restarts all voters, ends all partitions and checks that they converge.
+// heal restarts the stopped voters, ends all partitions and checks that all voters converge.
 func (c *cluster) heal() {
 	c.loss = 0
 	clear(c.partitioned)
--- a/internal/control/agreement/durable.go
+++ b/internal/control/agreement/durable.go
@@ -67,7 +67,7 @@
 	return fmt.Sprintf("log entry %d leaves a gap: expected index %d or lower", e.Index, e.Expected)
 }
 
-// Put truncates the log before e.Index and appends e.
+// Put removes the entries from e.Index on and appends e.
 func (p *PersistentState) Put(e Entry) error {
 	next := p.Snapshot.Index + uint64(len(p.Entries)) + 1
 	if e.Index > next {
--- a/internal/control/agreement/failures_test.go
+++ b/internal/control/agreement/failures_test.go
@@ -125,8 +125,8 @@
 }
 
 // Two changes based on revision 1 race. Both are resent after a compaction, a restart of all
-// voters and a change of leader, by which an answer stored outside the replicated state is
-// lost. Only one change may become revision 2, and each change key has one answer.
+// voters and a change of leader. An answer stored outside the replicated state would be lost
+// by then. Only one change may become revision 2, and each change key has one answer.
 func TestConcurrentAndRetriedChangesGetOneAnswerEach(t *testing.T) {
 	c := bootstrappedCluster(t)
 	leader := c.leader()
--- a/internal/control/agreement/members.go
+++ b/internal/control/agreement/members.go
@@ -93,8 +93,8 @@
 // removeUnreachable removes the voter that has been unreachable the longest, so
 // that a deleted VM does not count towards the majority forever. A removed voter that
 // returns is added again. Enough voters stay in the list to retain a majority after
-// Tolerate losses: while two of six voters are partitioned for some seconds, the
-// loss of two disks among the other four must not be fatal.
+// Tolerate losses. If Tolerate is 2 and two of six voters are partitioned for some
+// seconds, the loss of two disks among the other four must not be fatal.
 func (a *Node) removeUnreachable(now time.Time) {
 	if a.quorumOf(len(a.voting())-1)+a.settings.Tolerate > len(a.voting())-1 {
 		return
--- a/internal/control/agreement/members_test.go
+++ b/internal/control/agreement/members_test.go
@@ -46,7 +46,7 @@
 }
 
 // A voter is removed during a partition and returns. It still has the old list and
-// requests votes, which no other voter grants, and would never vote again.
+// requests votes. No other voter grants them, and the removed voter would never vote again.
 func TestPartitionedVotersRejoinAfterRemoval(t *testing.T) {
 	c := bootstrappedCluster(t)
 	c.add("v4")
