--- a/internal/control/audit/audit.go
+++ b/internal/control/audit/audit.go
@@ -23,7 +23,7 @@
 	Refused ledger.Verdict = "Refused"
 )
 
-// Line is one line of the trail; Index is the log index of the change.
+// Line is one line of the trail; Index is the log index of the change, 0 for a denied call.
 type Line struct {
 	Index uint64
 	ledger.Record
