--- a/internal/control/feed/feed.go
+++ b/internal/control/feed/feed.go
@@ -74,7 +74,7 @@
 	From string
 	// Doubts is the DoubtsVersion that the balancer received last.
 	Doubts uint64
-	// Self describes the polling balancer if others may follow it.
+	// Self describes the polling balancer if other balancers may follow it.
 	Self *member.Member `cbor:",omitempty"`
 	// Fleet is the FleetVersion that the balancer received last in this Life.
 	Fleet uint64
@@ -90,7 +90,8 @@
 	// Revision is the revision of the newest configuration.
 	Revision uint64
 	// Life identifies one run of the voter's process; a restart changes it.
-	Life    uint64
+	Life uint64
+	// Version is the version of the voter's directory after Notices.
 	Version uint64
 	Notices []directory.Notice
 	// Encoded holds all notices in a form that is encoded once for many balancers.
--- a/internal/control/feed/feed_test.go
+++ b/internal/control/feed/feed_test.go
@@ -239,13 +239,14 @@
 }
 
 // A starting balancer polls one voter. The voter sent only the upstreams that announce themselves to
-// that voter, the upstreams of its zone. For a second the balancer knew only a fifth of the upstreams.
+// that voter, which are the upstreams of the voter's zone. For a second the balancer knew only a fifth
+// of the upstreams.
 func TestStartingBalancersReceiveAllUpstreams(t *testing.T) {
 	f := newFeed()
 	f.SetRemoteSource(remoteSource{upstreams: 10, calls: new(int)})
 	f.Announce(epoch, announced(1), 0)
 	require.Equal(t, 11, noticeCount(t, f, startingRequest("a")))
-	require.Equal(t, 1, noticeCount(t, f, feed.Request{Encoded: true, Self: self("b1", "a")}), "a balancer that is not starting receives them from the other voters")
+	require.Equal(t, 1, noticeCount(t, f, feed.Request{Encoded: true, Self: self("b1", "a")}), "a balancer that is not starting receives the other upstreams from the other voters")
 }
 
 // 300 balancers start within seconds. A voter encoded and sent all 3,000 upstreams for each of them,
--- a/internal/control/feed/reports.go
+++ b/internal/control/feed/reports.go
@@ -18,7 +18,8 @@
 const ReportsMethod = "Feed.Reports"
 
 // suspicionsIntervalPerBalancer, times the number of polling balancers, is the minimum time between
-// two rounds of responses with suspicions: 44 balancers together get at most 500 responses a second.
+// two rounds of responses with suspicions. All balancers together thus get at most 500 responses a
+// second; with 44 balancers, the interval is 88 ms.
 const suspicionsIntervalPerBalancer = 2 * time.Millisecond
 
 // pollExpiry is how long after its last poll a balancer counts as active. It exceeds the time for
