--- a/internal/control/ledger/ledger.go
+++ b/internal/control/ledger/ledger.go
@@ -20,8 +20,8 @@
 // Change is a change requested by an operator.
 type Change struct {
 	ChangeKey string
-	// ExpectRevision is the revision that the change is based on: that of the configuration
-	// or, for Evacuate, that of the zone's evacuation state.
+	// ExpectRevision is the revision that the change is based on: the configuration's revision
+	// or, for Evacuate, the revision of the zone's evacuation state.
 	ExpectRevision uint64
 	// UsePreset names the preset to put in force.
 	UsePreset string
@@ -160,7 +160,7 @@
 }
 
 // RosterChange replaces the list of balancers that store the idempotency keys of requests, or
-// records that the transfer of these keys from the previous list is complete.
+// records that the transfer of these keys from the previous list is complete (Settle).
 type RosterChange struct {
 	ExpectVersion uint64
 	Members       []roster.Member
