--- a/internal/control/referral/referral.go
+++ b/internal/control/referral/referral.go
@@ -15,8 +15,9 @@
 // restarted no longer has the upstreams that were referred to it before.
 const decayInterval = 30 * time.Second
 
-// maxPerBalancer limits the upstreams that one voter refers to one balancer per decay
-// interval. It is three times the mean of a fleet of 3,000 upstreams and 300 balancers. Voters
+// maxPerBalancer is the count of referred upstreams at which a voter refers no more upstreams to
+// a balancer, until decay halves the count. The limit is three times the mean number of upstreams
+// per balancer in a fleet of 3,000 upstreams and 300 balancers. Voters
 // that have just started know few balancers; without the limit, a single balancer received
 // 190 upstreams.
 const maxPerBalancer = 30
--- a/internal/control/referral/referral_test.go
+++ b/internal/control/referral/referral_test.go
@@ -69,7 +69,7 @@
 
 // After a restart, all voters knew only nine balancers of a zone, and only one of the nine was not a
 // root. They referred all upstreams to that balancer, and the announcements of 190 upstreams saturated
-// its link. This test has five balancers.
+// its link. This test has five balancers, of which four are roots.
 func TestReferralsPerBalancerAreLimited(t *testing.T) {
 	r, referred := referral.New(shape), 0
 	for i := range uint64(200) {
