--- a/internal/control/rostermanager/rostermanager.go
+++ b/internal/control/rostermanager/rostermanager.go
@@ -25,7 +25,7 @@
 type Report struct {
 	Member  roster.Member
 	Leaving bool
-	// Moved is the epoch up to which the balancer has copied its records.
+	// Moved is the roster epoch up to which the balancer has copied its records of idempotency keys.
 	Moved uint64
 }
 
@@ -96,7 +96,8 @@
 	return ms
 }
 
-// settled reports whether the previous list is no longer needed, because every slot is settled.
+// settled reports whether the previous list is no longer needed, because every hash slot (see
+// package ownership) is settled.
 func (mgr *Manager) settled(now time.Time, r roster.Roster) bool {
 	v := roster.NewView(r)
 	for slot := range ownership.Slots {
