--- a/internal/control/upstreams/upstreams.go
+++ b/internal/control/upstreams/upstreams.go
@@ -67,7 +67,8 @@
 	Self string
 	// Known returns the RPC addresses of all voters that receive announcements. VotingPeers
 	// returns the addresses of the voters that are not learners: a majority of them must store a
-	// departure. It returns none while there is no list of voters. Both may include this voter.
+	// departure. VotingPeers returns none while this voter has no list of voters. Both lists may
+	// include this voter.
 	Known, VotingPeers func() []string
 	// Shape is the shape of the balancer trees to which upstreams are referred.
 	Shape tree.Shape
@@ -134,8 +135,8 @@
 	u.record(now, a)
 }
 
-// logRejected logs an announcement that another process accepted and this voter rejects. The
-// rate is limited, since a faulty announcer may send hundreds.
+// logRejected logs an announcement that another process accepted and forwarded, and that this
+// voter rejects. The rate is limited, since a faulty announcer may send hundreds.
 func (u *Receiver) logRejected(now time.Time, a upstream.Upstream) {
 	u.mu.Lock()
 	suppressed, ok := u.limiter.Allow(now)
@@ -205,11 +206,11 @@
 	}
 }
 
-// Announce handles an upstream's announcement and returns once it may be
-// acknowledged. A majority of the voters must first store a departure: if only this voter
-// had stored an acknowledged departure and then failed, balancers would still send new
-// flows to the upstream. A departure is published to balancers even if it cannot be
-// acknowledged.
+// Announce handles an upstream's announcement and returns once it may be acknowledged. cold is the
+// remaining time of the upstream's slow start. A majority of the voters must first store a
+// departure: if only this voter had stored an acknowledged departure and then failed, balancers
+// would still send new flows to the upstream. A departure is published to balancers even if it
+// cannot be acknowledged.
 func (u *Receiver) Announce(ctx context.Context, a upstream.Upstream, cold time.Duration) error {
 	if a.State != upstream.Withdrawn && !u.feed.Configured(a.Service) {
 		return &UnknownServiceError{Service: a.Service}
--- a/internal/control/upstreams/upstreams_test.go
+++ b/internal/control/upstreams/upstreams_test.go
@@ -31,7 +31,7 @@
 	upstreams *upstreams.Receiver
 }
 
-// voters returns n voters. The last of them, as many as unreachable says, do not listen.
+// voters returns n voters; the last ones do not listen, and unreachable is their number.
 func voters(t *testing.T, n, unreachable int) []voter {
 	var addresses []string
 	var listeners []rpctest.Server
@@ -85,7 +85,7 @@
 	var unshared *upstreams.UnsharedError
 	require.ErrorAs(t, vs[0].upstreams.Announce(t.Context(), drainingUpstream(), 0), &unshared)
 	notices, _ := vs[0].feed.Notices(time.Now())
-	require.Len(t, notices, 1, "reachable balancers still receive it")
+	require.Len(t, notices, 1, "reachable balancers still receive the departure")
 }
 
 // A voter starts with an empty disk and receives no message from another voter, so that it knows only
@@ -101,7 +101,7 @@
 	var unlisted *upstreams.UnlistedError
 	require.ErrorAs(t, u.Announce(t.Context(), drainingUpstream(), 0), &unlisted)
 	notices, _ := f.Notices(time.Now())
-	require.Len(t, notices, 1, "reachable balancers still receive it")
+	require.Len(t, notices, 1, "reachable balancers still receive the departure")
 	ready := drainingUpstream()
 	ready.Incarnation, ready.State = 8, upstream.Ready
 	require.NoError(t, u.Announce(t.Context(), ready, 0), "a ready upstream needs no majority")
@@ -164,8 +164,8 @@
 }
 
 // All balancers of a large fleet restart, and their upstreams announce themselves to any voter. Each
-// of these voters published the upstream, and later published that it had lost contact with the
-// upstream. Each balancer received six notices per upstream.
+// of these voters published the upstream, and later published that the voter had lost contact
+// with the upstream. Each balancer received six notices per upstream.
 func TestAnnouncementIsForwardedToVoterOfItsZone(t *testing.T) {
 	all := voters(t, 2, 0)
 	withBalancers(all[1], 9)
@@ -208,5 +208,5 @@
 	notices, _ := all[0].feed.Notices(time.Now())
 	require.Len(t, notices, 1)
 	require.Equal(t, uint64(9), notices[0].Upstream.Incarnation)
-	require.GreaterOrEqual(t, notices[0].Age, time.Second, "the age counts from when the balancer received it")
+	require.GreaterOrEqual(t, notices[0].Age, time.Second, "the age counts from when the balancer received the announcement")
 }
