--- a/internal/control/voter/evacuate.go
+++ b/internal/control/voter/evacuate.go
@@ -12,7 +12,7 @@
 // abandonCheckDelay is the delay before an evacuation order is proposed. A voter that resumes
 // after a stall reads orders whose callers have timed out and may have sent a contrary order to
 // another voter. Within the delay, the RPC server detects that the caller has closed the
-// connection, which takes two scheduler rounds.
+// connection. The detection takes two scheduler rounds.
 const abandonCheckDelay = 20 * time.Millisecond
 
 // AbandonedError reports that the caller of an evacuation order disconnected before the order was proposed.
--- a/internal/control/voter/leadership.go
+++ b/internal/control/voter/leadership.go
@@ -14,7 +14,7 @@
 )
 
 // TransferLeadership transfers leadership before a planned stop. It returns when another voter leads or
-// after transferTimeout.
+// after transferTimeout, and at once if this voter does not lead or has no follower to transfer to.
 func (v *Voter) TransferLeadership() {
 	v.mu.Lock()
 	now := v.settings.Clock()
--- a/internal/control/voter/outbox.go
+++ b/internal/control/voter/outbox.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// outboxSize bounds the messages queued for one voter. Further ones are dropped and, as
-	// after a loss in the network, their content is sent again with a later heartbeat.
+	// outboxSize bounds the messages queued for one voter. Further messages are dropped.
+	// As after a loss in the network, their content is sent again with a later heartbeat.
 	outboxSize  = 64
 	sendTimeout = time.Second
 )
--- a/internal/control/voter/publish.go
+++ b/internal/control/voter/publish.go
@@ -13,8 +13,9 @@
 )
 
 const (
-	// leaderTimeout is how long a call waits until a leader is known. Elections finish within
-	// this time, and callers time out after about a second.
+	// leaderTimeout is how long a call waits until a leader is known. It exceeds the minimum
+	// election timeout (600 ms in platform/process), but not the maximum, since callers time out
+	// after about a second.
 	leaderTimeout = 700 * time.Millisecond
 	// leaderPollInterval is the time between two checks for a leader.
 	leaderPollInterval = 25 * time.Millisecond
@@ -66,7 +67,9 @@
 	return callLeader(ctx, v, empty{}, ReadMethod, v.readLocal)
 }
 
-// callLeader runs a call locally if this voter leads, and otherwise sends it to the leader.
+// callLeader runs a call locally if this voter leads, and otherwise sends it to the leader. It
+// retries for leaderTimeout while no leader is known or the leader returns an error, but not after a
+// lost response: the leader may have run the call.
 func callLeader[In, Out any](ctx context.Context, v *Voter, in In, method string, local func(context.Context, In) (Out, error)) (Out, error) {
 	var none Out
 	deadline := v.settings.Clock().Add(leaderTimeout)
@@ -115,6 +118,7 @@
 
 // pendingRead is a read that waits until a majority confirms the leader.
 type pendingRead struct {
+	// since is when the read began.
 	since time.Time
 	done  chan configuration.Configuration
 }
--- a/internal/control/voter/roster.go
+++ b/internal/control/voter/roster.go
@@ -9,7 +9,8 @@
 	"wasabideal/internal/control/rostermanager"
 )
 
-// leaderRosterManager returns the roster manager while this voter leads with a valid lease. The caller
+// leaderRosterManager returns the roster manager, which it creates on the first call under a valid
+// leader's lease. Without a valid lease, it discards the manager and returns an error. The caller
 // holds the lock.
 func (v *Voter) leaderRosterManager(now time.Time) (*rostermanager.Manager, error) {
 	s := v.agreement.Status(now)
--- a/internal/control/voter/voter.go
+++ b/internal/control/voter/voter.go
@@ -75,17 +75,19 @@
 
 // Voter is a control process that takes part in consensus.
 type Voter struct {
-	settings      Settings
-	log           hclog.Logger
-	mu            sync.Mutex
-	agreement     *agreement.Node
-	wal           *wal.Log
-	ledger        *ledger.Ledger
-	source        *source.Source
-	trail         *audit.Trail
+	settings  Settings
+	log       hclog.Logger
+	mu        sync.Mutex
+	agreement *agreement.Node
+	wal       *wal.Log
+	ledger    *ledger.Ledger
+	source    *source.Source
+	trail     *audit.Trail
+	// waiters holds the calls that wait for a log entry, by the entry's index.
 	waiters       map[uint64]waiter
 	rosterManager *rostermanager.Manager
-	outboxes      map[string]*outbox
+	// outboxes holds the queues of messages to other voters, by address.
+	outboxes map[string]*outbox
 	// senderAddresses holds the listen address of each voter that sent a message, by id.
 	senderAddresses map[string]string
 	events          []agreement.Event
