--- a/internal/daemon/balancer/balancer.go
+++ b/internal/daemon/balancer/balancer.go
@@ -74,7 +74,7 @@
 	ctx                    context.Context
 	cancel                 context.CancelFunc
 	running                sync.WaitGroup
-	storedRevision         uint64
+	savedRevision          uint64
 	logLimiter             logLimiter
 	loggedInvalidDatagrams uint64
 	pool                   *pool.Pool
@@ -261,10 +261,10 @@
 	_ = b.reduce(event.Event{Kind: event.ConfigurationReceived, Configuration: &c})
 	current := b.Configuration()
 	b.source.Publish(current)
-	if b.settings.SaveConfiguration == nil || current.Revision <= b.storedRevision {
+	if b.settings.SaveConfiguration == nil || current.Revision <= b.savedRevision {
 		return
 	}
-	b.storedRevision = current.Revision
+	b.savedRevision = current.Revision
 	if err := b.settings.SaveConfiguration(current); err != nil {
 		b.log.Warn("failed to save configuration", "Revision", current.Revision, "Error", err)
 	}
--- a/internal/daemon/balancer/requests.go
+++ b/internal/daemon/balancer/requests.go
@@ -30,9 +30,10 @@
 	expireInterval       = 5 * time.Second
 	handOverPollInterval = 50 * time.Millisecond
 	httpIdleTimeout      = time.Minute
-	initialQueueLimit    = 50
-	initialRetryPercent  = 10
-	initialSlotLimit     = 1
+	// The initial limits apply until refreshProxy sets the limits of the preset in force.
+	initialQueueLimit   = 50
+	initialRetryPercent = 10
+	initialSlotLimit    = 1
 )
 
 // serviceServer serves the HTTP requests of one service.
