--- a/internal/daemon/control/control.go
+++ b/internal/daemon/control/control.go
@@ -41,7 +41,8 @@
 	Zone string
 	// Shape is the shape of the balancers' trees.
 	Shape tree.Shape
-	Rpc   string
+	// Rpc is the address to listen on for RPCs.
+	Rpc string
 	// Advertise is the address that other processes connect to. It is empty unless it differs
 	// from the address listened on, as behind NAT.
 	Advertise  string
--- a/internal/daemon/control/control_test.go
+++ b/internal/daemon/control/control_test.go
@@ -63,7 +63,7 @@
 	return l
 }
 
-// start starts a voter with an empty data folder.
+// start starts a voter with an empty data folder. joins prevents the voter from bootstrapping a cluster.
 func (f *cluster) start(l net.Listener, joins bool) {
 	f.startIn(f.t.TempDir(), l, joins)
 }
--- a/internal/daemon/control/persistence.go
+++ b/internal/daemon/control/persistence.go
@@ -131,8 +131,9 @@
 	return folder.Replace(c.folder, file, b)
 }
 
-// restoreUpstreams loads the upstreams that were saved before the restart. Each counts as
-// announced now, and expires like any other upstream.
+// restoreUpstreams loads the upstreams that were saved before the restart, except silent and
+// replaced ones. This voter's own upstreams count as announced now and expire like any other
+// upstream. The upstreams of other voters are added as restored (see directory.Restore).
 func (c *Control) restoreUpstreams() {
 	now := c.settings.Clock()
 	for _, file := range []string{upstreamsFile, remoteUpstreamsFile} {
--- a/internal/daemon/control/remote.go
+++ b/internal/daemon/control/remote.go
@@ -17,12 +17,12 @@
 )
 
 // remoteUpstreams holds the upstreams that other voters report. Usually balancers receive these
-// upstreams from the other voters. They are saved to disk because after a site-wide power loss
+// upstreams from the other voters. The upstreams are saved to disk because after a site-wide power loss
 // the first voter to respond has to know all upstreams.
 type remoteUpstreams struct {
 	mu   sync.Mutex
 	view *view.View
-	// version increases with each update of another voter.
+	// version increases with each update of another voter that holds notices.
 	version uint64
 }
 
@@ -62,14 +62,15 @@
 	}
 }
 
-// currentVersion returns a number that increases with each update of another voter.
+// currentVersion returns a number that increases with each update of another voter that holds
+// notices.
 func (o *remoteUpstreams) currentVersion() uint64 {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.version
 }
 
-// Live returns the upstreams that other voters report as live.
+// Live returns the upstreams that other voters report as live, marked as restored (Recalled).
 func (o *remoteUpstreams) Live(now time.Time) []directory.Notice {
 	o.mu.Lock()
 	defer o.mu.Unlock()
