--- a/internal/daemon/cookie/announcements.go
+++ b/internal/daemon/cookie/announcements.go
@@ -19,7 +19,8 @@
 
 func (*StoppingError) Error() string { return "this balancer stops; announce the upstream elsewhere" }
 
-// Announce accepts an upstream's announcement and returns once a voter has stored it.
+// Announce accepts an upstream's announcement and returns once a voter has stored it. cold is the
+// remaining time of the upstream's slow start.
 func (b *Balancer) Announce(ctx context.Context, u upstream.Upstream, cold time.Duration) error {
 	switch {
 	case u.State != upstream.Ready:
--- a/internal/daemon/cookie/cookie.go
+++ b/internal/daemon/cookie/cookie.go
@@ -31,17 +31,18 @@
 type Codec interface {
 	// Decode parses a datagram and fails if it is malformed.
 	Decode(data []byte) (router.Packet, error)
-	// Forward appends the datagram that carries the received one to an upstream.
+	// Forward appends to buffer the datagram that carries the received data to the
+	// upstream that the verdict names.
 	Forward(buffer, data []byte, v router.Verdict) []byte
-	// Reset appends the datagram that resets a packet's flow, and returns its
-	// destination.
+	// Reset appends to buffer the datagram that resets a packet's flow, and returns
+	// the datagram's destination.
 	Reset(buffer []byte, p router.Packet) (netip.AddrPort, []byte)
 }
 
 const (
-	// unconfirmedTTL is how long an unconfirmed notice (see package view) stays valid: three
-	// announcement intervals. Within this time, a restarted voter receives an announcement
-	// from each live upstream.
+	// unconfirmedTTL is how long an unconfirmed notice (see package view) stays valid: a little
+	// more than three announcement intervals of usually 1.2 s. Within this time, a restarted
+	// voter receives an announcement from each live upstream.
 	unconfirmedTTL = 4 * time.Second
 	// forgetAfter is how long a silent upstream stays known, for flows that may still
 	// be open there.
@@ -55,7 +56,7 @@
 	minDrainTime     = 1500 * time.Millisecond
 	// minSuspicionInterval is the minimum time between two updates of the router's
 	// suspicions: when hundreds of upstreams fail together, many voters report
-	// them within some tenths of a second.
+	// suspicions within some tenths of a second.
 	minSuspicionInterval = 20 * time.Millisecond
 	// livenessReportInterval is how often liveness reports on suspected upstreams are
 	// repeated: if a report is lost, a live upstream would count as unresponsive. Over three levels
@@ -125,8 +126,10 @@
 	// evacuations are the evacuation orders in force for availability zones.
 	evacuations evacuation.Evacuations
 	// refreshDue is set if a new configuration may allow placing buffered packets.
-	refreshDue  bool
-	lastPacket  time.Time
+	refreshDue bool
+	lastPacket time.Time
+	// outputs are the reusable buffers for outgoing datagrams; the current batch has filled the
+	// first outputsUsed of them.
 	outputs     [][]byte
 	outputsUsed int
 	leaving     atomic.Bool
--- a/internal/daemon/cookie/cookie_test.go
+++ b/internal/daemon/cookie/cookie_test.go
@@ -229,9 +229,9 @@
 	}, 60*time.Second, time.Second)
 }
 
-// An upstream loses power. Its flows were reset only once the upstream was known to have ended, later
-// than balancers report that it leaves packets unanswered. Callers waited until their deadlines, also
-// on idle flows.
+// An upstream loses power. Its flows were reset only once the upstream was known to have ended. That was
+// later than balancers report that the upstream leaves packets unanswered. Callers waited until their
+// deadlines, also on idle flows.
 func TestFlowOfUnresponsiveUpstreamIsReset(t *testing.T) {
 	voter := startVoter(t)
 	publish(t, voter)
--- a/internal/daemon/cookie/decisionlog.go
+++ b/internal/daemon/cookie/decisionlog.go
@@ -102,7 +102,7 @@
 	r.sendError = err
 }
 
-// flush logs the summary once the interval has passed, and starts a new one.
+// flush logs the summary once summaryInterval has passed, and starts a new interval.
 func (r *decisionLog) flush(now time.Time, log hclog.Logger) {
 	if now.Sub(r.since) < summaryInterval {
 		return
--- a/internal/daemon/cookie/fanout.go
+++ b/internal/daemon/cookie/fanout.go
@@ -150,20 +150,20 @@
 }
 
 // Updates returns the response to a follower's long poll, and whether it holds anything new.
-func (b *Balancer) Updates(now time.Time, q relay.Request) (relay.Response, bool) {
-	a, changed := b.follower.Updates(now, q)
-	known := make(map[string]origins.VoterVersion, len(q.Known))
-	for _, k := range q.Known {
+func (b *Balancer) Updates(now time.Time, req relay.Request) (relay.Response, bool) {
+	resp, changed := b.follower.Updates(now, req)
+	known := make(map[string]origins.VoterVersion, len(req.Known))
+	for _, k := range req.Known {
 		known[k.Voter] = k
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	a.Revision = max(b.configuration.Revision, b.follower.UnavailableRevision(now, b.configuration.Revision))
-	if b.evacuations.Revision > q.Evacuations {
+	resp.Revision = max(b.configuration.Revision, b.follower.UnavailableRevision(now, b.configuration.Revision))
+	if b.evacuations.Revision > req.Evacuations {
 		e := b.evacuations
-		a.Evacuations, changed = &e, true
+		resp.Evacuations, changed = &e, true
 	}
-	chunk.New(b.settings.Zone).Fill(a.Origins, func(x origins.Update) []directory.Notice {
+	chunk.New(b.settings.Zone).Fill(resp.Origins, func(x origins.Update) []directory.Notice {
 		version := uint64(0)
 		if k := known[x.Voter]; k.Life == x.Life {
 			version = k.Version
@@ -173,7 +173,7 @@
 		}
 		return b.view.Since(now, x.Voter, x.Life, version)
 	})
-	return a, changed || a.Revision > q.Revision
+	return resp, changed || resp.Revision > req.Revision
 }
 
 // ShuttingDown reports whether the balancer is stopping.
--- a/internal/daemon/cookie/packets.go
+++ b/internal/daemon/cookie/packets.go
@@ -49,7 +49,7 @@
 		return
 	}
 	if b.awaitingCapacity.Len() > 0 {
-		// If the buffered copy were routed after this packet, it would count as a
+		// If a buffered copy of this packet were routed later, the copy would count as a
 		// retransmission and thus as evidence that the upstream is unresponsive.
 		b.awaitingCapacity.Remove(bufferedPacket{packet: p}.key())
 	}
--- a/internal/daemon/cookie/suspicions.go
+++ b/internal/daemon/cookie/suspicions.go
@@ -46,8 +46,9 @@
 	b.sendReports()
 }
 
-// logUnresponsive logs the upstreams and zones that became unresponsive, a zone with incarnation 0.
-// It logs as "tried again" each of them that is no longer unresponsive, for whatever reason.
+// logUnresponsive logs the upstreams and zones that became unresponsive; a zone is logged with
+// incarnation 0. An upstream or zone that is no longer unresponsive, for whatever reason, is logged
+// as "tried again".
 func (b *Balancer) logUnresponsive(now time.Time, all map[evidence.Subject]suspicions.Suspicion, resets int) {
 	for s, suspicion := range all {
 		if suspicion.Unresponsive && !b.unresponsive[s] {
--- a/internal/daemon/cookie/uploads.go
+++ b/internal/daemon/cookie/uploads.go
@@ -120,7 +120,8 @@
 	}
 }
 
-// enqueueUpload queues a packet for pacing if it belongs to an upload, and reports whether it did.
+// enqueueUpload queues a packet for pacing if the packet carries data of an upload, and reports
+// whether the packet was queued.
 func (b *Balancer) enqueueUpload(now time.Time, p router.Packet, v router.Verdict, data []byte) bool {
 	if b.uploads == nil || p.Length == 0 || b.router.Class(p.Address) != configuration.Upload {
 		return false
