--- a/internal/silence/accrual/accrual.go
+++ b/internal/silence/accrual/accrual.go
@@ -17,16 +17,16 @@
 	// false positive rate of one in a million, three packets at a loss of one in a hundred.
 	unresponsiveThreshold = 13.5
 	// zoneUnresponsiveThreshold is the evidence at which a zone counts as unresponsive: five
-	// packets at a loss rate of one in a hundred. It is higher, since a zone has many more flows
-	// than an upstream.
+	// packets at a loss rate of one in a hundred. It is higher than unresponsiveThreshold, since
+	// a zone has many more flows than an upstream.
 	zoneUnresponsiveThreshold = 20
 	// zoneSuspectThreshold is the evidence at which a zone is suspected.
 	zoneSuspectThreshold = 16
 	// refutedStep is the share by which each refuted suspicion raises the suspect thresholds, and
-	// maxRefutedFactor limits their factor. While uploads fill links of 2 Mbit/s, most suspicions
-	// are false, and the liveness reports that each causes at all balancers compete with the
-	// uploads. With 71 balancers, 0.4 % of the requests were not served, against 0.06 % without
-	// suspicions.
+	// maxRefutedFactor limits the factor by which they rise. While uploads fill links of
+	// 2 Mbit/s, most suspicions are false, and the liveness reports that each suspicion causes at
+	// all balancers compete with the uploads. With 71 balancers, 0.4 % of the requests were not
+	// served, against 0.06 % without suspicions.
 	refutedStep      = 0.5
 	maxRefutedFactor = 6
 	// refutedDecay is the time constant with which refuted suspicions stop counting.
@@ -43,7 +43,8 @@
 	// only every 20 ms, and has a narrow link of its own. Without this addition, flows of live
 	// upstreams were reset where links were full and two balancers relayed.
 	refutationTimeoutPerHop = 120 * time.Millisecond
-	// evidenceTTL is how long an unanswered packet counts as evidence. Its caller waits as long.
+	// evidenceTTL is how long an unanswered packet counts as evidence. Callers wait as long
+	// for a response.
 	evidenceTTL = 1500 * time.Millisecond
 	// unresponsiveTTL is how long a subject stays unresponsive without new evidence. If the
 	// subject is down, its announcements are overdue by then; otherwise balancers send flows to
@@ -159,8 +160,8 @@
 
 // Evaluate updates which subjects are suspected and unresponsive. balancers is the number of
 // balancers that poll this voter, and relayHops the length of the longest chain of balancers that
-// relay its responses. The result is when Evaluate must be called again even without further
-// evidence, or zero.
+// relay this voter's responses. The result is when Evaluate must be called again even without
+// further evidence, or zero.
 func (d *Detector) Evaluate(now time.Time, balancers, relayHops int) time.Time {
 	var nextTimeout time.Time
 	timeout := refutationTimeout + time.Duration(relayHops)*refutationTimeoutPerHop
--- a/internal/silence/confirmation/confirmation.go
+++ b/internal/silence/confirmation/confirmation.go
@@ -9,7 +9,8 @@
 
 const (
 	// probeInterval is the time between two probes of an upstream. retryInterval replaces it
-	// after an inconclusive probe.
+	// after an inconclusive probe, and after a probe that started before the first packet behind
+	// the suspicion was sent.
 	probeInterval = time.Second
 	retryInterval = 100 * time.Millisecond
 	// maxRunning bounds the concurrent probes.
@@ -119,8 +120,8 @@
 }
 
 // confirmed reports whether probes since the earliest unanswered packet confirm a suspicion. None
-// of the upstreams may be up. A suspected upstream must be down, and so must at least minZoneDown
-// upstreams of a suspected zone.
+// of the probed upstreams may have accepted a handshake. A suspected upstream must be down; of a
+// suspected zone, at least minZoneDown upstreams must be down.
 func (c *Confirmer) confirmed(now time.Time, s Candidate) bool {
 	down := 0
 	for _, u := range s.targets() {
--- a/internal/silence/evidence/evidence.go
+++ b/internal/silence/evidence/evidence.go
@@ -44,7 +44,7 @@
 	Age time.Duration
 	// Unresponsive has two meanings. In the result of accrual.Detector.Suspicions it reports
 	// whether the evidence suffices. In the result of confirmation.Confirmer.Confirm, which
-	// voters send to balancers, it also requires that probes confirm the evidence. Until then,
-	// balancers are asked to report responses of the subject.
+	// voters send to balancers, it also requires that probes confirm the evidence. Whether it
+	// is true or false, balancers are asked to report responses of the subject.
 	Unresponsive bool
 }
--- a/internal/silence/probe/probe.go
+++ b/internal/silence/probe/probe.go
@@ -15,7 +15,8 @@
 // The outcomes.
 const (
 	// Inconclusive means that the host did not answer, but that this says nothing about the host:
-	// this process stalled, or no reference answered throughout.
+	// this process stalled, the probe was cancelled, or all references left the first or the
+	// last attempt unanswered.
 	Inconclusive Outcome = iota
 	// Accepted means that the host is up and listens on the port.
 	Accepted
@@ -72,7 +73,8 @@
 	ctx, cancel := context.WithTimeout(ctx, Timeout+maxStall+2*drain)
 	defer cancel()
 	answers := make(chan Outcome, attempts)
-	// References must answer during both the first and the last attempt.
+	// At least one reference must answer during the first attempt, and at least one during the
+	// last.
 	first := make(chan struct{}, len(references))
 	last := make(chan struct{}, len(references))
 	startedAt := p.clock()
--- a/internal/silence/sample/sample.go
+++ b/internal/silence/sample/sample.go
@@ -57,6 +57,7 @@
 	return out
 }
 
+// allow reports whether to forward an event, and counts the event if so.
 func (s *Sampler) allow(now time.Time, from string, e evidence.Event) bool {
 	k := subject{incarnation: e.Incarnation, born: e.Born}
 	c := s.bySubject[k]
@@ -75,6 +76,8 @@
 	return true
 }
 
+// allowAnswered reports whether to forward a liveness report, and counts the report if so.
+// answeredAt is when the upstream's response was received.
 func (c *counter) allowAnswered(answeredAt time.Time) bool {
 	if c.answered >= minAnswered && answeredAt.Sub(c.answeredAt) < answeredInterval {
 		return false
