--- a/internal/upstream/handover/handover.go
+++ b/internal/upstream/handover/handover.go
@@ -10,7 +10,7 @@
 
 // The batch delays, as shares of the announcement interval, which is usually 1.2 s. An upstream
 // announces itself again only after the acknowledgement, or after waiting a second for it. Down
-// to the fourth level, the delays add up to 0.7 of the interval. When the share was one eighth at
+// to level 4, the delays add up to 0.7 of the interval, 0.8 s. When the share was one eighth at
 // every level, the roots of a zone of 60 received a hundred batches per second.
 const (
 	// rootShare applies at the roots of a zone, and one level below to announcements that
@@ -37,7 +37,7 @@
 }
 
 // sendTimeout bounds one call. An upstream waits a second for the acknowledgement, of which a
-// batch delay of rootShare leaves this part.
+// batch delay of rootShare (0.3 s) leaves this part.
 const sendTimeout = 700 * time.Millisecond
 
 // Announcement is the announcement of one upstream, with the time since it was received.
@@ -61,8 +61,8 @@
 // pending is an announcement that waits to be sent.
 type pending struct {
 	upstream.Upstream
-	cold time.Duration
-	at   time.Time
+	cold       time.Duration
+	receivedAt time.Time
 }
 
 // Batcher batches announcements; it is safe for concurrent use.
@@ -105,7 +105,7 @@
 	for _, a := range all {
 		old, ok := h.next.pending[a.Upstream.Incarnation]
 		if !ok || a.Upstream.Later(old.Upstream) {
-			h.next.pending[a.Upstream.Incarnation] = pending{Upstream: a.Upstream, cold: a.Cold, at: now.Add(-a.Age)}
+			h.next.pending[a.Upstream.Incarnation] = pending{Upstream: a.Upstream, cold: a.Cold, receivedAt: now.Add(-a.Age)}
 		}
 	}
 	return h.next
@@ -123,7 +123,7 @@
 	now := h.clock()
 	all := make([]Announcement, 0, len(b.pending))
 	for _, t := range b.pending {
-		all = append(all, Announcement{Upstream: t.Upstream, Cold: t.cold, Age: now.Sub(t.at)})
+		all = append(all, Announcement{Upstream: t.Upstream, Cold: t.cold, Age: now.Sub(t.receivedAt)})
 	}
 	h.mu.Unlock()
 	ctx, cancel := context.WithTimeout(context.Background(), sendTimeout)
--- a/internal/upstream/handover/handover_test.go
+++ b/internal/upstream/handover/handover_test.go
@@ -16,7 +16,7 @@
 const delay = 150 * time.Millisecond
 
 // An upstream announces itself again if the acknowledgement takes longer than a second or than
-// the announcement interval. The batch delays must not add up to that.
+// the announcement interval. The batch delays must add up to less than both.
 func TestBatchDelaysAddUpToLessThanASecond(t *testing.T) {
 	const interval = 1200 * time.Millisecond
 	for level := range 5 {
--- a/internal/upstream/registry/gossip.go
+++ b/internal/upstream/registry/gossip.go
@@ -94,8 +94,8 @@
 	return renewals, budget
 }
 
-// HandlePayload merges the gossip payload of another balancer. Its announcements need no service
-// token, since the group token authenticates gossip.
+// HandlePayload merges the gossip payload of another balancer. The announcements in the payload need
+// no service token, since the group token authenticates gossip.
 func (r *Registry) HandlePayload(now time.Time, _ swim.Member, data []byte) {
 	var update wireUpdate
 	if len(data) == 0 || cbor.Unmarshal(data, &update) != nil {
--- a/internal/upstream/registry/registry.go
+++ b/internal/upstream/registry/registry.go
@@ -201,8 +201,8 @@
 	e.renewalGossiped = 0
 }
 
-// Tick raises Version for expired leases, quarantines and slow starts, and deletes old tombstones.
-// It must be called periodically.
+// Tick raises Version for recently expired leases, and for quarantines and slow starts in progress.
+// It also deletes old tombstones. It must be called periodically.
 func (r *Registry) Tick(now time.Time) {
 	for a, e := range r.entries {
 		age := now.Sub(e.renewedAt)
--- a/internal/upstream/view/source.go
+++ b/internal/upstream/view/source.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// maxChanges bounds the changes that are kept per voter, at 16 bytes each. A follower that lacks
-// more receives all notices of the voter, at 40 bytes per upstream.
+// maxChanges is how many of the latest changes are kept per voter, at 16 bytes each. Up to twice as
+// many are held between two trims. A follower that lacks more than are held receives all notices of
+// the voter, at 40 bytes per upstream.
 const maxChanges = 1024
 
 // source holds the state received from one voter.
@@ -41,10 +42,10 @@
 	}
 }
 
-// addRestored records a restored notice and returns when the notice expires. It must expire here,
-// since the voter sends no notice when it forgets a restored upstream that has not announced
-// itself. All unconfirmed notices of a voter expire together, since only one expiry time is
-// tracked per voter.
+// addRestored records that a restored notice has arrived, and returns when the notice expires. The
+// balancer must expire the notice itself, since the voter sends no notice when it forgets a restored
+// upstream that has not announced itself. All unconfirmed notices of a voter expire together, since
+// only one expiry time is tracked per voter.
 func (s *source) addRestored(now, expiresAt time.Time) time.Time {
 	if !s.unconfirmedUntil.After(now) {
 		s.unconfirmedUntil = expiresAt
@@ -53,8 +54,8 @@
 	return s.unconfirmedUntil
 }
 
-// unconfirmedExpired returns true once after the unconfirmed notices have expired.
-func (s *source) unconfirmedExpired(now time.Time) bool {
+// takeUnconfirmedExpiry returns true once after the unconfirmed notices have expired.
+func (s *source) takeUnconfirmedExpiry(now time.Time) bool {
 	if !s.hasUnconfirmed || now.Before(s.unconfirmedUntil) {
 		return false
 	}
@@ -62,7 +63,8 @@
 	return true
 }
 
-// trim drops the oldest changes beyond maxChanges.
+// trim drops all but the latest maxChanges changes once there are more than twice as many, so that
+// not every update copies the list.
 func (s *source) trim() {
 	if len(s.changes) > 2*maxChanges {
 		s.changes = slices.Clone(s.changes[len(s.changes)-maxChanges:])
--- a/internal/upstream/view/view.go
+++ b/internal/upstream/view/view.go
@@ -82,7 +82,7 @@
 		s.restart(update.Life, now.Add(v.settings.UnconfirmedTTL))
 		v.markChanged(s)
 	}
-	if s.unconfirmedExpired(now) {
+	if s.takeUnconfirmedExpiry(now) {
 		v.markChanged(s)
 	}
 	if update.Contact.After(s.contact) {
@@ -225,8 +225,8 @@
 func byIncarnation(a, b Target) int { return cmp.Compare(a.Incarnation, b.Incarnation) }
 
 // expire marks the upstreams whose state changes without a notice: those of voters that became
-// unreachable or reachable, and those with expired unconfirmed notices. One voter among many has
-// only a few such upstreams, and the others need not be merged again.
+// unreachable or reachable, and those with expired unconfirmed notices. A single voter has sent
+// notices on only a few of the fleet's upstreams; the others need not be merged again.
 func (v *View) expire(now time.Time) {
 	reachable := 0
 	for _, s := range v.sources {
@@ -237,7 +237,7 @@
 		if s.reachable {
 			reachable++
 		}
-		if s.unconfirmedExpired(now) {
+		if s.takeUnconfirmedExpiry(now) {
 			v.markChanged(s)
 		}
 	}
--- a/internal/upstream/view/view_test.go
+++ b/internal/upstream/view/view_test.go
@@ -102,8 +102,8 @@
 }
 
 // A live upstream has replaced a crashed one at the same address. A delayed announcement of the
-// crashed one reaches the only voter that knows the live one, and the live one counts as
-// replaced. Its flows must not be reset while its own announcements are recent.
+// crashed upstream reaches the only voter that knows the live upstream, which then counts as
+// replaced. The flows of the live upstream must not be reset while its announcements are recent.
 func TestReplacedIncarnationEndsOnlyOnceItIsSilentAtAllVoters(t *testing.T) {
 	v := newView()
 	replaced := notice(1, upstream.Ready)
@@ -290,8 +290,9 @@
 	})
 }
 
-// An upstream restarts. One voter knows the new instance, while others still send notices on the
-// earlier one, before or after. The upstream must get flows, and its flows must not be reset.
+// An upstream restarts. One voter sends a notice on the new instance, and another voter sends one on
+// the earlier instance, before or after the first. The upstream must get flows, and its flows must
+// not be reset.
 func TestNoticesOnAnEarlierInstanceAreIgnored(t *testing.T) {
 	before := notice(90, upstream.Withdrawn)
 	before.Upstream.Born, before.Replaced, before.Silent = 100, true, true
