--- a/internal/fanout/assignment/assignment.go
+++ b/internal/fanout/assignment/assignment.go
@@ -24,7 +24,7 @@
 	startupGrace = 6 * time.Second
 )
 
-// list holds the balancers known from a time on, as sorted hashes of their addresses.
+// list is a balancer list that arrived at the time since, as sorted hashes of the addresses.
 type list struct {
 	since   time.Time
 	members []uint64
--- a/internal/fanout/assignment/assignment_test.go
+++ b/internal/fanout/assignment/assignment_test.go
@@ -123,8 +123,8 @@
 
 // A balancer left the list and rejoined 2.2 s later. It received the second change first and kept
 // its keys; another balancer received that change 1 s later. With an overlap of only one
-// propagation time, the other balancer held just the list without the first one by then, and a
-// key had two owners for a millisecond.
+// propagation time, the only valid list of the other balancer was by then the list without the
+// first balancer, and a key had two owners for a millisecond.
 func TestBalancerThatMissedItsOwnRemovalKeepsItsKeys(t *testing.T) {
 	all := names(8)
 	without := slices.Delete(slices.Clone(all), 6, 7)
--- a/internal/fanout/bootstrap/bootstrap.go
+++ b/internal/fanout/bootstrap/bootstrap.go
@@ -17,7 +17,7 @@
 	incomplete map[string]bool
 }
 
-// Allow reports whether a connected voter is to be polled now. Until the startup ends, such a
+// Allow reports whether a connected voter is to be polled now. During startup, an allowed
 // voter becomes the current one, unless its earlier response was incomplete.
 func (t *Sequencer) Allow(now time.Time, voter string) bool {
 	if t.done || t.incomplete[voter] {
--- a/internal/fanout/chunk/chunk_test.go
+++ b/internal/fanout/chunk/chunk_test.go
@@ -32,8 +32,8 @@
 	}
 }
 
-// A follower starts and lacks the whole fleet. If it were sent in one response, the poll would
-// time out, and the follower would request the same again.
+// A follower starts and lacks the whole fleet. If the whole fleet were sent in one response, the
+// poll would time out, and the follower would request the same again.
 func TestStartingFollowerReceivesFleetInChunks(t *testing.T) {
 	for _, c := range []struct{ voters, each, responses, largest int }{
 		{25, 400, 13, 800},
--- a/internal/fanout/origins/origins.go
+++ b/internal/fanout/origins/origins.go
@@ -78,7 +78,8 @@
 }
 
 // Accepts reports whether an update is at least as new as the state held for its voter. Relay
-// paths differ in delay, so an update of an earlier life or version may arrive late.
+// paths differ in delay, so an update of an earlier life or version may arrive late. Lives have
+// no order, so another life is accepted only with a later contact.
 func (o *Origins) Accepts(now time.Time, x Update) bool {
 	s, held := o.byVoter[x.Voter]
 	switch {
--- a/internal/fanout/selection/fleet_test.go
+++ b/internal/fanout/selection/fleet_test.go
@@ -37,8 +37,8 @@
 	// undisturbedFor is how long a balancer must have run without faults before the bound applies to
 	// it.
 	undisturbedFor = 4 * time.Second
-	// seeds is the number of voters in the settings.
-	seeds = 3
+	// configuredVoters is the number of voters named in the settings of a balancer.
+	configuredVoters = 3
 	// maxFollowers is the maximum number of followers of a balancer, and followerExpiry the time
 	// after which an idle follower no longer counts.
 	maxFollowers   = 10
@@ -59,10 +59,13 @@
 	pausedUntil                                time.Time
 	// disturbed is when the last fault of the process ended or ends.
 	disturbed time.Time
-	queued    []func()
-	waiting   []func()
-	woken     time.Time
-	waking    bool
+	// queued holds the callbacks that are deferred while the process is paused, and waiting those
+	// that answer held polls. woken is when waiting was last called, and waking reports whether the
+	// next such call is scheduled.
+	queued  []func()
+	waiting []func()
+	woken   time.Time
+	waking  bool
 	// version is the latest version of a voter; origins is what a balancer has received.
 	version    uint64
 	fleet      *members.Members
@@ -100,8 +103,8 @@
 
 func newModel(seed uint64, zones, each int) *model { return newModelOf(seed, zones, each, voters) }
 
-// newModelOf returns a model with the given number of voters and zones, and each balancers per
-// zone.
+// newModelOf returns a model with the given number of voters and zones; each is the number of
+// balancers per zone.
 func newModelOf(seed uint64, zones, each, voters int) *model {
 	m := &model{
 		Clock: virtual.Clock{Now: epoch}, random: rand.New(rand.NewPCG(seed, 3)), shape: tree.Shape{Small: 8, Roots: 4, Fanout: 8},
@@ -185,6 +188,8 @@
 	})
 }
 
+// kill stops a process. The process restarts after the given time if it lost power (power is
+// true), and 100 ms after a crash.
 func (m *model) kill(p *process, power bool, lasts time.Duration) {
 	p.poweredOff = true
 	p.disturbed = m.Now.Add(lasts)
@@ -198,7 +203,7 @@
 	})
 }
 
-// partitionedFrom reports whether a partition separates a balancer from a voter.
+// partitionedFrom reports whether p is partitioned from the voters and o is a voter.
 func (p *process) partitionedFrom(o *process) bool { return p.votersPartitioned && o.voter }
 
 func (m *model) reaches(a, b *process) bool {
@@ -248,7 +253,7 @@
 	var wanted []string
 	if s.Voters {
 		for i, v := range m.voters {
-			if !s.VoterSubset || i < seeds || v.zone == p.zone {
+			if !s.VoterSubset || i < configuredVoters || v.zone == p.zone {
 				wanted = append(wanted, v.name)
 			}
 		}
@@ -307,7 +312,8 @@
 	})
 }
 
-// admits reports whether a process accepts a follower. Balancers accept a limited number.
+// admits reports whether a process accepts a follower. Balancers accept a limited number, and
+// admits first deletes their expired followers.
 func (m *model) admits(s, to *process) bool {
 	if s.voter {
 		return true
--- a/internal/fanout/selection/selection.go
+++ b/internal/fanout/selection/selection.go
@@ -18,7 +18,8 @@
 	// restored notices, on upstreams that other voters own, remain valid. If all voters were
 	// polled at once, all followers of a stopping balancer would connect to each voter.
 	voterSubsetPeriod = 2500 * time.Millisecond
-	// avoidPeriod is how long a failed balancer is not polled again.
+	// avoidPeriod is how long a balancer is not polled again after it failed, or after it proved
+	// no better than the current source.
 	avoidPeriod = 5 * time.Second
 	// candidateTimeout is how long candidates have to replace a failed parent before the voters
 	// are polled as well. A connection and a response take some milliseconds.
@@ -27,7 +28,7 @@
 	// voters before other sources are polled. The parent's state is already StaleAfter old by
 	// then, which is half of the bound on configurations and departures. With a fraction of 1, a
 	// balancer whose parent was cut off placed a flow by a configuration replaced 6.2 s before,
-	// where 5 are allowed. A voter that restarts answers again within this time.
+	// although 5 s are allowed. A voter that restarts answers again within this time.
 	degradedFraction = 0.2
 	// firstProbeFraction is the fraction of StaleAfter over which the first probes of the voters
 	// are spread, so that the balancers of a zone do not poll them all at once.
--- a/internal/fanout/selection/selection_test.go
+++ b/internal/fanout/selection/selection_test.go
@@ -83,9 +83,9 @@
 	require.True(t, s.Decide(at(time.Second)).VoterSubset)
 }
 
-// A balancer found no parent and polled a single voter until it had one. That voter owned only
-// the upstreams of one zone, so the balancer knew a fifth of the upstreams four seconds after its
-// start.
+// A balancer found no parent and polled a single voter until it had a parent. The voter owned
+// only the upstreams of one zone, so the balancer knew a fifth of the upstreams four seconds after
+// its start.
 func TestAllVotersArePolledWithoutParent(t *testing.T) {
 	all := zone(20)
 	s := selection.New(selection.Settings{Self: firstLevelBalancer(t, all), Shape: shape, StaleAfter: staleAfter}, epoch)
@@ -239,10 +239,10 @@
 	require.Equal(t, sources.Parents[1], s.Parent())
 }
 
-// A parent was cut off from the voters but answered, and all other candidates were full. Its
-// state had to be older than StaleAfter, half of the bound, for as long again, and the voters
-// were polled up to five seconds after that. The balancer placed a flow by a configuration
-// replaced 6.2 s earlier, where 5 are allowed, although it could reach all voters.
+// A parent was cut off from the voters but answered, and all other candidates were full. The
+// balancer waited until the parent's state had been stale for StaleAfter, which is half of the
+// bound, and polled the voters up to five seconds later. It placed a flow by a configuration
+// replaced 6.2 s earlier, although 5 s are allowed and it could reach all voters.
 func TestIsolatedParentIsReplacedWithinBound(t *testing.T) {
 	const bound = 2 * staleAfter
 	for _, jitter := range []float64{0, 0.5, 1} {
