--- a/internal/flow/choice/plan.go
+++ b/internal/flow/choice/plan.go
@@ -15,8 +15,8 @@
 //
 // Flows arrive at zones in proportion to the slots that their balancers own. A zone keeps its
 // flows up to its capacity and spills the excess to zones with spare capacity. Plans do not use
-// load reports, which are seconds old: balancers that all act on the same reports overshoot (max
-// over mean 1.09 to 1.20 at 3,000 new flows a second).
+// load reports, which are seconds old: balancers that all act on the same reports overshoot
+// (maximum over mean load 1.09 to 1.20 at 3,000 new flows a second).
 type Plan struct {
 	pool []Candidate
 	// localShare is the share of flows that stay in the local zone.
--- a/internal/flow/router/router.go
+++ b/internal/flow/router/router.go
@@ -178,7 +178,8 @@
 	return r.services[serviceKey{k.Destination, k.DestinationPort, k.Protocol}]
 }
 
-// miss relays a packet to the owner, or looks the flow up if this balancer is the owner.
+// miss relays a packet to the first reachable replica, usually the owner. If this balancer is that
+// replica, or if the packet has been relayed maxHops times, missAsOwner handles the packet here.
 func (r *Router) miss(now time.Time, hash uint64, slot int, packet []byte, hops uint8, out *effect.List) {
 	to, ok := r.firstReachable(slot)
 	if ok && hops < maxHops {
--- a/internal/flow/router/serve.go
+++ b/internal/flow/router/serve.go
@@ -38,8 +38,8 @@
 			continue
 		}
 		if r.unreachable[m.Address] {
-			// A packet through an unreachable replica would be lost. The count restarts, so that
-			// later packets copy the flow to it.
+			// A packet through an unreachable replica would be lost. CopyPackets restarts, so
+			// that packets copy the flow to the replica once it is reachable.
 			e.CopyPackets = 0
 			continue
 		}
@@ -52,6 +52,7 @@
 // mustCopy reports whether a packet must be relayed through the flow's replicas. This is so if
 // they may lack the flow, or if the packet opens, confirms or closes the flow. Packets of an
 // active flow are also relayed at times, so that the idle timeout does not remove its copies.
+// mustCopy counts the packet in the entry if the result is true.
 func (r *Router) mustCopy(e *table.Entry, slot int, nowSeconds uint32) bool {
 	if e.Version != r.versions[slot] {
 		e.Version = r.versions[slot]
--- a/internal/flow/table/table.go
+++ b/internal/flow/table/table.go
@@ -9,8 +9,8 @@
 // State is the state of a flow.
 type State uint8
 
-// The states of an entry. Empty marks a free array slot. If two replicas differ, the higher state
-// prevails.
+// The states of an entry. Empty marks a free array slot. If two replicas store a flow with the
+// same upstream but different states, the higher state prevails.
 const (
 	Empty State = iota
 	Opening
@@ -147,7 +147,8 @@
 	e.State = s
 }
 
-// evictOpening removes an opening that has been idle for at least minEvictionAge.
+// evictOpening removes an opening that has been idle for at least minEvictionAge, and reports
+// whether it found one among the next maxEvictionScan array slots.
 func (t *Table) evictOpening(now uint32) bool {
 	for range maxEvictionScan {
 		t.evictionScan = (t.evictionScan + 1) & t.mask
