--- a/internal/request/claimer/claimer.go
+++ b/internal/request/claimer/claimer.go
@@ -57,10 +57,10 @@
 	err    error
 }
 
-// Claim claims the key at all members that store the key. If a majority of a quorum set is
-// missing, the claims at all members are released. Two attempts cannot both be granted: two
-// majorities of a set share a member, which keeps the first attempt's record. Until a roster change
-// is settled, a majority of the previous set is needed too.
+// Claim claims the key at all members that store the key. If the claim lacks a majority of a
+// quorum set, the claims at all members are released. Two attempts cannot both be granted: two
+// majorities of a quorum set share a member, which keeps the first attempt's record. Until a
+// roster change is settled, a majority of the previous roster's quorum set is needed too.
 func (c *Claimer) Claim(ctx context.Context, r keys.Record) Result {
 	v := c.view()
 	if len(v.Roster.Members) == 0 {
@@ -76,6 +76,7 @@
 	return rejection(votes, r)
 }
 
+// count returns the number of members of a quorum set that granted the claim.
 func count(set []roster.Member, granted map[string]vote) int {
 	return lo.CountBy(set, func(m roster.Member) bool {
 		x, ok := granted[m.Name]
--- a/internal/request/claimer/claimer_test.go
+++ b/internal/request/claimer/claimer_test.go
@@ -33,8 +33,9 @@
 	nodes   []*node
 	roster  roster.Roster
 	manager *rostermanager.Manager
-	side    map[string]int
-	loss    float64
+	// side is the side of the partition that a node is on, by the node's name.
+	side map[string]int
+	loss float64
 	// sent counts the requests that were sent to an upstream, by key.
 	sent map[string]int
 }
@@ -71,8 +72,9 @@
 	n.view, n.copiedEpoch, n.running, n.leaving = roster.NewView(roster.Roster{}), 0, true, false
 }
 
-// run advances the time in steps of a second: reports to the voters, roster decisions
-// and the distribution of the roster. The voters are on side 0 of a partition.
+// run advances the time in steps of a second. In each step, balancers report to the voters, the
+// voters may change the roster, and some balancers receive it. The voters are on side 0 of a
+// partition.
 func (g *group) run(d time.Duration) {
 	for end := g.now.Add(d); g.now.Before(end); g.now = g.now.Add(time.Second) {
 		for _, n := range g.nodes {
@@ -101,6 +103,8 @@
 	g.roster = g.roster.WithMembers(c.Members)
 }
 
+// updateRoster gives a node the newest roster. The node then copies its records to the members
+// that must store them; if one is unreachable, the next call starts again.
 func (g *group) updateRoster(n *node) {
 	if g.roster.Version > n.view.Roster.Version {
 		n.view = roster.NewView(g.roster)
@@ -119,6 +123,7 @@
 	n.copiedEpoch = n.view.Roster.Epoch
 }
 
+// find returns the running node of a member, or nil if the node has stopped or restarted.
 func (g *group) find(m roster.Member) *node {
 	i := slices.IndexFunc(g.nodes, func(n *node) bool { return n.member.Name == m.Name })
 	if i < 0 || g.nodes[i].member.Start != m.Start || !g.nodes[i].running {
@@ -134,7 +139,7 @@
 
 func (LostError) Error() string { return "lost" }
 
-// remoteStores calls other nodes on behalf of one; it drops requests and responses.
+// remoteStores calls other nodes on behalf of one node. It drops some requests and responses.
 type remoteStores struct {
 	g    *group
 	from *node
@@ -166,8 +171,8 @@
 	}
 }
 
-// attempt claims a key at a node and, if granted, sends the request or releases the
-// key.
+// attempt claims a key at a node. If the claim is granted, the node sends the request if send is
+// set, and releases the key otherwise. The number distinguishes the attempts of a node.
 func (g *group) attempt(n *node, key string, number int, send bool) claimer.Outcome {
 	c := claimer.New(serial{remoteStores{g, n}}, time.Second, func() roster.View { return n.view })
 	r := keys.Record{Service: service, Key: key, Attempt: fmt.Sprintf("%s/%d/%d", n.member.Name, n.member.Start, number)}
--- a/internal/request/dispatch/dispatch.go
+++ b/internal/request/dispatch/dispatch.go
@@ -25,8 +25,8 @@
 	Slots int
 	// Share is the part of the slots that may be used: 1, or less during a slow start.
 	Share float64
-	// AssignedSlots is the number of slots assigned to this balancer. The assignment keeps
-	// balancers from competing for a slot, except for requests that have queued for borrowAfter.
+	// AssignedSlots is the number of slots assigned to this balancer. Only a request that has
+	// queued for borrowAfter may use other slots; otherwise balancers would compete for slots.
 	AssignedSlots int
 }
 
@@ -88,13 +88,15 @@
 	failures     int
 	ejectedUntil time.Time
 	ejections    int
-	listed       bool
+	// listed is unset if the upstream was removed while requests are in flight to it.
+	listed bool
 }
 
 const (
 	// shedBackoff is the backoff after the first rejection, in mean service times.
 	shedBackoff = 0.5
-	// shedStreakLimit limits how often the backoff doubles.
+	// shedStreakLimit is the number of consecutive rejections after which the backoff no longer
+	// doubles.
 	shedStreakLimit = 3
 	// borrowAfter is the queueing time, in mean service times, after which a request
 	// may use slots assigned to other balancers.
@@ -202,7 +204,7 @@
 	return d.enqueue(r)
 }
 
-// missesDeadline reports whether the request cannot finish before its deadline, given
+// missesDeadline reports whether the request is expected to finish after its deadline, given
 // the queue ahead of it. An immediate rejection lets the caller use another server.
 func (d *Dispatcher) missesDeadline(now time.Time, r Request) bool {
 	ahead := 0
@@ -214,8 +216,8 @@
 	return now.Add(d.estimateWait(ahead) + d.meanServiceTime).After(r.Deadline)
 }
 
-// estimateWait estimates how long the slots assigned to this balancer take to serve the
-// queued requests.
+// estimateWait estimates how long the slots assigned to this balancer take to serve a number
+// of queued requests.
 func (d *Dispatcher) estimateWait(queued int) time.Duration {
 	slots := 0
 	for _, t := range d.ordered {
@@ -277,8 +279,8 @@
 	return d.Tick(now)
 }
 
-// Tick rejects queued requests that can no longer meet their deadline and sends those
-// for which a slot is free.
+// Tick rejects queued requests that can no longer meet their deadline, or all if there is no
+// upstream, and sends those for which a slot is free.
 func (d *Dispatcher) Tick(now time.Time) []Decision {
 	var out []Decision
 	for i := 0; i < len(d.queue); {
--- a/internal/request/dispatch/experiment_test.go
+++ b/internal/request/dispatch/experiment_test.go
@@ -31,7 +31,7 @@
 	defaultLifetime = 60 * time.Second
 )
 
-// policy schedules the requests of one balancer: this package or a baseline.
+// policy schedules the requests of one balancer. It is this package's Dispatcher or a baseline.
 type policy interface {
 	offer(now time.Time, id uint64, deadline time.Time) []dispatch.Decision
 	done(now time.Time, name string, r dispatch.Result, took time.Duration) []dispatch.Decision
@@ -122,12 +122,14 @@
 }
 
 type backend struct {
-	name        string
-	busy        int
-	slowdown    float64
-	failing     bool
-	removed     bool
-	startedAt   time.Time
+	name string
+	// busy is the number of busy slots.
+	busy      int
+	slowdown  float64
+	failing   bool
+	removed   bool
+	startedAt time.Time
+	// busySeconds is the total busy time of all slots until the time since.
 	busySeconds float64
 	since       time.Time
 }
@@ -197,6 +199,7 @@
 			if u.removed {
 				continue
 			}
+			// Slow start: the share grows from 0.1 to 1 in the first ten seconds.
 			share := math.Min(1, 0.1+0.9*w.now.Sub(u.startedAt).Seconds()/10)
 			ts = append(ts, dispatch.Target{Name: u.name, Slots: slots, Share: share, AssignedSlots: h.Slots(names[i], u.name)})
 		}
@@ -209,6 +212,7 @@
 	heap.Push(&w.queue, task{at: w.now.Add(d), sequence: w.sequence, run: run})
 }
 
+// run simulates rate requests per second until lifetime has passed.
 func (w *simulation) run(rate float64) {
 	var id uint64
 	var arrive func()
@@ -270,6 +274,7 @@
 		u.addBusyTime(w.now)
 		u.busy++
 		factor := u.slowdown
+		// A cold upstream is four times slower.
 		if w.now.Sub(u.startedAt) < 5*time.Second {
 			factor *= 4
 		}
--- a/internal/request/dispatch/target.go
+++ b/internal/request/dispatch/target.go
@@ -45,15 +45,17 @@
 	return a
 }
 
+// load returns the requests in flight per usable slot. Each consecutive rejection counts as a
+// further request in flight.
 func load(t *target) float64 {
 	return (float64(t.outstanding) + float64(t.shedStreak)) / (float64(max(t.Slots, 1)) * t.Share)
 }
 
 func (d *Dispatcher) usable(now time.Time, t *target) bool { return !now.Before(t.ejectedUntil) }
 
-// recordShed starts a backoff after a rejection: other balancers' requests use all slots
-// of the upstream until one of these requests ends. The backoff grows with consecutive
-// rejections, and jitter prevents balancers from retrying at the same time.
+// recordShed starts a backoff after a rejection: the upstream stays full until one of its
+// requests, which other balancers sent, ends. The backoff grows with consecutive rejections, and
+// jitter prevents balancers from retrying at the same time.
 func (d *Dispatcher) recordShed(now time.Time, t *target) {
 	t.shedStreak = min(t.shedStreak+1, shedStreakLimit)
 	backoff := shedBackoff * float64(d.meanServiceTime) * float64(int(1)<<(t.shedStreak-1))
--- a/internal/request/door/door.go
+++ b/internal/request/door/door.go
@@ -38,8 +38,8 @@
 	maxKeyBytes         = 128
 	maxAttempts         = 24
 	tickInterval        = 10 * time.Millisecond
-	// hopMargin is how much the timeout sent to the upstream is shorter than the caller's
-	// remaining time, so that the upstream's response arrives before the caller's deadline.
+	// hopMargin is subtracted from the caller's remaining time to get the timeout sent to the
+	// upstream, so that the upstream's response arrives before the caller's deadline.
 	hopMargin         = 5 * time.Millisecond
 	copyBuffer        = 32 << 10
 	defaultRetryAfter = time.Second
@@ -55,8 +55,8 @@
 }
 
 // Counters holds the totals of a Proxy since its start. Shed counts attempts that a full upstream
-// rejected. Repeated counts requests whose key was taken. Truncated counts responses that an
-// upstream cut off.
+// rejected. Repeated counts requests whose key was taken. Truncated counts responses that were not
+// forwarded completely, because the upstream or the caller closed its connection.
 type Counters struct {
 	Requests, Answered, NotRun, Unknown, Repeated, Shed, Retried, Cancelled, Truncated atomic.Int64
 }
@@ -205,6 +205,8 @@
 	return p.await(x, p.dispatch.Retry(p.settings.Clock(), p.dispatchRequest(x)))
 }
 
+// await returns the channel that receives the decision on a request, after delivering the
+// decisions ds, which may contain this one. p.mu must be held.
 func (p *Proxy) await(x *exchange, ds []dispatch.Decision) chan dispatch.Decision {
 	w := make(chan dispatch.Decision, 1)
 	p.waiting[x.id] = w
--- a/internal/request/door/door_test.go
+++ b/internal/request/door/door_test.go
@@ -132,7 +132,7 @@
 }
 
 // An upstream closes a reused connection without a response. http.Transport resends a request
-// with an Idempotency-Key by itself, so the upstream would run a request twice that the caller
+// with an Idempotency-Key by itself, so the upstream would run twice a request that the caller
 // sent once.
 func TestTransportDoesNotResendKeyedRequests(t *testing.T) {
 	var runs atomic.Int32
@@ -184,8 +184,8 @@
 	require.EqualValues(t, 10, runs.Load())
 }
 
-// All slots are taken until after a request's deadline. The caller would wait until the
-// deadline for a rejection, so the request must be rejected at once and its key released.
+// All slots are taken until after a request's deadline. If the request were queued, it would be
+// rejected only at the deadline, so it must be rejected at once and its key released.
 func TestRequestThatCannotMeetItsDeadlineIsRejectedAtOnce(t *testing.T) {
 	release := make(chan struct{})
 	e := newFixture(t, func(w http.ResponseWriter, _ *http.Request) {
--- a/internal/request/keys/keys.go
+++ b/internal/request/keys/keys.go
@@ -14,7 +14,8 @@
 const (
 	// Claimed means that an attempt may send the request, or already has.
 	Claimed State = iota + 1
-	// Answered means that the request ran; Answer holds the response if it is short.
+	// Answered means that the request ran. Record.Answer holds the response, without the body
+	// if that is too large to store.
 	Answered
 )
 
@@ -36,7 +37,8 @@
 	Fingerprint uint64
 	State       State
 	Answer      *Answer
-	// Made is the time of the claim, from which the window is counted.
+	// Made is the time of the claim. The record expires when the Store's window has passed
+	// since then.
 	Made time.Time
 }
 
