--- a/internal/member/registrar/registrar.go
+++ b/internal/member/registrar/registrar.go
@@ -19,10 +19,11 @@
 	interval time.Duration
 	pool     *pool.Pool
 	report   func() rostermanager.Report
-	leader   int
+	// leader is the index of the voter that accepted the last report.
+	leader int
 }
 
-// New returns a Registrar; report returns the next report.
+// New returns a Registrar; report returns the current report to send.
 func New(voters []string, interval time.Duration, p *pool.Pool, report func() rostermanager.Report) *Registrar {
 	return &Registrar{voters: voters, interval: interval, pool: p, report: report}
 }
--- a/internal/member/repairstatus/repairstatus.go
+++ b/internal/member/repairstatus/repairstatus.go
@@ -18,13 +18,14 @@
 	reported  map[string]time.Time
 }
 
-// New returns a Tracker. Its payloads report the result of repairing, and reports of other
-// balancers expire after expiry.
+// New returns a Tracker. Its payloads report the result of repairing; reports of other balancers
+// expire after the duration expiry.
 func New(repairing func() bool, expiry time.Duration) *Tracker {
 	return &Tracker{repairing: repairing, expiry: expiry, reported: map[string]time.Time{}}
 }
 
-// AnyRepairing reports whether another balancer is known to create replicas.
+// AnyRepairing reports whether another balancer is known to create replicas. It first deletes
+// expired reports.
 func (t *Tracker) AnyRepairing(now time.Time) bool {
 	for name, at := range t.reported {
 		if now.Sub(at) > t.expiry {
--- a/internal/member/swim/message.go
+++ b/internal/member/swim/message.go
@@ -16,11 +16,14 @@
 	kindAck
 	kindPingRequest
 	kindJoin
+	// kindSync carries updates and needs no response. With a Number, it also reports that the
+	// member probed on behalf of the receiver has responded.
 	kindSync
 )
 
-// message is the wire format of all gossip messages. Number identifies a probe. Digest is a
-// hash of the sender's members. News are updates, and Riders are the piggybacked payloads.
+// message is the wire format of all gossip messages. Number identifies a probe; 0 means none.
+// Target is the member to probe for a kindPingRequest. Digest is a hash of the sender's members.
+// News are updates about members. Riders are the piggybacked payloads, one per Piggyback.
 type message struct {
 	_      struct{} `cbor:",toarray"`
 	Kind   messageKind
@@ -112,7 +115,7 @@
 		if m.Digest != s.digest() {
 			a.News = s.nextMembers(updatesPerMessage / 2)
 		}
-		// Notifies a suspected member, so that it can refute the suspicion.
+		// Notifies a sender that is suspected or declared dead, so that it can refute this.
 		if p := s.peers[m.From.Name]; p != nil && p.State != Alive {
 			a.News = append(a.News, p.Member)
 		}
--- a/internal/member/swim/probe.go
+++ b/internal/member/swim/probe.go
@@ -9,8 +9,8 @@
 )
 
 // nextTarget returns the next member in a random order that is shuffled each round, so
-// that every member is probed at least once within two rounds. The result is false if there
-// is no member to probe.
+// that every member is probed at least once within two rounds. Every reviveEvery-th call returns a
+// random dead member, if there is one. The result is false if there is no member to probe.
 func (s *Swim) nextTarget() (Member, bool) {
 	if s.ticks%(probeEvery*reviveEvery) == 0 {
 		if dead := s.sortedPeers(func(p *peer) bool { return p.State == Dead }); len(dead) > 0 {
--- a/internal/member/swim/swim.go
+++ b/internal/member/swim/swim.go
@@ -71,7 +71,7 @@
 	since time.Time
 	// transmissions is how often that update was sent.
 	transmissions int
-	// respondsDirectly is unset if the last direct probe was not answered in time.
+	// respondsDirectly is unset from an unanswered direct probe until the next ack.
 	respondsDirectly bool
 }
 
@@ -116,7 +116,7 @@
 	sent      time.Time
 }
 
-// New returns a Swim whose only member is itself.
+// New returns a Swim whose only member is this balancer.
 func New(s Settings, piggybacks ...Piggyback) *Swim {
 	return &Swim{
 		settings: s, signer: seal.New(s.Token, s.Group), self: s.Self,
@@ -153,8 +153,8 @@
 	return ms
 }
 
-// Unreachable returns the members that do not respond to this balancer or are
-// suspected. Packets are routed around these members before they are declared dead.
+// Unreachable returns the addresses of the members that do not respond to this balancer's direct
+// probes or are suspected. Packets are routed around these members before they are declared dead.
 func (s *Swim) Unreachable() map[netip.AddrPort]bool {
 	u := map[netip.AddrPort]bool{}
 	for _, p := range s.peers {
@@ -203,9 +203,9 @@
 	}
 }
 
-// TakeUrgent reports whether a member joined, left, failed, was suspected or refuted since the last
-// call, and clears this state. Such a change is urgent: until all balancers know of it, some forward
-// packets to a member that is gone, and these packets are lost.
+// TakeUrgent reports whether a member joined, left, failed, was suspected, refuted or changed
+// Passive since the last call, and clears this state. Such a change is urgent: until all balancers
+// know of it, some forward packets to a member that is gone, and these packets are lost.
 func (s *Swim) TakeUrgent() bool {
 	u := s.urgentChange
 	s.urgentChange = false
@@ -224,8 +224,8 @@
 	}
 }
 
-// Tick expires suspicions and, at every probeEvery-th call, probes the next member. It must be
-// called at a fixed interval.
+// Tick expires probes and suspicions, contacts unknown seeds and, at every probeEvery-th call,
+// probes the next member. It must be called at a fixed interval.
 func (s *Swim) Tick(now time.Time, out *effect.List) {
 	if !s.lastTick.IsZero() {
 		s.budget += now.Sub(s.lastTick).Seconds() * float64(s.settings.BytesPerSecond)
@@ -344,8 +344,8 @@
 	return ms
 }
 
-// nextMembers returns the next n known members in turn. They are sent to a member whose
-// digest differs.
+// nextMembers returns the next n known members in turn. They are sent to a member that joins or
+// whose digest differs.
 func (s *Swim) nextMembers(n int) []Member {
 	ps := s.sortedPeers(func(*peer) bool { return true })
 	ms := make([]Member, 0, n)
