--- a/internal/balancer/reducer/changes_test.go
+++ b/internal/balancer/reducer/changes_test.go
@@ -43,15 +43,15 @@
 	return found
 }
 
-// usePreset changes the preset. The balancers receive it at different times within two
-// seconds.
+// usePreset changes the preset. Three of four balancers receive the new configuration directly,
+// at different times within two seconds.
 func (f *fleet) usePreset(name string) {
 	f.config = f.config.WithPreset(name).WithRevision(f.config.Revision + 1)
 	c := f.config
 	for i, name := range f.order {
 		n := f.nodes[name]
 		if i%4 == 3 {
-			// This balancer receives the new revision only by gossip.
+			// This balancer learns of the new revision only by gossip and then fetches it.
 			continue
 		}
 		f.after(time.Duration(i)*200*time.Millisecond, func() {
--- a/internal/balancer/reducer/experiment_test.go
+++ b/internal/balancer/reducer/experiment_test.go
@@ -23,7 +23,8 @@
 
 var experimentFlows = flag.Int("experiment", 0, "flows of the comparison with baselines; 0 skips it")
 
-// baseline selects an upstream for a packet from the state of one balancer.
+// baseline selects an upstream for a packet from the state of one balancer. It returns an index
+// into pool, or -1 if pool is empty.
 type baseline func(f *fleet, n *node, c *caller, flags tcpFlags, pool []upstream.Upstream) int
 
 func (f *fleet) routeBaseline(n *node, c *caller, flags tcpFlags, data []byte) {
@@ -120,6 +121,7 @@
 	{"partition 10 s", func(f *fleet) { f.partition(f.site.zones[2], 10*time.Second) }},
 }
 
+// doubleFailure stops a balancer, and another one after an interval.
 func (f *fleet) doubleFailure(interval time.Duration) {
 	f.nodes["b004"].alive = false
 	f.after(interval, func() { f.nodes["b005"].alive = false })
--- a/internal/balancer/reducer/failures_test.go
+++ b/internal/balancer/reducer/failures_test.go
@@ -49,8 +49,8 @@
 	require.Zero(t, f.misdelivered)
 }
 
-// An upstream announces Draining to one balancer while flows are opened. Updates that wait for
-// the next probes take seconds; until then, the upstream would get new flows.
+// An upstream announces Draining to one balancer while flows are opened. If updates were
+// sent only with the next probes, the upstream would get new flows for seconds.
 func TestDrainEndsNewFlowsWithinASecond(t *testing.T) {
 	f := suezFleet(6)
 	f.openFlows(500, "orders", time.Second, time.Second)
@@ -87,8 +87,8 @@
 	require.NotZero(t, foreign, "packets of the old flows were dropped")
 }
 
-// An upstream is withdrawn. Gossip that lists the upstream as ready arrives later; unless the
-// withdrawal is kept, the upstream gets new flows again.
+// An upstream is withdrawn. Gossip that lists the upstream as ready arrives later. If balancers
+// did not keep the withdrawal, the upstream would get new flows again.
 func TestLateGossipDoesNotRestoreAWithdrawnUpstream(t *testing.T) {
 	f := suezFleet(8)
 	u := f.anyUpstream()
@@ -117,8 +117,8 @@
 	require.Zero(t, f.broken)
 }
 
-// After 600 flows are established, 20,000 SYNs arrive that are never confirmed. Without a limit
-// of their own, half-open flows would evict the established flows.
+// After 600 flows are established, 20,000 SYNs arrive whose handshakes are never completed. Without
+// a limit of their own, half-open flows would evict the established flows.
 func TestSYNFloodEvictsNoFlow(t *testing.T) {
 	f := newFleet(10)
 	f.maxFlows = 1000
@@ -153,7 +153,7 @@
 	require.Len(t, f.nodes["b002"].reducer.Members(), 9, "b004 stays a member")
 }
 
-// Both sides of a partition open flows. After its end, packets of all flows reach all
+// Both sides of a partition open flows. After the partition, packets of all flows reach all
 // balancers, but a flow's owner may not yet store a flow that the other side opened. No flow
 // may break.
 func TestFlowsOfBothSidesSurviveAPartition(t *testing.T) {
--- a/internal/balancer/reducer/fleet_test.go
+++ b/internal/balancer/reducer/fleet_test.go
@@ -51,7 +51,7 @@
 	duplicate        float64
 	jitter           time.Duration
 	maxFlows         int
-	// repair is RepairBytes of the routers, and lost their LostPolicy.
+	// repair is the routers' RepairBytes, and lost is their LostPolicy.
 	repair int
 	lost   router.LostPolicy
 	// sticky sends all packets of a caller to the same balancer.
@@ -85,7 +85,8 @@
 }
 
 type caller struct {
-	source   netip.AddrPort
+	source netip.AddrPort
+	// service is the address of the called service, and name is its name.
 	service  netip.AddrPort
 	name     string
 	upstream netip.AddrPort
@@ -267,7 +268,7 @@
 }
 
 // deliver delivers a message after the network latency, unless it is lost or the link is
-// cut.
+// cut. A duplicated message is delivered twice.
 func (f *fleet) deliver(fromZone, toZone, from, to string, run func()) {
 	if f.cut != nil && (f.cut(fromZone, toZone) || f.cut(from, to)) || f.random.Float64() < f.loss {
 		return
@@ -336,7 +337,7 @@
 	return all[f.random.IntN(len(all))]
 }
 
-// call opens a flow that then sends a request per interval.
+// call opens a flow that then sends requests, each an interval after the last response.
 func (f *fleet) call(i int, service string, interval time.Duration) *caller {
 	s, _ := f.config.Service(service)
 	c := &caller{
@@ -519,8 +520,8 @@
 	f.broken++
 }
 
-// imbalance returns the maximum divided by the mean of the open flows per live upstream
-// of a service.
+// imbalance returns the maximum divided by the mean of the open flows per live and ready
+// upstream of a service.
 func (f *fleet) imbalance(service string) float64 {
 	counts := map[netip.AddrPort]int{}
 	for a, b := range f.upstreams {
@@ -550,7 +551,7 @@
 	balancers int
 	// between is the latency between zones.
 	between time.Duration
-	// upstreams and secondary are the numbers of upstreams of the services orders and notes.
+	// upstreams and secondary are the numbers of upstreams of orders and of notes.
 	upstreams, secondary int
 }
 
@@ -563,7 +564,8 @@
 	}
 )
 
-// suezFleet returns a fleet of nine balancers in three zones with 15 and 4 upstreams.
+// suezFleet returns a fleet of nine balancers in three zones, with 15 upstreams of orders and
+// 4 of notes.
 func suezFleet(seed uint64) *fleet { return newSite(suezSite, seed, 20000) }
 
 func newSite(s site, seed uint64, maxFlows int) *fleet {
--- a/internal/balancer/reducer/pool_test.go
+++ b/internal/balancer/reducer/pool_test.go
@@ -13,9 +13,9 @@
 	"wasabideal/internal/model/upstream"
 )
 
-// Each balancer used to send a renewal only twice, and some balancers missed the three renewals
-// of a lease in a row. Their pools lacked an upstream for a moment, which breaks flows that are
-// routed by hash alone.
+// Each balancer used to send a renewal of an upstream's lease only twice, and some balancers
+// missed the three renewals of a lease in a row. Their pools lacked the upstream for a moment,
+// which breaks flows that are routed by hash alone.
 func TestStablePoolsDoNotFlap(t *testing.T) {
 	short := 0
 	for seed := range uint64(5) {
--- a/internal/balancer/reducer/reducer.go
+++ b/internal/balancer/reducer/reducer.go
@@ -307,8 +307,9 @@
 // minRankInterval is the minimum interval between two rankings.
 const minRankInterval = 500 * time.Millisecond
 
-// updateRanking updates the ranking of the members, at most once per minRankInterval:
-// when many members join at once, each would otherwise cause a new ranking of all slots.
+// updateRanking passes changed members to the router, which ranks them for each slot. It does so at
+// most once per minRankInterval: when many members join at once, each would otherwise cause a new
+// ranking of all slots.
 func (r *Reducer) updateRanking(now time.Time) {
 	if r.ranked || now.Sub(r.lastRank) < minRankInterval {
 		return
--- a/internal/balancer/reducer/spread_test.go
+++ b/internal/balancer/reducer/spread_test.go
@@ -25,8 +25,8 @@
 }
 
 // A balancer without a disk restarts in an isolated zone and receives an old revision. If it
-// adopted the last revision instead of the highest, the old configuration would replace a newer
-// one.
+// adopted the revision received last instead of the highest, the old configuration would replace
+// a newer one.
 func TestRestartInAnIsolatedZoneUsesTheHighestRevision(t *testing.T) {
 	f := suezFleet(22)
 	f.usePreset("maintenance")
