--- a/internal/configuration/history/history.go
+++ b/internal/configuration/history/history.go
@@ -15,7 +15,7 @@
 	"wasabideal/internal/model/roster"
 )
 
-// Delta is the change from one revision to the next.
+// Delta is the change from one published revision to the next; To may be more than From + 1.
 type Delta struct {
 	From, To        uint64
 	InForce         string
--- a/internal/model/configuration/configuration.go
+++ b/internal/model/configuration/configuration.go
@@ -19,12 +19,13 @@
 type Service struct {
 	Name     string
 	Protocol string
-	// Group is the group of balancers that serve it; empty means all balancers.
+	// Group is the group of balancers that serve the service; empty means all balancers.
 	Group     string
 	Addresses []netip.AddrPort
 	// TokenSha256 is the SHA-256 digest in hex of the token that upstreams authenticate with.
 	TokenSha256 string
-	// Repeatable is set if a request without an idempotency key may be retried.
+	// Repeatable is set if a request without an idempotency key may be retried whatever its
+	// method.
 	Repeatable bool
 	// Priority ranks services under overload; the highest priority is served first.
 	Priority int
