--- a/internal/request/door/door_test.go
+++ b/internal/request/door/door_test.go
@@ -184,8 +184,8 @@
 	require.EqualValues(t, 10, runs.Load())
 }
 
-// All slots are taken until after a request's deadline. If the request were queued, it would be
-// rejected only at the deadline, so it must be rejected at once and its key released.
+// Requests without a response take all slots and fill the queue. A further request would wait
+// until its deadline, so it must be rejected at once and its key released.
 func TestRequestThatCannotMeetItsDeadlineIsRejectedAtOnce(t *testing.T) {
 	release := make(chan struct{})
 	e := newFixture(t, func(w http.ResponseWriter, _ *http.Request) {
