--- a/internal/soak/fleet/fleet.go
+++ b/internal/soak/fleet/fleet.go
@@ -41,7 +41,7 @@
 	mu      sync.Mutex
 	command *exec.Cmd
 	exited  chan struct{}
-	// exitExpected is set once Stop or Kill was called.
+	// exitExpected is set if Stop or Kill was called since the last Start.
 	exitExpected bool
 }
 
@@ -88,7 +88,8 @@
 // Kill kills the process and waits until it has exited.
 func (p *Process) Kill() { <-p.signal(syscall.SIGKILL, true) }
 
-// Stop sends SIGTERM and waits until the process has exited.
+// Stop sends SIGTERM and waits until the process has exited. After stopTimeout, Stop kills the process
+// and returns an ExitError.
 func (p *Process) Stop() error {
 	exited := p.signal(syscall.SIGTERM, true)
 	select {
--- a/internal/soak/run/evacuate.go
+++ b/internal/soak/run/evacuate.go
@@ -37,7 +37,8 @@
 	}
 }
 
-// requestEvacuation sends the request to the voters in turn until one acknowledges it.
+// requestEvacuation starts or ends the evacuation of a zone. It sends the request to the voters in
+// turn, beginning with voter n, until one acknowledges the request. The result is whether one did.
 func (r *Run) requestEvacuation(n int, zone string, evacuate bool) bool {
 	for try := range r.voterAPIs {
 		api := r.voterAPIs[(n+try)%len(r.voterAPIs)]
--- a/internal/soak/run/faults.go
+++ b/internal/soak/run/faults.go
@@ -80,11 +80,12 @@
 	}
 }
 
-// faultsPerDiskFault is the mean number of other faults for each disk fault.
+// faultsPerDiskFault is the mean number of faults of injectFault for each disk fault.
 const faultsPerDiskFault = 5
 
-// diskFault makes a voter's disk reject writes for a while, or restarts the voter as after a power
-// failure: the log then ends in the middle of an unsynced record.
+// diskFault injects a fault in one of faultsPerDiskFault calls. The disk of a voter rejects writes
+// for a while, or the voter restarts as after a power failure: its log then ends in the middle of an
+// unsynced record.
 func (r *Run) diskFault(random *rand.Rand) {
 	kind, voter := random.IntN(2*faultsPerDiskFault), random.IntN(voters)
 	duration := time.Duration(random.Int64N(int64(maxFaultDuration)))
@@ -209,10 +210,11 @@
 	})
 }
 
-// faultsPerUpstreamRestart is the mean number of other faults for each upstream restart.
+// faultsPerUpstreamRestart is the mean number of faults of injectFault for each upstream restart.
 const faultsPerUpstreamRestart = 4
 
-// restartUpstream simulates a crash and restart of an upstream, which keeps its incarnation.
+// restartUpstream acts in one of faultsPerUpstreamRestart calls: an upstream crashes and restarts with
+// the same incarnation.
 func (r *Run) restartUpstream(random *rand.Rand) {
 	r.mu.Lock()
 	u := r.upstreams[random.IntN(len(r.upstreams))]
@@ -233,8 +235,9 @@
 	}
 }
 
-// checkRecovery verifies that after the last fault all voters return the newest acknowledged
-// configuration and requests are answered.
+// checkRecovery verifies the state after the last fault. Within recoveryTimeout, all voters must
+// answer reads (see checkRead). In the time after that, half of faultSettleTime, at least ten requests
+// must be answered, and at least ten for each lost request or opening. No process may have exited.
 func (r *Run) checkRecovery() {
 	end := time.Now().Add(recoveryTimeout)
 	for !r.allVotersServeReads() {
--- a/internal/soak/run/operate.go
+++ b/internal/soak/run/operate.go
@@ -9,7 +9,8 @@
 	"wasabideal/internal/model/configuration"
 )
 
-// publish sends the next configuration to the voters in turn until one accepts it.
+// publish sends the next configuration to the voters in turn until one accepts it. The result is
+// whether one did.
 func (r *Run) publish() bool {
 	r.mu.Lock()
 	r.published++
--- a/internal/soak/run/platform.go
+++ b/internal/soak/run/platform.go
@@ -28,7 +28,8 @@
 	// Advertise is the RPC address that other processes use.
 	Advertise string
 	// Seeds are API addresses of some voters, separated by commas.
-	Seeds    string
+	Seeds string
+	// Founding is set for a voter that starts a new system instead of joining the existing one.
 	Founding bool
 	Folder   string
 }
@@ -50,19 +51,19 @@
 	Publish(ctx context.Context, address string, c configuration.Configuration) error
 	// Read returns the newest configuration revision that the voter with an API address reports.
 	Read(ctx context.Context, address string) (uint64, error)
-	// Ready reports whether a balancer is ready for traffic.
+	// Ready reports whether the balancer with an address for readiness checks is ready for traffic.
 	Ready(ctx context.Context, address string) bool
 	// Evacuate starts the evacuation of a zone if on is set, else ends the evacuation. It returns
 	// nil once the request is acknowledged.
 	Evacuate(ctx context.Context, address, zone string, on bool) error
-	// Announce sends one announcement. It returns the address for later announcements, or an empty
-	// string if the address does not change.
+	// Announce sends one announcement to an address. It returns the address for later announcements,
+	// or an empty string if the address does not change.
 	Announce(ctx context.Context, address string, u upstream.Upstream) (string, error)
 	// Encode encodes a packet that a caller or an upstream sends.
 	Encode(s Segment) []byte
-	// Decode decodes a packet received by an upstream, if atUpstream is set, or else by a caller.
-	// A packet to an upstream begins with the incarnation of its target, the uint64; for a caller,
-	// the uint64 is 0.
+	// Decode decodes a packet that an upstream has received if atUpstream is set, or else a caller.
+	// The uint64 is the incarnation of the upstream to which the packet was sent. For a packet to a
+	// caller, the uint64 is 0.
 	Decode(b []byte, atUpstream bool) (Segment, uint64, error)
 }
 
--- a/internal/soak/run/run.go
+++ b/internal/soak/run/run.go
@@ -65,9 +65,10 @@
 	acknowledged, published uint64
 	readyBalancers          []string
 	result                  Result
-	lastFault               time.Time
-	replacingDisk           atomic.Bool
-	network                 network
+	// lastFault is the time by which the last injected fault has ended at the latest.
+	lastFault     time.Time
+	replacingDisk atomic.Bool
+	network       network
 	// callersCPU and upstreamsCPU are the CPUs that all callers and all upstreams share.
 	callersCPU, upstreamsCPU               simulatedCPU
 	ended                                  bool
@@ -361,7 +362,8 @@
 }
 
 // timeBoundsReference returns the time against which time bounds are checked, usually now. If a
-// fault was active within faultSettleTime, the result is the zero time, which violates no bound.
+// fault may have been active in the last faultSettleTime, the result is the zero time, which violates
+// no bound.
 func (r *Run) timeBoundsReference() time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/soak/run/stalls.go
+++ b/internal/soak/run/stalls.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// A stall is a time in which a process or simulated VM gets no CPU time.
+// A stall is a time in which processes, upstreams or callers get no CPU time.
 const (
 	minStall = 50 * time.Millisecond
 	maxStall = 1500 * time.Millisecond
-	// faultsPerStall is the mean number of other faults for each stall.
+	// faultsPerStall is the mean number of faults of injectFault for each stall.
 	faultsPerStall = 3
 	stallKinds     = 5
 )
@@ -31,8 +31,8 @@
 	time.Sleep(duration)
 }
 
-// stall withholds the CPU from one process or upstream, or from all processes, upstreams or callers at
-// once. No process is notified.
+// stall starts a stall in one of faultsPerStall calls. The stall affects one process or upstream, or
+// all processes, all upstreams or all callers. No process is notified.
 func (r *Run) stall(random *rand.Rand) {
 	kind, pick := random.IntN(stallKinds*faultsPerStall), random.Int()
 	duration := minStall + time.Duration(random.Int64N(int64(maxStall-minStall)))
--- a/internal/soak/run/upstreams.go
+++ b/internal/soak/run/upstreams.go
@@ -28,8 +28,7 @@
 	Request     string
 }
 
-// simulatedUpstream is one upstream with its flows. The upstream announces itself to the address in
-// the last referral, or else to a voter.
+// simulatedUpstream is one upstream with its flows.
 type simulatedUpstream struct {
 	run  *Run
 	self upstream.Upstream
@@ -84,8 +83,9 @@
 	u.cpu.wait()
 }
 
-// announce sends announcements at AnnounceInterval to the address in the last referral, or else to any
-// voter.
+// announce sends an announcement every AnnounceInterval. The response may refer the upstream to an
+// address for later announcements. Without such an address, or if the call to the address fails, the
+// announcement goes to the voters in turn until a call succeeds.
 func (u *simulatedUpstream) announce() {
 	next := ""
 	for n := 0; ; n++ {
