--- a/internal/capacity/measure/configuration.go
+++ b/internal/capacity/measure/configuration.go
@@ -95,8 +95,8 @@
 	return t / float64(time.Microsecond), applyErr
 }
 
-// fanoutMicros measures the time until a change has reached all followers that poll one source over
-// TCP.
+// fanoutMicros returns the time, in microseconds, until a change has reached the given number of
+// followers, which all poll one source over TCP.
 func fanoutMicros(size float64) (float64, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
--- a/internal/capacity/measure/fanout.go
+++ b/internal/capacity/measure/fanout.go
@@ -36,14 +36,14 @@
 	}
 }
 
-// voterName returns the address of the n-th voter.
-func voterName(n int) string { return fmt.Sprintf("10.%d.0.12:7720", n+1) }
+// voterAddress returns the address of the n-th voter.
+func voterAddress(n int) string { return fmt.Sprintf("10.%d.0.12:7720", n+1) }
 
 // newOrigins returns the state that a balancer has received from a number of voters.
 func newOrigins(voters int) *origins.Origins {
 	o := origins.New()
 	for n := range voters {
-		o.Apply(cookieEpoch, origins.Update{VoterVersion: origins.VoterVersion{Voter: voterName(n), Life: 1 << 60, Version: 100_000, Doubts: 100}})
+		o.Apply(cookieEpoch, origins.Update{VoterVersion: origins.VoterVersion{Voter: voterAddress(n), Life: 1 << 60, Version: 100_000, Doubts: 100}})
 	}
 	return o
 }
@@ -76,7 +76,7 @@
 		for u := range int(size) / measuredVoters {
 			notices = append(notices, directory.Notice{Upstream: upstreamAt(u*measuredVoters + n)})
 		}
-		p.view.Apply(cookieEpoch, view.Update{Voter: voterName(n), Life: 1 << 60, Version: 100_000, Contact: cookieEpoch, Notices: notices})
+		p.view.Apply(cookieEpoch, view.Update{Voter: voterAddress(n), Life: 1 << 60, Version: 100_000, Contact: cookieEpoch, Notices: notices})
 	}
 	r := relay.New(p, func() time.Time { return cookieEpoch }, 1)
 	q := relay.Request{From: "10.1.0.10:7720", Known: p.origins.VoterVersions(cookieEpoch)}
--- a/internal/capacity/measure/flows.go
+++ b/internal/capacity/measure/flows.go
@@ -114,7 +114,8 @@
 	}
 }
 
-// hitNanos measures packets of known flows that are spread over the whole table.
+// hitNanos returns the time to route a packet of a known flow, in nanoseconds, with the given number
+// of flows in the table. The packets cover all these flows.
 func hitNanos(size float64) (float64, error) {
 	r := newRouter(1, currentUpstreams, int(size))
 	for _, syn := range []bool{true, false, false} {
@@ -131,7 +132,8 @@
 	return nanos(len(ps), func() { routePackets(r, ps) }), nil
 }
 
-// relayNanos measures packets of flows that another member holds.
+// relayNanos returns the time to route a packet of a flow that another member holds, in nanoseconds,
+// with the given number of members.
 func relayNanos(size float64) (float64, error) {
 	r := newRouter(int(size), currentUpstreams, sampleFlows)
 	ps, err := packets(sampleFlows, false)
--- a/internal/capacity/measure/group.go
+++ b/internal/capacity/measure/group.go
@@ -18,8 +18,8 @@
 
 const (
 	tick = 100 * time.Millisecond
-	// settleTicks is the number of ticks before the measurement, countedTicks the number of
-	// measured ticks.
+	// Two times settleTicks ticks pass before the measurement, six times settleTicks if there are
+	// upstreams. countedTicks is the number of measured ticks.
 	settleTicks   = 100
 	countedTicks  = 100
 	groupToken    = "group"
--- a/internal/capacity/page/cookie.go
+++ b/internal/capacity/page/cookie.go
@@ -31,8 +31,8 @@
 	maxFollowers = 10.0
 	// smallZone is the maximum size of a zone in which all balancers follow the voters.
 	smallZone = 8.0
-	// reportSeconds is the interval of the reports of followers. In a report, a follower takes
-	// FleetBytes and entryBytes.
+	// reportSeconds is the interval of reports about balancers. Each balancer in a report takes the
+	// gradient of FleetBytes plus entryBytes.
 	reportSeconds = 5.0
 	entryBytes    = 6.0
 	// voterDescriptors is the limit of open file descriptors of a voter.
--- a/internal/capacity/page/lines.go
+++ b/internal/capacity/page/lines.go
@@ -62,7 +62,8 @@
 	// dedicatedLimit is the maximum number of dedicated VMs.
 	spreadLimit    = 12.0
 	dedicatedLimit = 20.0
-	// hopSeconds is the time of a pending long poll, its response and a sync.
+	// hopSeconds is the time in which a change passes from one process to the next: the response to a
+	// pending long poll, and a sync.
 	hopSeconds = 0.05
 )
 
@@ -75,7 +76,7 @@
 	measure.QuestionMicros, measure.FollowMicros, measure.FollowBytes, measure.HandoverMicros, measure.FleetBytes, measure.PlaceMicros, measure.ViewBytes,
 }
 
-// line is one resource of a role; a limit of 0 means none.
+// line is one resource of a role. A limit of 0 means that the resource has no limit.
 type line struct {
 	role, resource, formula, mechanism string
 	value, limit                       float64
@@ -91,7 +92,8 @@
 // changeRate is the changes per second in the busiest hour, which has a fifth of the day's changes.
 func (s size) changeRate() float64 { return s.changesPerDay / 5 / 3600 }
 
-// memberChanges is the number of member changes per second in one group: three for each restart.
+// memberChanges is the number of member changes per second in one group: three for each restart and
+// one for each death.
 func (s size) memberChanges() float64 {
 	return (3*s.restartsPerDay + s.deathsPerDay) / secondsPerDay / s.groups()
 }
