--- a/internal/demo/run/run.go
+++ b/internal/demo/run/run.go
@@ -186,7 +186,7 @@
 	return nil
 }
 
-// startRequests starts sending requests that may run at most once to random balancers.
+// startRequests starts sending requests to random balancers; each request may run at most once.
 func (d *Demo) startRequests(ctx context.Context) {
 	d.requests = requester.New(requester.Settings{
 		Service: "orders", HTTPAddresses: func() []string { return d.cluster.httpAddresses("orders") }, Runs: d.cluster.runCount,
--- a/internal/load/run/run.go
+++ b/internal/load/run/run.go
@@ -62,7 +62,8 @@
 	Unanswered, LeftUnknown                                int
 	DoubleRun, FalseNotRun                                 int
 	RequestMillis                                          Quantiles
-	Imbalance                                              float64
+	// Imbalance is the number of open flows of the most loaded upstream, divided by the mean.
+	Imbalance float64
 }
 
 // Load is a load run.
--- a/internal/standin/requester/requester.go
+++ b/internal/standin/requester/requester.go
@@ -32,7 +32,7 @@
 	// HTTPAddresses returns the HTTP addresses of the balancers; each attempt goes to a random
 	// address.
 	HTTPAddresses func() []string
-	// Runs returns how often the upstreams have run a request key.
+	// Runs returns how often the upstreams have run the request with a key.
 	Runs    func(key string) int
 	Timeout time.Duration
 	Seed    uint64
@@ -110,7 +110,8 @@
 	}
 }
 
-// sendUntilAnswered retries a request with the same key until it is answered.
+// sendUntilAnswered sends a request at most maxAttempts times, with the same key, until it is
+// answered.
 func (r *Requester) sendUntilAnswered(key string) {
 	begin := time.Now()
 	outcome := ""
@@ -152,7 +153,8 @@
 	return addresses[r.random.IntN(len(addresses))]
 }
 
-// send sends a request once, verifies the response and returns the reported outcome.
+// send sends a request once, verifies the response and returns the reported outcome. Without a
+// response, the outcome is empty.
 func (r *Requester) send(key string) string {
 	request, err := http.NewRequest(http.MethodPost, "http://"+r.randomAddress()+"/nominate", strings.NewReader("barge for "+key))
 	if err != nil {
--- a/internal/standin/upstream/http.go
+++ b/internal/standin/upstream/http.go
@@ -34,8 +34,9 @@
 	_, _ = fmt.Fprintf(w, "%s %s %s\n", u.settings.Service, key, body)
 }
 
-// acquireSlot acquires a slot and returns the service time of the request. A
-// draining upstream still runs the requests that reach it.
+// acquireSlot acquires a slot, counts a run of the request key and returns the service time of the
+// request. The bool is false if no slot is free. A draining upstream still runs the requests that
+// reach it.
 func (u *Upstream) acquireSlot(key string) (time.Duration, bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
--- a/internal/standin/upstream/upstream.go
+++ b/internal/standin/upstream/upstream.go
@@ -36,6 +36,8 @@
 
 // Counts holds what an upstream has received and sent.
 type Counts struct {
+	// Accepted counts opened flows, and Open the flows that are still open. Resets counts packets that
+	// were answered with a reset because their flow is not open.
 	Accepted, Open, Misdelivered, Resets int
 	// LastArrival is the time of the latest new flow or request.
 	LastArrival time.Time
