--- a/internal/disk/fault/fault.go
+++ b/internal/disk/fault/fault.go
@@ -41,7 +41,7 @@
 	}
 }
 
-// inject counts an operation and returns the injected error if it is to fail.
+// inject counts an operation, and returns an InjectedError if FailAt and FailOnce select the operation.
 func (f *Folder) inject(operation string) error {
 	f.Operations++
 	failed := f.FailAt > 0 && f.Operations >= f.FailAt
--- a/internal/disk/wal/wal.go
+++ b/internal/disk/wal/wal.go
@@ -110,7 +110,8 @@
 	return l.failed
 }
 
-// Write appends a vote and entries, or compacts the log to a snapshot, and returns once the data is synced.
+// Write appends a record with a vote and entries. If p has a snapshot, Write replaces the snapshot and
+// the log instead. Write returns once the data is synced.
 func (l *Log) Write(p agreement.Persist) error {
 	if l.failed != nil {
 		return l.failed
--- a/internal/wire/datagram/datagram.go
+++ b/internal/wire/datagram/datagram.go
@@ -101,7 +101,7 @@
 }
 
 // Flush sends the queued datagrams. A datagram that the kernel rejects is skipped, as if the
-// network had lost it.
+// network had lost it. The error is that of the last skipped datagram.
 func (s *Socket) Flush() error {
 	var failed error
 	for sent := 0; sent < s.queued; {
--- a/internal/wire/rpc/client.go
+++ b/internal/wire/rpc/client.go
@@ -35,7 +35,7 @@
 
 // Client calls one address, one call at a time.
 //
-// A call that fails or times out also closes the connection, so that the next call redials: a
+// A call without a response (LostError) also closes the connection, so that the next call redials: a
 // connection can stop responding while new connections work.
 type Client struct {
 	address, token string
