--- a/cmd/capacity.go
+++ b/cmd/capacity.go
@@ -26,7 +26,7 @@
 // Help shows an example.
 func (capacityCommand) Help() string { return "Example: wasabideal capacity --no-measure" }
 
-// Run measures and writes both files.
+// Run measures and writes the slopes unless Measure is false, and then writes the page.
 func (c *capacityCommand) Run() error {
 	if c.Measure {
 		if err := c.measure(); err != nil {
@@ -71,7 +71,8 @@
 	return nil
 }
 
-// mergeWithFile returns the slopes of the file, with newly measured ones replaced or added.
+// mergeWithFile returns the slopes of the file, updated with newly measured slopes. A measured slope
+// replaces the slope of the same name, or is added.
 func (c *capacityCommand) mergeWithFile(slopes []slope.Slope) ([]slope.Slope, error) {
 	b, err := os.ReadFile(c.Slopes)
 	if err != nil {
--- a/cmd/followers.go
+++ b/cmd/followers.go
@@ -7,7 +7,7 @@
 	"wasabideal/internal/log/followers"
 )
 
-// followersCommand prints which balancer receives its configuration from which.
+// followersCommand prints the parent of each balancer, from the balancers' logs.
 type followersCommand struct {
 	Logs []string `arg:"" help:"Logs of balancers." type:"existingfile"`
 }
--- a/internal/log/followers/followers.go
+++ b/internal/log/followers/followers.go
@@ -44,7 +44,9 @@
 // balancer is the last logged state of a balancer.
 type balancer struct {
 	logLine
-	zone    string
+	// zone is the zone in the line 'start'; lines 'follows' have no zone.
+	zone string
+	// changes is the number of lines 'follows' since the balancer started.
 	changes int
 }
 
--- a/internal/log/story/causes.go
+++ b/internal/log/story/causes.go
@@ -67,7 +67,8 @@
 	return append(out, laterEvents(shown, first)...)
 }
 
-// laterEvents describes what happened to the upstream after a flow was placed.
+// laterEvents describes the first suspicion or departure of the upstream within contextWindow after a
+// flow was placed.
 func laterEvents(shown []line, placed line) []string {
 	if placed.Incarnation == "" || placed.Reason == router.Ended.String() {
 		return nil
--- a/internal/operator/client/client.go
+++ b/internal/operator/client/client.go
@@ -121,7 +121,7 @@
 	return newest, last
 }
 
-// Audit returns the longest audit trail of all voters.
+// Audit asks each voter for the given number of last audit lines, and returns the longest response.
 func (c *Client) Audit(ctx context.Context, last int) ([]audit.Line, error) {
 	var lines []audit.Line
 	var failed error
--- a/internal/start/serve/serve.go
+++ b/internal/start/serve/serve.go
@@ -13,8 +13,8 @@
 	"wasabideal/internal/daemon/control"
 )
 
-// Stage blocks until SIGTERM, SIGINT or a request of an operator starts the planned stop. A second
-// signal aborts the planned stop of the balancer.
+// Stage blocks until SIGTERM, SIGINT or a request of an operator starts the planned stop. A signal
+// during the planned stop of the balancer aborts it.
 type Stage struct{}
 
 // String names the stage.
