--- a/internal/balancer/reducer/changes_test.go
+++ b/internal/balancer/reducer/changes_test.go
@@ -31,7 +31,8 @@
 	f.announceOnce(b)
 }
 
-func (f *fleet) anyUpstream() *backend {
+// firstReadyUpstream returns the ready upstream of the service "orders" with the lowest address.
+func (f *fleet) firstReadyUpstream() *backend {
 	var found *backend
 	for _, b := range f.upstreams {
 		if b.Service == "orders" && b.alive && b.State == upstream.Ready {
@@ -43,13 +44,13 @@
 	return found
 }
 
-// usePreset changes the preset. Three of four balancers receive the new configuration directly,
+// usePreset changes the preset. Three of every four balancers receive the new configuration directly,
 // at different times within two seconds.
-func (f *fleet) usePreset(name string) {
-	f.config = f.config.WithPreset(name).WithRevision(f.config.Revision + 1)
+func (f *fleet) usePreset(preset string) {
+	f.config = f.config.WithPreset(preset).WithRevision(f.config.Revision + 1)
 	c := f.config
-	for i, name := range f.order {
-		n := f.nodes[name]
+	for i, balancer := range f.order {
+		n := f.nodes[balancer]
 		if i%4 == 3 {
 			// This balancer learns of the new revision only by gossip and then fetches it.
 			continue
--- a/internal/balancer/reducer/experiment_test.go
+++ b/internal/balancer/reducer/experiment_test.go
@@ -116,7 +116,7 @@
 	{"double death 20 s apart", func(f *fleet) { f.doubleFailure(20 * time.Second) }},
 	{"join", func(f *fleet) { f.addNode(20, f.site.zones[1]) }},
 	{"planned stop", func(f *fleet) { f.leave(f.nodes["b004"]) }},
-	{"drain", func(f *fleet) { f.drain(f.anyUpstream()) }},
+	{"drain", func(f *fleet) { f.drain(f.firstReadyUpstream()) }},
 	{"preset switch", func(f *fleet) { f.usePreset("peak") }},
 	{"partition 10 s", func(f *fleet) { f.partition(f.site.zones[2], 10*time.Second) }},
 }
--- a/internal/balancer/reducer/failures_test.go
+++ b/internal/balancer/reducer/failures_test.go
@@ -43,7 +43,7 @@
 	f.leave(f.nodes["b004"])
 	f.run(15 * time.Second)
 	require.False(t, f.nodes["b004"].alive, "the planned stop completes")
-	f.drain(f.anyUpstream())
+	f.drain(f.firstReadyUpstream())
 	f.run(5 * time.Second)
 	require.Zero(t, f.broken)
 	require.Zero(t, f.misdelivered)
@@ -54,7 +54,7 @@
 func TestDrainEndsNewFlowsWithinASecond(t *testing.T) {
 	f := suezFleet(6)
 	f.openFlows(500, "orders", time.Second, time.Second)
-	u := f.anyUpstream()
+	u := f.firstReadyUpstream()
 	begin := f.now
 	f.drain(u)
 	f.openFlows(3000, "orders", 3*time.Second, 10*time.Second)
@@ -68,7 +68,7 @@
 func TestReusedAddressReceivesNoOldFlows(t *testing.T) {
 	f := suezFleet(7)
 	f.openFlows(600, "orders", time.Second, 500*time.Millisecond)
-	u := f.anyUpstream()
+	u := f.firstReadyUpstream()
 	require.NotEmpty(t, u.connections)
 	u.alive = false
 	b := &backend{alive: true, connections: map[string]bool{}, Upstream: u.Upstream}
@@ -91,7 +91,7 @@
 // did not keep the withdrawal, the upstream would get new flows again.
 func TestLateGossipDoesNotRestoreAWithdrawnUpstream(t *testing.T) {
 	f := suezFleet(8)
-	u := f.anyUpstream()
+	u := f.firstReadyUpstream()
 	old := u.Upstream
 	u.State = upstream.Withdrawn
 	u.Sequence++
--- a/internal/balancer/reducer/pool_test.go
+++ b/internal/balancer/reducer/pool_test.go
@@ -39,8 +39,8 @@
 func TestEvacuatedZoneLeavesThePool(t *testing.T) {
 	f := suezFleet(9)
 	f.openFlows(300, "orders", time.Second, time.Second)
-	first := evacuation.Evacuations{}.With(evacuation.Zone{Name: "Adabiya", Evacuated: true})
-	second := first.With(evacuation.Zone{Name: "Adabiya"})
+	first := evacuation.Evacuations{}.WithOrder(evacuation.Zone{Name: "Adabiya", Evacuated: true})
+	second := first.WithOrder(evacuation.Zone{Name: "Adabiya"})
 	inZone := func(n *node) int {
 		return lo.CountBy(n.reducer.Serving(f.now, "orders"), func(u upstream.Upstream) bool { return u.Zone == "Adabiya" })
 	}
--- a/internal/balancer/reducer/spread_test.go
+++ b/internal/balancer/reducer/spread_test.go
@@ -108,7 +108,7 @@
 func TestUpstreamRestartBreaksOnlyItsOwnFlows(t *testing.T) {
 	f := suezFleet(26)
 	f.openFlows(300, "orders", time.Second, time.Second)
-	u := f.anyUpstream()
+	u := f.firstReadyUpstream()
 	own := len(u.connections)
 	u.connections = map[string]bool{}
 	u.Incarnation++
@@ -139,7 +139,7 @@
 		}
 	}
 	require.InDelta(t, 800, near, 120, fmt.Sprint("flows kept in the big zone of ", 2400))
-	require.Equal(t, upstream.Ready, f.anyUpstream().State)
+	require.Equal(t, upstream.Ready, f.firstReadyUpstream().State)
 }
 
 // A service is moved to another group but remains in the configuration. A balancer of the first
--- a/internal/control/ledger/evacuate.go
+++ b/internal/control/ledger/evacuate.go
@@ -31,7 +31,7 @@
 	if c.ExpectRevision != current.Revision {
 		return Answer{Verdict: Conflict, Revision: current.Revision, WinnerKey: current.ChangeKey, WinnerWho: current.Who}
 	}
-	l.evacuations = l.evacuations.With(evacuation.Zone{
+	l.evacuations = l.evacuations.WithOrder(evacuation.Zone{
 		Name: x.Zone, Evacuated: x.On, Who: c.Who, When: c.When, ChangeKey: c.ChangeKey,
 	})
 	return Answer{Verdict: Accepted, Revision: l.evacuations.Revision}
--- a/internal/cookie/follower/follower_test.go
+++ b/internal/cookie/follower/follower_test.go
@@ -310,6 +310,6 @@
 		defer v.mu.Unlock()
 		return v.initialPolls > 0
 	})
-	v.feed.PublishEvacuations(evacuation.Evacuations{}.With(evacuation.Zone{Name: "a", Evacuated: true}))
+	v.feed.PublishEvacuations(evacuation.Evacuations{}.WithOrder(evacuation.Zone{Name: "a", Evacuated: true}))
 	eventually(t, func() bool { return h.Evacuations().Evacuated("a") })
 }
--- a/internal/cookie/router/cold_test.go
+++ b/internal/cookie/router/cold_test.go
@@ -126,14 +126,14 @@
 func TestZoneIsColdAfterItsEvacuation(t *testing.T) {
 	f := newColdFleet(t, 6, epoch.Add(-time.Minute), coldBalancers)
 	f.setTargets(epoch, target(1, "orders", "a"), target(2, "orders", "b"))
-	evacuated := evacuation.Evacuations{}.With(evacuation.Zone{Name: "a", Evacuated: true})
+	evacuated := evacuation.Evacuations{}.WithOrder(evacuation.Zone{Name: "a", Evacuated: true})
 	for _, r := range f.routers {
 		r.Evacuate(epoch, evacuated)
 	}
 	f.simulate(epoch, time.Second)
 	require.Zero(t, f.maxPerSecond(1))
 	for _, r := range f.routers {
-		r.Evacuate(epoch.Add(time.Second), evacuated.With(evacuation.Zone{Name: "a"}))
+		r.Evacuate(epoch.Add(time.Second), evacuated.WithOrder(evacuation.Zone{Name: "a"}))
 	}
 	f.simulate(epoch.Add(time.Second), 2900*time.Millisecond)
 	require.LessOrEqual(t, f.maxPerSecond(1), 6)
--- a/internal/cookie/router/evacuate_test.go
+++ b/internal/cookie/router/evacuate_test.go
@@ -14,7 +14,7 @@
 func evacuate(zones ...string) evacuation.Evacuations {
 	var e evacuation.Evacuations
 	for _, z := range zones {
-		e = e.With(evacuation.Zone{Name: z, Evacuated: true})
+		e = e.WithOrder(evacuation.Zone{Name: z, Evacuated: true})
 	}
 	return e
 }
@@ -44,7 +44,7 @@
 func TestOlderEvacuationsAreIgnored(t *testing.T) {
 	r := newRouter(t, target(1, "orders", "a"), target(2, "orders", "b"))
 	first := evacuate("a")
-	r.Evacuate(epoch, first.With(evacuation.Zone{Name: "a"}))
+	r.Evacuate(epoch, first.WithOrder(evacuation.Zone{Name: "a"}))
 	r.Evacuate(epoch, first)
 	require.Equal(t, []uint64{1, 2}, r.Pool("orders"))
 	require.Equal(t, uint64(2), r.EvacuationRevision())
@@ -56,6 +56,6 @@
 	v := r.Route(epoch, opening(1))
 	require.Equal(t, router.Reset, v.Action)
 	require.Equal(t, router.Evacuated, v.Reason)
-	r.Evacuate(epoch, evacuate("a").With(evacuation.Zone{Name: "a"}))
+	r.Evacuate(epoch, evacuate("a").WithOrder(evacuation.Zone{Name: "a"}))
 	require.Equal(t, router.Forward, r.Route(epoch.Add(time.Second), opening(2)).Action)
 }
--- a/internal/model/evacuation/evacuation.go
+++ b/internal/model/evacuation/evacuation.go
@@ -65,16 +65,17 @@
 	return lo.FilterMap(e.Zones, func(z Zone, _ int) (string, bool) { return z.Name, z.Evacuated })
 }
 
-// With returns the evacuations with an order added at the next revision.
-func (e Evacuations) With(z Zone) Evacuations {
+// WithOrder returns the evacuations of the next revision, with order in place of the previous order for
+// the zone.
+func (e Evacuations) WithOrder(order Zone) Evacuations {
 	e.Revision++
-	z.Revision = e.Revision
-	zones := lo.Reject(e.Zones, func(x Zone, _ int) bool { return x.Name == z.Name })
-	e.Zones = slices.SortedFunc(slices.Values(append(zones, z)), func(a, b Zone) int { return strings.Compare(a.Name, b.Name) })
+	order.Revision = e.Revision
+	zones := lo.Reject(e.Zones, func(x Zone, _ int) bool { return x.Name == order.Name })
+	e.Zones = slices.SortedFunc(slices.Values(append(zones, order)), func(a, b Zone) int { return strings.Compare(a.Name, b.Name) })
 	return e
 }
 
-// Check returns an InvalidError if no order for a zone with that name can be stored. A zone
+// Check returns an InvalidError if the name of a zone is invalid or no further zone can be stored. A zone
 // without known upstreams is accepted: a voter that has just started may lack their
 // announcements, and an operator must not have to wait in an emergency.
 func (e Evacuations) Check(name string) error {
--- a/internal/model/evacuation/evacuation_test.go
+++ b/internal/model/evacuation/evacuation_test.go
@@ -12,9 +12,9 @@
 
 func TestLatestOrderOfEachZoneIsStored(t *testing.T) {
 	var e evacuation.Evacuations
-	first := e.With(evacuation.Zone{Name: "b", Evacuated: true})
-	second := first.With(evacuation.Zone{Name: "a", Evacuated: true})
-	third := second.With(evacuation.Zone{Name: "b"})
+	first := e.WithOrder(evacuation.Zone{Name: "b", Evacuated: true})
+	second := first.WithOrder(evacuation.Zone{Name: "a", Evacuated: true})
+	third := second.WithOrder(evacuation.Zone{Name: "b"})
 	require.Zero(t, e.Revision, "immutable")
 	require.Equal(t, []string{"b"}, first.EvacuatedZones())
 	require.Equal(t, []string{"a", "b"}, second.EvacuatedZones())
@@ -31,7 +31,7 @@
 	}
 	for i := range 64 {
 		require.NoError(t, e.Check(fmt.Sprint("zone-", i)))
-		e = e.With(evacuation.Zone{Name: fmt.Sprint("zone-", i), Evacuated: true})
+		e = e.WithOrder(evacuation.Zone{Name: fmt.Sprint("zone-", i), Evacuated: true})
 	}
 	require.Error(t, e.Check("one-more"))
 	require.NoError(t, e.Check("zone-3"), "a stored zone accepts further orders")
--- a/internal/model/roster/roster.go
+++ b/internal/model/roster/roster.go
@@ -33,7 +33,7 @@
 // Settled reports whether the previous list is no longer in use.
 func (r Roster) Settled() bool { return len(r.Previous) == 0 }
 
-// WithMembers returns the next epoch with a new list; the current roster must
+// WithMembers returns the roster of the next epoch with a new list; the current roster must
 // be settled.
 func (r Roster) WithMembers(ms []Member) Roster {
 	return Roster{Version: r.Version + 1, Epoch: r.Epoch + 1, Members: ms, Previous: r.Members}
