--- a/internal/cookie/router/detection.go
+++ b/internal/cookie/router/detection.go
@@ -173,20 +173,21 @@
 	if !known {
 		mean = cmp.Or(unmeasuredFactor*t.service.medianResponseTime, unmeasuredResponseTime)
 	}
-	answerPending := math.Exp(-waited.Seconds() / max(mean, minResponseTime).Seconds())
-	return -math.Log(max(r.losses.rate(), min(answerPending, maxLossRate)))
+	pendingProbability := math.Exp(-waited.Seconds() / max(mean, minResponseTime).Seconds())
+	return -math.Log(max(r.losses.rate(), min(pendingProbability, maxLossRate)))
 }
 
-// reportUnanswered reports a retransmitted packet to the voters, once per request or opening,
-// unless the upstream has answered any packet since the first transmission.
+// reportUnanswered reports a retransmitted packet to the voters, once per request or opening.
+// It reports nothing before answerTimeout, or if the upstream has answered any packet since the first
+// transmission.
 func (r *Router) reportUnanswered(now time.Time, address netip.AddrPort, f *flow) {
 	t := f.target
 	if f.reported || now.Sub(f.sent) < answerTimeout || !t.lastAlive.Before(f.sent) {
 		return
 	}
 	if !f.opening && r.Class(address) == configuration.Upload {
-		// Upload bodies are also retransmitted on congested links, and answered only at
-		// their end.
+		// A retransmission in an upload is no evidence: congestion causes it too, and the
+		// upstream answers only after the whole body.
 		return
 	}
 	f.reported = true
--- a/internal/cookie/router/flow.go
+++ b/internal/cookie/router/flow.go
@@ -9,8 +9,8 @@
 	openingTTL = 2 * time.Second
 	// flowTTL is how long an idle flow is stored and counted as load.
 	flowTTL = 15 * time.Second
-	// requestTTL bounds how long a request counts as in flight: its flow may have moved to
-	// another balancer.
+	// requestTTL bounds how long a request counts as in flight. If its flow moves to another
+	// balancer, this balancer sees no later packet that would end the request.
 	requestTTL = 2 * time.Second
 	// maxFlows bounds the stored flows, about 150 bytes each. Further flows are forwarded
 	// but do not count as load.
--- a/internal/cookie/router/load_test.go
+++ b/internal/cookie/router/load_test.go
@@ -34,9 +34,9 @@
 
 // server is an upstream with slots, a queue, and a factor on its processing time.
 type server struct {
-	busy  int
-	queue []func()
-	slow  float64
+	busy     int
+	queue    []func()
+	slowdown float64
 	// refuses resets each connection at once, as a VM does whose process has ended.
 	refuses bool
 }
@@ -82,7 +82,7 @@
 	var targets []view.Target
 	for id := uint64(1); id <= upstreams; id++ {
 		targets = append(targets, target(id, "orders", "a"))
-		s.servers[id] = &server{slow: max(slow[id], 1)}
+		s.servers[id] = &server{slowdown: max(slow[id], 1)}
 	}
 	for i := range balancers {
 		r := router.New(router.Settings{Zone: "a", Seed: uint64(i) * seedStep})
@@ -111,6 +111,7 @@
 	s.AfterFunc(pause, func() {
 		c := &call{address: orders, begun: s.Now}
 		if s.random.IntN(4) == 0 {
+			// A quarter of the requests is urgent.
 			c.address = notes
 		}
 		if s.Now.Sub(epoch) > warmUp {
@@ -168,8 +169,8 @@
 
 // arrive processes a request at a server, or refuses it if the queue is full.
 func (s *simulation) arrive(c *call, r *router.Router, p router.Packet, x *server) {
-	finish := func() {
-		took := time.Duration((0.5 + s.random.ExpFloat64()/2) * float64(s.meanProcessingTime) * x.slow)
+	process := func() {
+		took := time.Duration((0.5 + s.random.ExpFloat64()/2) * float64(s.meanProcessingTime) * x.slowdown)
 		s.AfterFunc(took, func() {
 			x.busy--
 			if len(x.queue) > 0 {
@@ -184,9 +185,9 @@
 	switch {
 	case x.busy < slotsPerUpstream:
 		x.busy++
-		finish()
+		process()
 	case len(x.queue) < queueLength:
-		x.queue = append(x.queue, finish)
+		x.queue = append(x.queue, process)
 	default:
 		s.queueFull++
 		s.AfterFunc(transit, func() { s.answered(c, r, p, false) })
@@ -332,7 +333,7 @@
 func TestBufferedPacketsArePlacedGradually(t *testing.T) {
 	atOnce := simulateRecovery(t, false)
 	paced := simulateRecovery(t, true)
-	t.Logf("full queues met: %d at once, %d paced", atOnce, paced)
+	t.Logf("requests at full queues: %d at once, %d paced", atOnce, paced)
 	require.Greater(t, atOnce, bufferedPackets/4)
 	require.Less(t, paced, atOnce/10)
 }
@@ -382,34 +383,34 @@
 
 // Callers offer one and a half times the capacity. The objective is 500 ms, but the response time
 // with a full queue is 200 ms, so response times never reach the objective. Upstreams used to
-// refuse requests before balancers rejected flows, and each refusal costs a whole request and up to
-// two more: in a burst of six times the load, upstreams refused 8,000 requests, and a third of all
+// refuse requests before balancers rejected flows, and each refusal costs a transmitted request and up
+// to two retries: in a burst of six times the load, upstreams refused 8,000 requests, and a third of all
 // requests failed until six seconds after the burst.
 func TestFlowsAreRejectedBeforeQueuesAreFull(t *testing.T) {
-	without := simulateFleet(t, 1.5, 0, 0)
-	with := simulateFleet(t, 1.5, fleetBalancers, 0)
-	t.Logf("full queues met %d, %d with an unknown number of balancers; urgent in time %d and %d of %d; all %d and %d of %d",
-		with.queueFull, without.queueFull, with.urgentInTime, without.urgentInTime, with.urgentOffered, with.inTime, without.inTime, with.offered)
-	require.Less(t, with.queueFull, without.queueFull/10)
-	require.Greater(t, float64(with.urgentInTime), 0.95*float64(with.urgentOffered), "the urgent quarter is rejected last")
-	require.Greater(t, with.urgentInTime, without.urgentInTime)
-	require.Greater(t, float64(with.inTime), 0.6*float64(with.offered), "the capacity suffices for two thirds")
+	unlimited := simulateFleet(t, 1.5, 0, 0)
+	limited := simulateFleet(t, 1.5, fleetBalancers, 0)
+	t.Logf("requests at full queues: %d, without a limit %d; urgent in time: %d, without a limit %d, of %d; all in time: %d, without a limit %d, of %d",
+		limited.queueFull, unlimited.queueFull, limited.urgentInTime, unlimited.urgentInTime, limited.urgentOffered, limited.inTime, unlimited.inTime, limited.offered)
+	require.Less(t, limited.queueFull, unlimited.queueFull/10)
+	require.Greater(t, float64(limited.urgentInTime), 0.95*float64(limited.urgentOffered), "the urgent quarter is rejected last")
+	require.Greater(t, limited.urgentInTime, unlimited.urgentInTime)
+	require.Greater(t, float64(limited.inTime), 0.6*float64(limited.offered), "the capacity suffices for two thirds")
 }
 
 func TestFleetUnderOrdinaryLoadRejectsFewFlows(t *testing.T) {
 	const runs = 6
 	for _, load := range []float64{0.3, 0.6, 0.85} {
-		offered, inTime, inTimeWithout, allRejected := 0, 0, 0, 0
+		offered, inTime, inTimeUnlimited, allRejected := 0, 0, 0, 0
 		for seed := range uint64(runs) {
-			s, without := simulateFleetSeeded(t, load, fleetBalancers, 0, seed), simulateFleetSeeded(t, load, 0, 0, seed)
+			s, unlimited := simulateFleetSeeded(t, load, fleetBalancers, 0, seed), simulateFleetSeeded(t, load, 0, 0, seed)
 			offered += s.offered
 			inTime += s.inTime
-			inTimeWithout += without.inTime * s.offered / without.offered
+			inTimeUnlimited += unlimited.inTime * s.offered / unlimited.offered
 			allRejected += s.rejected
 		}
-		t.Logf("at %.2f of the capacity %d of %d in time, %d without a limit, rejected %d", load, inTime, offered, inTimeWithout, allRejected)
+		t.Logf("at %.2f of the capacity %d of %d in time, %d without a limit, rejected %d", load, inTime, offered, inTimeUnlimited, allRejected)
 		require.Less(t, float64(allRejected), 0.01*float64(offered), "at %.2f", load)
-		require.Greater(t, float64(inTime), float64(inTimeWithout)-0.005*float64(offered), "at %.2f", load)
+		require.Greater(t, float64(inTime), float64(inTimeUnlimited)-0.005*float64(offered), "at %.2f", load)
 	}
 }
 
@@ -442,8 +443,8 @@
 		if share >= 0.5 {
 			continue
 		}
-		// Suspicions of 1, 2 and 4 s allow three attempts in five seconds, in addition to one attempt
-		// that began before the first refusal was detected.
+		// Suspicions last 1, 2 and 4 s, so that each balancer tries each refusing upstream three times
+		// in five seconds (at 0, 1 and 3 s), and once more before it detects the first refusal.
 		require.LessOrEqual(t, float64(s.refused), 4*share*fleetUpstreams*fleetBalancers)
 	}
 }
@@ -517,7 +518,7 @@
 		zone := "a"
 		if id >= fleetUpstreams {
 			zone = "b"
-			s.servers[id+1] = &server{slow: 1}
+			s.servers[id+1] = &server{slowdown: 1}
 		}
 		targets = append(targets, target(id+1, "orders", zone))
 	}
--- a/internal/cookie/router/router_test.go
+++ b/internal/cookie/router/router_test.go
@@ -397,7 +397,7 @@
 	}
 }
 
-func TestFlowsOfAFormerInstanceInAnotherServiceAreReset(t *testing.T) {
+func TestFlowsAreResetAfterUpstreamRestartsInAnotherService(t *testing.T) {
 	before := target(1, "orders", "a")
 	before.Born = 100
 	restarted := before
--- a/internal/daemon/cookie/cookie_test.go
+++ b/internal/daemon/cookie/cookie_test.go
@@ -165,7 +165,7 @@
 }
 
 // The fabric sends packets to a stopping balancer until two readiness checks have failed. The balancer
-// exited or stopped forwarding before that, which broke requests.
+// used to exit or stop forwarding before that, which broke requests.
 func TestPlannedStopForwardsUntilTrafficEnds(t *testing.T) {
 	voter, backend, caller := startVoter(t), listenUDP(t), listenUDP(t)
 	b := startBalancer(t, voter.Address())
