--- a/internal/control/agreement/agreement_test.go
+++ b/internal/control/agreement/agreement_test.go
@@ -278,7 +278,8 @@
 }
 
 // propose proposes a change at a voter and returns an error if the voter is not the leader. It
-// does nothing if the voter is stopped.
+// does nothing if the voter is stopped. If expect is 0, it proposes the first configuration, and preset
+// is ignored.
 func (c *cluster) propose(n *node, key string, expect uint64, preset string) error {
 	if !n.up {
 		return nil
--- a/internal/control/agreement/members_test.go
+++ b/internal/control/agreement/members_test.go
@@ -85,9 +85,9 @@
 	}, time.Minute, time.Microsecond)
 }
 
-// All VMs restart while a zone is partitioned. If no disk records the commit index, a
-// voter that restarts alone cannot determine which entries are committed, and its zone
-// has no configuration.
+// All VMs restart while a zone is partitioned. Without a recorded commit index, a voter that
+// restarts alone could not determine which entries are committed, and its zone would have no
+// configuration.
 func TestRestartedVoterRestoresCommitIndex(t *testing.T) {
 	c := bootstrappedCluster(t)
 	require.NoError(t, c.propose(c.leader(), "kept", 1, "b"))
--- a/internal/control/feed/feed.go
+++ b/internal/control/feed/feed.go
@@ -37,18 +37,21 @@
 const minWakeInterval = 100 * time.Millisecond
 
 // maxResponsesPerSecond bounds the responses with changes of upstreams: the more balancers poll, the
-// longer changes are batched. At 200, the responses to the 20 balancers that poll a voter in a fleet of
-// 300 took a quarter of its CPU time while upstreams changed.
+// longer changes are batched. At 200 responses per second, the 20 balancers that
+// poll one voter in a fleet of 300 balancers took a quarter of the voter's CPU time while upstreams
+// changed.
 const maxResponsesPerSecond = 100
 
 // maxInlineConfiguration is the maximum size in bytes of an encoded configuration that is sent
 // together with other updates; a configuration of about 600 routes has that size. By calculation,
-// compression halves the size, and a link of 2 Mbit/s then transfers the configuration in 50 ms, as
-// long as a separate call takes. A starting balancer in a tree polls one voter at a time.
+// compression halves the size, and the transfer on a link of 2 Mbit/s takes 50 ms, the same as a
+// separate call. Only one voter at a time sends it to a starting balancer in a tree, which polls one
+// voter at a time.
 const maxInlineConfiguration = 24 << 10
 
 // maxDeltas is the number of missed changes up to which a balancer receives deltas. A balancer that
-// missed more changes receives the whole configuration, which is then shorter.
+// missed more changes receives the whole configuration, which is then smaller than the
+// deltas.
 const maxDeltas = 64
 
 // Request is a long-poll request of a balancer.
@@ -58,8 +61,8 @@
 	// Life and Version identify the state of the voter's directory that the balancer
 	// received last.
 	Life, Version uint64
-	// Recalled also requests restored upstreams: the voter knows them from its saved state, and
-	// they have not announced themselves to the voter since its restart. A starting balancer
+	// Recalled also requests restored upstreams: those loaded from the voter's saved state that
+	// have not announced themselves to the voter since its restart. A starting balancer
 	// needs them from one voter only. If every voter sent restored upstreams, the links of a
 	// fleet of hundreds would be saturated.
 	Recalled bool
--- a/internal/control/upstreams/upstreams.go
+++ b/internal/control/upstreams/upstreams.go
@@ -150,18 +150,18 @@
 // Refer returns the address for the further announcements of an upstream, or "" if the
 // upstream stays with this voter.
 func (u *Receiver) Refer(a upstream.Upstream) string {
-	zone := u.feed.Fleet(a.Zone)
+	members := u.feed.Fleet(a.Zone)
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return u.referral.Choose(u.settings.Clock(), a, zone)
+	return u.referral.Choose(u.settings.Clock(), a, members)
 }
 
 // forwardToOwner forwards an announcement to the voter that owns the upstream and reports whether
 // that voter accepted it. Upstreams announce themselves to any voter once their balancer has ended.
 // In zones whose upstreams announce only to voters, announcements stay at the receiving voter.
 func (u *Receiver) forwardToOwner(ctx context.Context, a handover.Announcement) bool {
-	zone := lo.Map(u.feed.Fleet(a.Upstream.Zone), func(m member.Member, _ int) string { return m.Address })
-	if !u.settings.Shape.MultiLevel(zone) {
+	addresses := lo.Map(u.feed.Fleet(a.Upstream.Zone), func(m member.Member, _ int) string { return m.Address })
+	if !u.settings.Shape.MultiLevel(addresses) {
 		return false
 	}
 	to := owner.Of(a.Upstream, u.settings.Responsive())
