--- a/internal/fanout/selection/selection.go
+++ b/internal/fanout/selection/selection.go
@@ -89,8 +89,8 @@
 	placed   bool
 	// parent is empty while the balancer follows the voters.
 	parent string
-	// parentFailedAt is when the last parent failed, or zero. Until voterSubsetUntil, a subset of
-	// the voters is enough in place of a parent.
+	// parentFailedAt is when the last parent failed, or zero. Until voterSubsetUntil, a balancer
+	// below the roots that has no parent polls at most a subset of the voters.
 	parentFailedAt, voterSubsetUntil time.Time
 	// freshVoters is the number of fresh voters at each polled balancer; the key "" holds how many
 	// voters answer this balancer directly.
@@ -102,6 +102,7 @@
 	avoidedUntil map[string]time.Time
 	// quorum is a majority of the voters.
 	quorum int
+	// change is the last change of the parent until TakeChange returns it, else nil.
 	change *Change
 }
 
@@ -198,9 +199,9 @@
 	return s.parent != "" && !slices.Contains(s.place.Candidates, s.parent)
 }
 
-// isStale reports whether the parent, or the voters without a parent, has been degraded for too
-// long.
-func (s *Selection) isStale(now time.Time) bool {
+// isDegradedTooLong reports whether the current source has been degraded for too long. The source is
+// the parent, or the voters if there is no parent.
+func (s *Selection) isDegradedTooLong(now time.Time) bool {
 	return !s.degradedSince.IsZero() && now.Sub(s.degradedSince) > s.fractionOfStaleAfter(degradedFraction)
 }
 
@@ -222,7 +223,7 @@
 		return s.orphanSources(now)
 	case s.misplaced():
 		return Sources{Parents: append([]string{s.parent}, s.candidates(now, 1)...)}
-	case s.isStale(now):
+	case s.isDegradedTooLong(now):
 		return Sources{Voters: s.probeDue(now), Parents: append([]string{s.parent}, s.candidates(now, 1)...)}
 	default:
 		return Sources{Parents: []string{s.parent}}
@@ -233,7 +234,7 @@
 // quorum of voters have answered directly for too long.
 func (s *Selection) rootSources(now time.Time) Sources {
 	out := Sources{Voters: true}
-	if s.isStale(now) {
+	if s.isDegradedTooLong(now) {
 		out.Parents = s.candidates(now, 1)
 	}
 	return out
@@ -262,7 +263,7 @@
 // EvaluateProbe replaces a degraded parent by the voters if more voters answer directly than are
 // fresh at the parent.
 func (s *Selection) EvaluateProbe(now time.Time) {
-	if s.parent != "" && s.isStale(now) && s.freshVoters[""] > s.freshVoters[s.parent] {
+	if s.parent != "" && s.isDegradedTooLong(now) && s.freshVoters[""] > s.freshVoters[s.parent] {
 		s.avoid(now, s.parent)
 		s.parentFailedAt, s.voterSubsetUntil = now.Add(-candidateTimeout), time.Time{}
 		s.setParent(now, "", FewerFreshVoters)
--- a/internal/fanout/selection/selection_test.go
+++ b/internal/fanout/selection/selection_test.go
@@ -225,13 +225,13 @@
 
 func TestParentThatIsNoLongerCandidateIsReplaced(t *testing.T) {
 	s, c := newFollowing(t)
-	without := []string{}
+	remaining := []string{}
 	for _, a := range zone(20) {
 		if a != c[0] {
-			without = append(without, a)
+			remaining = append(remaining, a)
 		}
 	}
-	s.UpdateZone(epoch, without)
+	s.UpdateZone(epoch, remaining)
 	sources := s.Decide(epoch)
 	require.Len(t, sources.Parents, 2)
 	require.Equal(t, c[0], sources.Parents[0])
--- a/internal/overload/uplink/uplink_test.go
+++ b/internal/overload/uplink/uplink_test.go
@@ -48,11 +48,12 @@
 	require.True(t, u.Admit(epoch.Add(time.Second), 4), "inactive uploads do not count")
 }
 
-// Short requests use 100 kB/s of a link of 250 kB/s, and uploads follow one after the other. When
-// uploads took 95 % of the link regardless of the requests, its queue grew, and callers
+// Uploads follow one after the other while short requests use, for example, 100 kB/s of a link of
+// 250 kB/s. When uploads took 95 % of the link regardless of the requests, its queue grew, and callers
 // retransmitted queued packets. At six times the usual load nearly all requests were late, although
 // requests took less than half of the link.
 func TestUploadsUseRemainingBandwidth(t *testing.T) {
+	// The keys are bytes per second of other traffic, the values the expected limits of uploads.
 	for others, limit := range map[int]int{0: 2, 100_000: 1, 150_000: 1, 200_000: 0} {
 		u := uplink.New[int, int](narrow)
 		sent, flow, sequence := 0, 1, 0
--- a/internal/silence/accrual/accrual.go
+++ b/internal/silence/accrual/accrual.go
@@ -111,6 +111,7 @@
 	for _, s := range subjects(e) {
 		switch {
 		case s == evidence.Subject{}:
+			// The event names no upstream or no zone.
 		case e.Answered:
 			d.recordResponse(s, at)
 		default:
--- a/internal/upstream/view/view.go
+++ b/internal/upstream/view/view.go
@@ -54,8 +54,8 @@
 	changed map[uint64]bool
 	// allChanged makes the next call of Changes return all upstreams.
 	allChanged bool
-	// forgotAt is when obsolete notices were last deleted.
-	forgotAt time.Time
+	// sweptAt is when the records were last checked for obsolete notices.
+	sweptAt time.Time
 }
 
 // New returns an empty view.
@@ -153,10 +153,10 @@
 
 // forget deletes notices that have been obsolete for Settings.ForgetAfter.
 func (v *View) forget(now time.Time) {
-	if now.Sub(v.forgotAt) < v.settings.ForgetAfter/10 {
+	if now.Sub(v.sweptAt) < v.settings.ForgetAfter/10 {
 		return
 	}
-	v.forgotAt = now
+	v.sweptAt = now
 	for id, r := range v.records {
 		if r.forget(now, id, v.settings.ForgetAfter) {
 			v.changed[id] = true
