--- a/internal/member/registrar/registrar.go
+++ b/internal/member/registrar/registrar.go
@@ -13,7 +13,7 @@
 
 type empty struct{}
 
-// Registrar sends reports to the leader of the voters.
+// Registrar reports a balancer to the leader of the voters.
 type Registrar struct {
 	voters   []string
 	interval time.Duration
--- a/internal/request/claimer/claimer_test.go
+++ b/internal/request/claimer/claimer_test.go
@@ -189,9 +189,11 @@
 	return result.Outcome
 }
 
-// serial serializes the calls, so that runs are reproducible.
+// serial admits one call at a time. A claim calls the replicas concurrently, but the simulated group
+// is not safe for concurrent use.
 type serial struct{ remoteStores }
 
+// lock is full while a call runs.
 var lock = make(chan struct{}, 1)
 
 func (s serial) Claim(ctx context.Context, x roster.Member, e uint64, r keys.Record) (keys.Record, error) {
--- a/internal/request/door/attempt.go
+++ b/internal/request/door/attempt.go
@@ -15,7 +15,7 @@
 )
 
 // attempt sends the request to one upstream. It returns done if the caller got a response, and
-// retry if the request may be sent again because it did not run or may run twice.
+// retry if the request can safely be sent again: it did not run, or it is idempotent.
 func (p *Proxy) attempt(ctx context.Context, x *exchange, target string, try int) (retry, done bool) {
 	start := p.settings.Clock()
 	sent := &sentFlag{}
--- a/internal/wire/rpc/rpc_test.go
+++ b/internal/wire/rpc/rpc_test.go
@@ -17,7 +17,7 @@
 	"wasabideal/internal/wire/rpc"
 )
 
-// TypedError is an error whose type name must reach the caller.
+// TypedError is an error whose type name must reach the RPC client.
 type TypedError struct{}
 
 func (*TypedError) Error() string { return "typed" }
@@ -39,8 +39,8 @@
 	return l
 }
 
-func echo(c *rpc.Client, text string, limit time.Duration) (string, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), limit)
+func echo(c *rpc.Client, text string, timeout time.Duration) (string, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	return rpc.Call[string, string](ctx, c, "Echo", text)
 }
