--- a/internal/capacity/page/lines.go
+++ b/internal/capacity/page/lines.go
@@ -10,6 +10,7 @@
 
 // size holds the figures of a deployment.
 type size struct {
+	// flows is the number of concurrent flows, openings the number of new flows per second.
 	balancers, upstreams, addresses, flows, openings float64
 	zones, regions                                   float64
 	// voters is the number of VMs with disks, all of which vote.
@@ -17,7 +18,8 @@
 	changesPerDay, restartsPerDay, deathsPerDay float64
 	// group is the number of members that share flows and gossip.
 	group float64
-	// relays is the number of balancers in each zone that follow the voters directly.
+	// relays is the number of balancers in each zone that follow the voters directly, that is,
+	// of the roots of the tree.
 	relays float64
 	// lease is the validity of an announcement in seconds.
 	lease float64
@@ -32,7 +34,8 @@
 	}
 }
 
-func planSize() size {
+// plannedSize is the size planned for two years from now.
+func plannedSize() size {
 	return size{
 		balancers: 3200, upstreams: 21_000, addresses: 9800, flows: 110e6, openings: 220_000, zones: 18, regions: 7, voters: 5, upstreamChanges: 3,
 		changesPerDay: 16_000, restartsPerDay: 4300, deathsPerDay: 26, group: 64, relays: 6, lease: 30,
--- a/internal/capacity/page/page.go
+++ b/internal/capacity/page/page.go
@@ -49,7 +49,7 @@
 // Render returns the page in Markdown.
 func (p Page) Render() []byte {
 	var b bytes.Buffer
-	today, fleet, plan := todaySize(), fleetSize(), planSize()
+	today, fleet, plan := todaySize(), fleetSize(), plannedSize()
 	_, _ = fmt.Fprintf(&b, head, p.measured.Machine, p.measured.Date)
 	p.renderSummary(&b, plan)
 	p.renderLines(&b, today, fleet, plan)
--- a/internal/load/run/run.go
+++ b/internal/load/run/run.go
@@ -43,7 +43,8 @@
 	requestTimeout   = 10 * time.Second
 	announceInterval = time.Second
 	// announceWait is the time for announcements to reach all balancers.
-	announceWait     = 2 * time.Second
+	announceWait = 2 * time.Second
+	// openInterval is the time between the starts of two flows, slots the capacity of an upstream.
 	openInterval     = 500 * time.Microsecond
 	slots            = 2
 	meanServiceTime  = 20 * time.Millisecond
--- a/internal/soak/run/callers.go
+++ b/internal/soak/run/callers.go
@@ -19,8 +19,8 @@
 	requestTimeout = 8 * time.Second
 	// maxRequestPause is the longest pause between two requests of a flow.
 	maxRequestPause = 150 * time.Millisecond
-	// maxRequests limits the requests of one flow; for every second flow, maxShortFlowRequests is
-	// the limit.
+	// maxRequests limits the requests of one flow; every other flow is limited to
+	// maxShortFlowRequests.
 	maxRequests          = 60
 	maxShortFlowRequests = 3
 )
