--- a/internal/soak/fleet/fleet.go
+++ b/internal/soak/fleet/fleet.go
@@ -132,7 +132,7 @@
 	select {
 	case <-p.exited:
 		if !p.exitExpected {
-			return &ExitError{Name: p.Name, Reason: "exited unexpectedly: " + p.command.ProcessState.String()}
+			return &ExitError{Name: p.Name, Reason: "ended by itself: " + p.command.ProcessState.String()}
 		}
 	default:
 	}
